--- a/bench/control_sim/control_sim_main.cc
+++ b/bench/control_sim/control_sim_main.cc
@@ -55,7 +55,7 @@
   TCLAP::ValueArg<uint32_t> crashes("c", "crashes", "Crashes to detect", false, 10, "count",
                                     command);
   TCLAP::ValueArg<size_t> eager("e", "eager", "Push records up to this size whole", false,
-                                options.spread.eagerBytes, "bytes", command);
+                                options.spread.maxPushBytes, "bytes", command);
   TCLAP::ValueArg<size_t> fanout("f", "fanout", "Members that a new record is pushed to", false,
                                  options.spread.fanout, "count", command);
   TCLAP::SwitchArg transfer("x", "transfer", "Measure the start of one node with 21,000 records",
@@ -80,7 +80,7 @@
   options.steadySeconds = seconds.getValue();
   options.seed = seed.getValue();
   options.crashes = crashes.getValue();
-  options.spread.eagerBytes = eager.getValue();
+  options.spread.maxPushBytes = eager.getValue();
   options.spread.fanout = fanout.getValue();
   print(options, umberhold::RegionSimulation(options).run());
   return 0;
--- a/bench/control_sim/region_simulation.cc
+++ b/bench/control_sim/region_simulation.cc
@@ -230,7 +230,7 @@
     }
     for (const auto& [id, node] : nodes_) {
       const ConfigSpread& spread = node->control->spread;
-      if (node->running && spread.caughtUp() && spread.inForceVersion() < change.version) {
+      if (node->running && spread.caughtUp() && spread.effectiveVersion() < change.version) {
         return false;
       }
     }
--- a/bench/host_state_benchmark.cc
+++ b/bench/host_state_benchmark.cc
@@ -29,7 +29,7 @@
   event.host.endpoint = Endpoint{0x0A000000 + static_cast<uint32_t>(number), 8080};
   event.host.incarnation = 0x5F0C3E9A00 + number;
   event.host.slots = 2;
-  event.host.bornMilliseconds = 1764000000000 + number;
+  event.host.startedAtMilliseconds = 1764000000000 + number;
   event.version = version;
   event.madeAt = number;
   return event;
--- a/source/common/base/byte_budget.h
+++ b/source/common/base/byte_budget.h
@@ -19,7 +19,7 @@
   explicit ByteBudget(ByteBudgetOptions options) : options_(options), tokens_(options.burstBytes) {}
 
   /** Takes the bytes if they are there. */
-  bool trySpend(TimePoint now, double bytes) {
+  bool tryConsume(TimePoint now, double bytes) {
     refill(now);
     if (tokens_ < bytes) {
       return false;
@@ -29,19 +29,19 @@
   }
 
   /** Takes the bytes in any case; later spenders wait until the debt is paid. */
-  void spend(TimePoint now, double bytes) {
+  void consume(TimePoint now, double bytes) {
     refill(now);
     tokens_ -= bytes;
   }
 
   /** @return whether at least half of the burst is left, so that spenders need not be sparing. */
-  bool isAmple(TimePoint now) {
+  bool isAtLeastHalfFull(TimePoint now) {
     refill(now);
     return tokens_ >= options_.burstBytes / 2;
   }
 
   /** @return whether the budget has no debt. */
-  bool solvent(TimePoint now) {
+  bool hasTokens(TimePoint now) {
     refill(now);
     return tokens_ > 0.0;
   }
--- a/source/common/config/service.h
+++ b/source/common/config/service.h
@@ -55,7 +55,7 @@
    * When this life of the host began, Unix milliseconds by the host's own clock; 0: not told. A
    * host that starts again under its name and incarnation has a greater one (token/host_life.h).
    */
-  uint64_t bornMilliseconds = 0;
+  uint64_t startedAtMilliseconds = 0;
 
   bool operator==(const HostSpec&) const = default;
 
@@ -65,7 +65,7 @@
   template <class Visitor>
   void visitFields(Visitor& visitor) {
     visitor(name, endpoint, probe, zone, state, drainDeadline, connectionLimit, weight, incarnation,
-            coldMilliseconds, slots, bornMilliseconds);
+            coldMilliseconds, slots, startedAtMilliseconds);
   }
 };
 
--- a/source/common/health/host_observations.cc
+++ b/source/common/health/host_observations.cc
@@ -83,7 +83,7 @@
 
 ReportOutcome ZoneObservations::merge(TimePoint now, const HostReport& report) {
   const bool isSane = report.hosts.size() <= kMostReportedHosts &&
-                      report.signs.size() <= kMostReportedSigns &&
+                      report.livenessReports.size() <= kMostReportedSigns &&
                       std::all_of(report.hosts.begin(), report.hosts.end(), isValid);
   if (!isSane) {
     return ReportOutcome::kInvalid;
@@ -131,9 +131,9 @@
   return (sum - highest) / counted;
 }
 
-std::vector<HostStanding> ZoneObservations::standings(TimePoint now) {
+std::vector<SlowHost> ZoneObservations::standings(TimePoint now) {
   forgetOld(now);
-  std::vector<HostStanding> standings;
+  std::vector<SlowHost> standings;
   for (const auto& [token, observations] : hosts_) {
     const double score = scoreOf(observations);
     if (observations.size() < kFewestReporters || score < kLateScore) {
@@ -147,7 +147,7 @@
                          static_cast<uint32_t>(age.count())});
   }
   std::sort(standings.begin(), standings.end(),
-            [](const HostStanding& left, const HostStanding& right) {
+            [](const SlowHost& left, const SlowHost& right) {
               return left.percentOfUsual > right.percentOfUsual;
             });
   standings.resize(std::min(standings.size(), kMostStandings));
--- a/source/common/health/host_observations.h
+++ b/source/common/health/host_observations.h
@@ -78,7 +78,7 @@
    * counts once for a host, whatever its number of samples, and the highest is left out: a faulty
    * node ejects no host alone.
    */
-  std::vector<HostStanding> standings(TimePoint now);
+  std::vector<SlowHost> standings(TimePoint now);
   /** @return how fast hosts are, `most` of them at most; see SpeedLearner. */
   std::vector<LearnedSpeed> speeds(TimePoint now, size_t most) { return speeds_.speeds(now, most); }
 
--- a/source/common/health/observation_exchange.cc
+++ b/source/common/health/observation_exchange.cc
@@ -52,14 +52,14 @@
 
 HostReport ObservationExchange::takeOwnReport(TimePoint now) {
   HostReport report = gatherer_.takeReport(now);
-  report.signs = signs_.take(now);
+  report.livenessReports = signs_.take(now);
   return report;
 }
 
 ReportOutcome ObservationExchange::mergeReport(TimePoint now, const HostReport& report) {
   const ReportOutcome outcome = zone_.merge(now, report);
   if (outcome == ReportOutcome::kTaken) {
-    silence_.merge(now, report.reporter, report.signs);
+    silence_.merge(now, report.reporter, report.livenessReports);
   }
   return outcome;
 }
--- a/source/common/health/observation_exchange.h
+++ b/source/common/health/observation_exchange.h
@@ -24,7 +24,7 @@
 /** What a zone's nodes together say of hosts. */
 struct ZoneNews {
   /** Hosts that answer late. */
-  std::vector<HostStanding> standings;
+  std::vector<SlowHost> standings;
   /** Hosts that are silent to all. */
   std::vector<SilentHost> silentHosts;
   /** Hosts whose speed is known; of many, a part of them. */
--- a/source/common/health/zone_silence.cc
+++ b/source/common/health/zone_silence.cc
@@ -32,10 +32,10 @@
   }
 }
 
-std::vector<HostSign> SignGatherer::take(TimePoint now) {
-  std::vector<HostSign> report;
+std::vector<HostLivenessReport> SignGatherer::take(TimePoint now) {
+  std::vector<HostLivenessReport> report;
   for (const auto& [token, sign] : signs_) {
-    HostSign& reported = report.emplace_back();
+    HostLivenessReport& reported = report.emplace_back();
     reported.token = token;
     reported.answeredAgoMilliseconds =
         sign.answeredAt ? millisecondsSince(*sign.answeredAt, now) : kNeverAnswered;
@@ -44,7 +44,7 @@
     reported.callers.resize(std::min(reported.callers.size(), kMostReportedCallers));
     reported.silentMilliseconds = sign.copies == 0 ? 0 : millisecondsSince(sign.since, now);
   }
-  std::stable_sort(report.begin(), report.end(), [](const HostSign& left, const HostSign& right) {
+  std::stable_sort(report.begin(), report.end(), [](const HostLivenessReport& left, const HostLivenessReport& right) {
     return left.copies > right.copies;
   });
   report.resize(std::min(report.size(), kMostReportedSigns));
@@ -54,8 +54,8 @@
   return report;
 }
 
-void ZoneSilence::merge(TimePoint now, uint64_t reporter, const std::vector<HostSign>& signs) {
-  for (const HostSign& sign : signs) {
+void ZoneSilence::merge(TimePoint now, uint64_t reporter, const std::vector<HostLivenessReport>& signs) {
+  for (const HostLivenessReport& sign : signs) {
     Host& host = hosts_[sign.token];
     if (sign.answeredAgoMilliseconds != kNeverAnswered) {
       const auto ago = std::chrono::milliseconds(sign.answeredAgoMilliseconds);
--- a/source/common/health/zone_silence.h
+++ b/source/common/health/zone_silence.h
@@ -32,7 +32,7 @@
  public:
   void add(const std::vector<HostSigns>& signs);
   /** @return what is new since the last report, and hosts that stay silent. */
-  std::vector<HostSign> take(TimePoint now);
+  std::vector<HostLivenessReport> take(TimePoint now);
 
  private:
   std::unordered_map<uint32_t, HostSigns> signs_;
@@ -42,7 +42,7 @@
 class ZoneSilence {
  public:
   /** @param reporter tells the nodes of the zone apart. */
-  void merge(TimePoint now, uint64_t reporter, const std::vector<HostSign>& signs);
+  void merge(TimePoint now, uint64_t reporter, const std::vector<HostLivenessReport>& signs);
   /**
    * @return the hosts that left data of several callers unacknowledged at two nodes or more, and
    * that gave no node a sign of life from when the first of it was sent until kLeastSilence later
--- a/source/common/log/line_budget.cc
+++ b/source/common/log/line_budget.cc
@@ -17,7 +17,7 @@
       return "request";
     case LineKind::kFailure:
       return "failure";
-    case LineKind::kBelief:
+    case LineKind::kStateChange:
       return "belief";
     case LineKind::kCount:
       break;
--- a/source/common/log/line_budget.h
+++ b/source/common/log/line_budget.h
@@ -25,7 +25,7 @@
   /** A reset, a drop, or a repeated opening. */
   kFailure,
   /** What the process believes changed: configuration, hosts, the store. */
-  kBelief,
+  kStateChange,
   kCount,
 };
 
@@ -45,13 +45,13 @@
 using LineRates = std::array<LineRate, kLineKinds>;
 
 /** About four times what a node sees on a busy day. */
-constexpr LineRates kUsualLineRates = {LineRate{100, 200}, LineRate{200, 400}, LineRate{100, 400},
+constexpr LineRates kDefaultLineRates = {LineRate{100, 200}, LineRate{200, 400}, LineRate{100, 400},
                                        LineRate{50, 600}};
 
 /** Not thread safe. */
 class LineBudget {
  public:
-  explicit LineBudget(const LineRates& rates = kUsualLineRates);
+  explicit LineBudget(const LineRates& rates = kDefaultLineRates);
 
   /** @return whether a line of the kind may be written now; a line that may not is counted. */
   bool admit(TimePoint now, LineKind kind);
--- a/source/common/log/line_output.cc
+++ b/source/common/log/line_output.cc
@@ -24,10 +24,10 @@
 void LineOutput::append(std::string_view line) {
   const std::lock_guard lock(mutex_);
   if (buffer_.size() - written_ + line.size() + 1 > bufferBytes_) {
-    ++counters_.lost;
+    ++counters_.dropped;
     return;
   }
-  ++counters_.taken;
+  ++counters_.accepted;
   buffer_.append(line);
   buffer_.push_back('\n');
 }
--- a/source/common/log/line_output.h
+++ b/source/common/log/line_output.h
@@ -18,9 +18,9 @@
 /** Lines so far. */
 struct LineCounters {
   /** Lines taken, whether they have been written or are still in the buffer. */
-  uint64_t taken = 0;
+  uint64_t accepted = 0;
   /** Lines that found the buffer full. */
-  uint64_t lost = 0;
+  uint64_t dropped = 0;
 };
 
 /** Thread safe. */
--- a/source/common/log/structured_log.h
+++ b/source/common/log/structured_log.h
@@ -27,7 +27,7 @@
   StructuredLog& operator=(const StructuredLog&) = delete;
 
   /** @return a sink for LOG_TO_SINK_BUT_NOT_TO_LOGFILE whose lines wait for flush(). */
-  google::LogSink* gathered() { return &gathered_; }
+  google::LogSink* buffered() { return &gathered_; }
   /** Writes what was gathered, as far as the descriptor takes it now. */
   void flush() { output_.flush(); }
   const LineOutput& output() const { return output_; }
--- a/source/common/messages/peer_messages.h
+++ b/source/common/messages/peer_messages.h
@@ -55,11 +55,11 @@
   }
 };
 
-/** HostSign::answeredAgoMilliseconds where there was no sign of life. */
+/** HostLivenessReport::answeredAgoMilliseconds where there was no sign of life. */
 constexpr uint32_t kNeverAnswered = UINT32_MAX;
 
 /** Whether a host acknowledged what a node's callers sent it. */
-struct HostSign {
+struct HostLivenessReport {
   /** Flow token of the host. */
   uint32_t token = 0;
   /** Age of its last sign of life, milliseconds. */
@@ -71,7 +71,7 @@
   /** How long ago the first of that data was first sent, milliseconds. */
   uint32_t silentMilliseconds = 0;
 
-  bool operator==(const HostSign&) const = default;
+  bool operator==(const HostLivenessReport&) const = default;
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -86,13 +86,13 @@
   /** Rises with each report of one run of the node. */
   uint64_t sequence = 0;
   std::vector<HostObservation> hosts;
-  std::vector<HostSign> signs;
+  std::vector<HostLivenessReport> livenessReports;
 
   bool operator==(const HostReport&) const = default;
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
-    visitor(reporter, sequence, hosts, signs);
+    visitor(reporter, sequence, hosts, livenessReports);
   }
 };
 
@@ -111,13 +111,13 @@
 };
 
 /** A host that the nodes of a zone together see answering late. */
-struct HostStanding {
+struct SlowHost {
   uint32_t token = 0;
   uint32_t percentOfUsual = 100;
   /** Age of the youngest report that speaks of it. */
   uint32_t ageMilliseconds = 0;
 
-  bool operator==(const HostStanding&) const = default;
+  bool operator==(const SlowHost&) const = default;
 
   template <class Visitor>
   void visitFields(Visitor& visitor) {
@@ -203,7 +203,7 @@
   bool whole = false;
   std::vector<HostEvent> events;
   /** Hosts that the zone's nodes together see answering late; the others are as usual. */
-  std::vector<HostStanding> standings;
+  std::vector<SlowHost> slowHosts;
   /** Version of the store up to which evacuations are known. */
   uint64_t evacuationsVersion = 0;
   /** All zones that are evacuated as of that version. */
@@ -230,7 +230,7 @@
   template <class Visitor>
   void visitFields(Visitor& visitor) {
     visitor(reading, confirmedAgoMilliseconds, outageEndedAgoMilliseconds, configurationVersion,
-            hostsVersion, whole, events, standings, evacuationsVersion, evacuatedZones, silentHosts,
+            hostsVersion, whole, events, slowHosts, evacuationsVersion, evacuatedZones, silentHosts,
             speeds, copy, progress, gaps);
   }
 };
--- a/source/common/node/node_core.cc
+++ b/source/common/node/node_core.cc
@@ -85,7 +85,7 @@
   }
   parts_->detector.tick(now);
   parts_->spread.tick(now);
-  parts_->coverage.tick(now, parts_->spread.inForceVersion());
+  parts_->coverage.tick(now, parts_->spread.effectiveVersion());
   parts_->flows.tick(now, unixNow);
   advanceReadiness(now);
 }
@@ -177,7 +177,7 @@
 }
 
 void NodeCore::onAcceptedChange(const ConfigRecord& record) {
-  parts_->spread.introduce(record);
+  parts_->spread.publishUnconfirmed(record);
 }
 
 void NodeCore::onStoreListed(TimePoint) {
@@ -212,8 +212,8 @@
   return parts_->detector.selfMember();
 }
 
-uint64_t NodeCore::inForceVersion() const {
-  return parts_->spread.inForceVersion();
+uint64_t NodeCore::effectiveVersion() const {
+  return parts_->spread.effectiveVersion();
 }
 
 void NodeCore::addMembershipObserver(MembershipObserver& observer) {
@@ -253,7 +253,7 @@
   counters.packets = parts_->path.counters();
   counters.members = countMembers(parts_->detector);
   counters.records = parts_->store.size();
-  counters.inForceVersion = parts_->spread.inForceVersion();
+  counters.effectiveVersion = parts_->spread.effectiveVersion();
   counters.recordsRejected = parts_->recordsRejected;
   counters.flows = parts_->flows.flowCount();
   counters.ownedShards = parts_->flows.ownedShards();
@@ -269,7 +269,7 @@
   summary.zone = parts_->options.zoneName;
   summary.readiness = parts_->readiness;
   summary.members = countMembers(parts_->detector);
-  summary.configVersion = parts_->spread.inForceVersion();
+  summary.configVersion = parts_->spread.effectiveVersion();
   summary.services = static_cast<uint32_t>(parts_->catalog.serviceCount());
   summary.policies = static_cast<uint32_t>(parts_->catalog.policyCount());
   summary.flows = parts_->flows.flowCount();
--- a/source/common/node/node_core.h
+++ b/source/common/node/node_core.h
@@ -80,7 +80,7 @@
   MemberCounts members;
   uint64_t records = 0;
   /** Store version up to which every change is effective here. */
-  uint64_t inForceVersion = 0;
+  uint64_t effectiveVersion = 0;
   /** Records that could not be decoded; they stay without effect. */
   uint64_t recordsRejected = 0;
   uint64_t flows = 0;
@@ -121,7 +121,7 @@
   /** @return this node's identity and state. */
   const Member& self() const;
   /** @return the store version up to which every change is effective here. */
-  uint64_t inForceVersion() const;
+  uint64_t effectiveVersion() const;
   /** @param observer notified of every change of the members; borrowed, must outlive the core. */
   void addMembershipObserver(MembershipObserver& observer);
   NodeCounters counters() const;
--- a/source/common/platform/host_presence.cc
+++ b/source/common/platform/host_presence.cc
@@ -12,14 +12,14 @@
 
 /** @return whether both tell when their lives began, and the first is the older one. */
 bool isOlderLife(const HostSpec& host, const HostSpec& other) {
-  return host.bornMilliseconds != 0 && host.bornMilliseconds < other.bornMilliseconds;
+  return host.startedAtMilliseconds != 0 && host.startedAtMilliseconds < other.startedAtMilliseconds;
 }
 
 /** @return whether the first of two hosts with one endpoint got it later. A host that starts again
  * keeps its entry, so where both tell it their births count and not when the entries were made. */
 bool isLater(const HostRegistration& registration, const HostRegistration& other) {
-  const uint64_t born = registration.host.bornMilliseconds;
-  const uint64_t otherBorn = other.host.bornMilliseconds;
+  const uint64_t born = registration.host.startedAtMilliseconds;
+  const uint64_t otherBorn = other.host.startedAtMilliseconds;
   if (born != 0 && otherBorn != 0 && born != otherBorn) {
     return born > otherBorn;
   }
@@ -47,8 +47,8 @@
     entry.registration.version = registration.version;
     return false;
   }
-  if (registration.host.bornMilliseconds == 0) {
-    registration.host.bornMilliseconds = entry.registration.host.bornMilliseconds;
+  if (registration.host.startedAtMilliseconds == 0) {
+    registration.host.startedAtMilliseconds = entry.registration.host.startedAtMilliseconds;
   }
   entry.registration = std::move(registration);
   entry.removedAt.reset();
--- a/source/common/server/node_metrics.cc
+++ b/source/common/server/node_metrics.cc
@@ -147,7 +147,7 @@
                              static_cast<double>(core.recordsRejected)));
   families.push_back(gaugeOf("umberhold_config_version",
                              "Store version up to which the node has applied every change",
-                             static_cast<double>(core.inForceVersion)));
+                             static_cast<double>(core.effectiveVersion)));
 }
 
 void addUsage(const NodeMetrics& metrics, const ProcessUsage& usage,
--- a/source/common/server/token_node.cc
+++ b/source/common/server/token_node.cc
@@ -82,7 +82,7 @@
         director(optionsOf(given), random),
         output(*port, port->local().port),
         path(director, director, output, format),
-        flowLog(hooks.log == nullptr ? nullptr : hooks.log->gathered(), format,
+        flowLog(hooks.log == nullptr ? nullptr : hooks.log->buffered(), format,
                 given.requestHeader),
         signalDescriptor(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
     path.setRefuseUnknownServices(true);
@@ -164,14 +164,14 @@
 
   void logPaces() {
     for (const HostPace& pace : director.takePaceChanges()) {
-      if (flowLog.admit(steadyNow(), LineKind::kBelief)) {
+      if (flowLog.admit(steadyNow(), LineKind::kStateChange)) {
         LOG_TO_SINK_BUT_NOT_TO_LOGFILE(flowLog.sink(), INFO)
             << "event=host_" << (pace.slow ? "slow" : "usual") << " pool=" << pace.pool
             << " host=" << pace.host << " slowness=" << pace.slowness;
       }
     }
     for (const SpeedChange& change : director.takeSpeedChanges()) {
-      if (flowLog.admit(steadyNow(), LineKind::kBelief)) {
+      if (flowLog.admit(steadyNow(), LineKind::kStateChange)) {
         LOG_TO_SINK_BUT_NOT_TO_LOGFILE(flowLog.sink(), INFO)
             << "event=host_speed_" << (change.low ? "low" : "usual") << " pool=" << change.pool
             << " host=" << change.host << " speed=" << change.speed;
@@ -181,7 +181,7 @@
 
   void logSilence() {
     for (const SilenceVerdict& verdict : director.takeSilenceVerdicts()) {
-      if (flowLog.admit(steadyNow(), LineKind::kBelief)) {
+      if (flowLog.admit(steadyNow(), LineKind::kStateChange)) {
         LOG_TO_SINK_BUT_NOT_TO_LOGFILE(flowLog.sink(), INFO) << SilenceText{verdict};
       }
     }
@@ -261,7 +261,7 @@
   /** The first catalogue is told by its counts alone. */
   void logHosts(TimePoint now, const std::vector<HostChange>& changes) {
     for (const HostChange& change : changes) {
-      if (configured && flowLog.admit(now, LineKind::kBelief)) {
+      if (configured && flowLog.admit(now, LineKind::kStateChange)) {
         LOG_TO_SINK_BUT_NOT_TO_LOGFILE(flowLog.sink(), INFO)
             << "event=host_" << toString(change.kind) << " pool=" << change.pool
             << " host=" << change.host.name << " endpoint=" << toString(change.host.endpoint)
--- a/source/common/server/token_node_metrics.cc
+++ b/source/common/server/token_node_metrics.cc
@@ -85,8 +85,8 @@
   families.push_back(suppressed.take());
   families.push_back(
       counterFamily("umberhold_log_lines_total", "Lines by whether the output had room for them")
-          .add(static_cast<double>(metrics.output.taken), {metricLabel("result", "taken")})
-          .add(static_cast<double>(metrics.output.lost), {metricLabel("result", "lost")})
+          .add(static_cast<double>(metrics.output.accepted), {metricLabel("result", "taken")})
+          .add(static_cast<double>(metrics.output.dropped), {metricLabel("result", "lost")})
           .take());
 }
 
--- a/source/common/shard/known_flows.cc
+++ b/source/common/shard/known_flows.cc
@@ -66,7 +66,7 @@
                                                     ByteBudget& lists) {
   const bool nothingNew = announced_ && waiting_.empty();
   const bool full = waiting_.size() >= kBatchFlows;
-  const Duration usual = full || !announced_ || budget.isAmple(now) ? kPace : kBatchTime;
+  const Duration usual = full || !announced_ || budget.isAtLeastHalfFull(now) ? kPace : kBatchTime;
   const Duration pause = onTheWay_ ? kResend : (hurries_ ? Duration(0) : usual);
   if (state_ == State::kStopped || nothingNew || now - lastSend_ < pause) {
     return std::nullopt;
@@ -74,7 +74,7 @@
   const size_t count = std::min(waiting_.size(), kBatchFlows);
   const auto bytes = static_cast<double>(kFixedBytes + kFingerprintBytes * count);
   const bool paid =
-      budget.trySpend(now, bytes) || (first_ < placedSince_ && lists.trySpend(now, bytes));
+      budget.tryConsume(now, bytes) || (first_ < placedSince_ && lists.tryConsume(now, bytes));
   if (!paid) {
     return std::nullopt;
   }
@@ -84,7 +84,7 @@
 std::optional<KnownFlowBatch> KnownFlowStream::takeAlong(TimePoint now, ByteBudget& budget) {
   const size_t count = waiting_.size();
   const bool fits = announced_ && running() && !onTheWay_ && count > 0 && count <= kMostAlong;
-  if (!fits || !budget.trySpend(now, static_cast<double>(kFingerprintBytes * count))) {
+  if (!fits || !budget.tryConsume(now, static_cast<double>(kFingerprintBytes * count))) {
     return std::nullopt;
   }
   return makeBatch(now, count);
--- a/source/common/shard/local_shard_replication.cc
+++ b/source/common/shard/local_shard_replication.cc
@@ -139,7 +139,7 @@
   if (isUdp && latest && !full && knowsOldFlows()) {
     auto known = listKnownFlows(now);
     const auto bytes = static_cast<double>(known.size() * kListedFlowBytes);
-    if (context_.handOverListBudget.trySpend(now, bytes)) {
+    if (context_.handOverListBudget.tryConsume(now, bytes)) {
       content.oldFlows = std::move(known);
     }
   }
--- a/source/common/shard/replication_log.cc
+++ b/source/common/shard/replication_log.cc
@@ -114,12 +114,12 @@
   if (!synchronised_ || changes_.empty() || (onTheWay_ && now - lastSend_ < resendAfter_)) {
     return std::nullopt;
   }
-  if (canWait(now) || !budget.solvent(now)) {
+  if (canWait(now) || !budget.hasTokens(now)) {
     return std::nullopt;
   }
   size_t bytes = 0;
   ReplicaAppend batch = makeBatch(shard, epoch, bytes);
-  budget.spend(now, static_cast<double>(bytes));
+  budget.consume(now, static_cast<double>(bytes));
   if (onTheWay_) {
     resendAfter_ = std::min(resendAfter_ * 2, kLongestResend);
   } else {
--- a/source/common/shard/snapshot_sender.cc
+++ b/source/common/shard/snapshot_sender.cc
@@ -19,9 +19,9 @@
     resendAfter_ = std::min(resendAfter_ * 2, kLongestResend);
   }
   const auto end = std::min<size_t>(chunks_.size(), static_cast<size_t>(acknowledged_) + kWindow);
-  while (nextToSend_ < end && budget.solvent(now)) {
+  while (nextToSend_ < end && budget.hasTokens(now)) {
     const SnapshotChunk& chunk = chunks_[nextToSend_];
-    budget.spend(now, static_cast<double>(estimatedBytes(chunk)));
+    budget.consume(now, static_cast<double>(estimatedBytes(chunk)));
     send(chunk);
     lastSend_ = now;
     ++nextToSend_;
--- a/source/common/spread/config_spread.cc
+++ b/source/common/spread/config_spread.cc
@@ -67,7 +67,7 @@
   recheckClaim();
 }
 
-void ConfigSpread::introduce(const ConfigRecord& record) {
+void ConfigSpread::publishUnconfirmed(const ConfigRecord& record) {
   if (store_.apply(record)) {
     rumors_[record.key] = true;
     recheckClaim();
@@ -136,7 +136,7 @@
   std::vector<RecordKey> crossing;
   for (const auto& [key, crosses] : std::exchange(rumors_, {})) {
     const auto record = store_.find(key);
-    const bool eager = record && record->payload.size() <= options_.eagerBytes;
+    const bool eager = record && record->payload.size() <= options_.maxPushBytes;
     (eager ? small : large).push_back(key);
     if (crosses) {
       crossing.push_back(key);
@@ -214,7 +214,7 @@
     noteMatch(sender);
   }
   const bool mayPush =
-      reply.caughtUp || isForeign(sender) || !caughtUp_ || transferBudget_.solvent(now);
+      reply.caughtUp || isForeign(sender) || !caughtUp_ || transferBudget_.hasTokens(now);
   const uint64_t sentBefore = sender_.bytesSent();
   const auto newer = exchange_.onSummary(from, reply, claim(), mayPush);
   if (!reply.caughtUp) {
@@ -252,7 +252,7 @@
   const bool isLong = !store_.changesSince(request.claim.total);
   const bool peerStarts = request.wantsReply;
   const bool isUnlimited = !caughtUp_ && isStarting(now);
-  return !isLong || !peerStarts || isUnlimited || isForeign(sender) || transferBudget_.solvent(now);
+  return !isLong || !peerStarts || isUnlimited || isForeign(sender) || transferBudget_.hasTokens(now);
 }
 
 bool ConfigSpread::startsNow(NodeId peer) const {
@@ -272,7 +272,7 @@
     return;
   }
   const uint64_t bytes = sender_.bytesSent() - recordBytesBefore + otherBytes;
-  transferBudget_.spend(now, static_cast<double>(bytes) / regionShare());
+  transferBudget_.consume(now, static_cast<double>(bytes) / regionShare());
 }
 
 double ConfigSpread::regionShare() {
--- a/source/common/spread/config_spread.h
+++ b/source/common/spread/config_spread.h
@@ -43,7 +43,7 @@
    * Takes one record that this node knows to be in the store, without having read what else is new
    * there: it is effective and spreads at once, but completes no version.
    */
-  void introduce(const ConfigRecord& record);
+  void publishUnconfirmed(const ConfigRecord& record);
   /** This node has listed the store and handed everything in: it needs no peer to be caught up. */
   void setStoreListed();
   /** Publishes changed region contacts; for elected readers. */
@@ -60,7 +60,7 @@
   /** @return whether this node once held what its peers, or the store, held; it stays true. */
   bool caughtUp() const { return caughtUp_; }
   /** @return the store version up to which every change is effective on this node. */
-  uint64_t inForceVersion() const { return inForceVersion_; }
+  uint64_t effectiveVersion() const { return inForceVersion_; }
   const ContactBook& contacts() const { return contacts_; }
 
  private:
--- a/source/common/spread/coverage.cc
+++ b/source/common/spread/coverage.cc
@@ -102,8 +102,8 @@
   return sum;
 }
 
-void Coverage::tick(TimePoint now, uint64_t inForceVersion) {
-  inForceVersion_ = inForceVersion;
+void Coverage::tick(TimePoint now, uint64_t effectiveVersion) {
+  inForceVersion_ = effectiveVersion;
   refreshTree();
   report(now);
   if (now < interestedUntil_ && now >= nextQuery_) {
--- a/source/common/spread/coverage.h
+++ b/source/common/spread/coverage.h
@@ -48,8 +48,8 @@
   Coverage(const CoverageOptions& options, const MembershipView& view, const ContactBook& contacts,
            RandomSource& random, MessageSink& sink);
 
-  /** @param inForceVersion ConfigSpread::inForceVersion() of this node. */
-  void tick(TimePoint now, uint64_t inForceVersion);
+  /** @param effectiveVersion ConfigSpread::effectiveVersion() of this node. */
+  void tick(TimePoint now, uint64_t effectiveVersion);
   void handle(TimePoint now, const Endpoint& from, NodeId sender, const CoverageReport& report);
   void handle(TimePoint now, const Endpoint& from, NodeId sender, const CoverageQuery& query);
   void handle(TimePoint now, const Endpoint& from, NodeId sender, const CoverageSummary& summary);
--- a/source/common/spread/spread_options.h
+++ b/source/common/spread/spread_options.h
@@ -13,7 +13,7 @@
   /** Random members that a new record is pushed to, or announced to. */
   size_t fanout = 4;
   /** Records up to this size are pushed whole; larger ones are announced and fetched. */
-  size_t eagerBytes = 0;
+  size_t maxPushBytes = 0;
   /** How long a fetch of an announced record may take before another announcer is asked. */
   Duration fetchPatience = std::chrono::milliseconds(100);
   /** How often the total is compared with a random member's. */
--- a/source/common/token/host_life.h
+++ b/source/common/token/host_life.h
@@ -36,11 +36,11 @@
 };
 
 inline HostLife lifeOf(const HostSpec& known, const HostSpec& told) {
-  if (known.bornMilliseconds == 0 || told.bornMilliseconds == 0 ||
-      known.bornMilliseconds == told.bornMilliseconds) {
+  if (known.startedAtMilliseconds == 0 || told.startedAtMilliseconds == 0 ||
+      known.startedAtMilliseconds == told.startedAtMilliseconds) {
     return HostLife::kSame;
   }
-  return told.bornMilliseconds > known.bornMilliseconds ? HostLife::kNewer : HostLife::kOlder;
+  return told.startedAtMilliseconds > known.startedAtMilliseconds ? HostLife::kNewer : HostLife::kOlder;
 }
 
 /** @return when the host was born by the steady clock; nothing where it does not tell, the wall
@@ -48,7 +48,7 @@
 inline std::optional<TimePoint> birthOf(const HostSpec& host, const WallClock& clock) {
   /** More than any clock since its boot; keeps the arithmetic in range. */
   constexpr uint64_t kLongestAge = 1000ULL * 60 * 60 * 24 * 365;
-  const uint64_t born = host.bornMilliseconds;
+  const uint64_t born = host.startedAtMilliseconds;
   if (born == 0 || born > clock.unixMilliseconds) {
     return std::nullopt;
   }
--- a/source/common/token/token_director.cc
+++ b/source/common/token/token_director.cc
@@ -448,8 +448,8 @@
   return summary;
 }
 
-void TokenDirector::learn(TimePoint now, const std::vector<HostStanding>& standings) {
-  for (const HostStanding& standing : standings) {
+void TokenDirector::learn(TimePoint now, const std::vector<SlowHost>& standings) {
+  for (const SlowHost& standing : standings) {
     TokenHost* host = hosts_.find(standing.token);
     const TimePoint at = now - std::chrono::milliseconds(standing.ageMilliseconds);
     if (host != nullptr && host->livedAt(at)) {
--- a/source/common/token/token_director.h
+++ b/source/common/token/token_director.h
@@ -131,7 +131,7 @@
   /** @return this node's own samples since the last call. */
   std::vector<HostSample> takeSamples() { return std::exchange(samples_, {}); }
   /** What the nodes of the zone together say of hosts. */
-  void learn(TimePoint now, const std::vector<HostStanding>& standings);
+  void learn(TimePoint now, const std::vector<SlowHost>& standings);
   /** The nodes of the zone together find hosts so fast. */
   void learnSpeeds(TimePoint now, const std::vector<LearnedSpeed>& speeds);
   SpeedSummary speeds(TimePoint now) const;
--- a/source/common/token/token_hosts.cc
+++ b/source/common/token/token_hosts.cc
@@ -92,10 +92,10 @@
   const uint32_t coldBefore = isNewLife ? 0 : host.spec.coldMilliseconds;
   host.hasColdNews = spec.coldMilliseconds != 0 && spec.coldMilliseconds != coldBefore;
   host.token = token;
-  const uint64_t bornBefore = host.spec.bornMilliseconds;
+  const uint64_t bornBefore = host.spec.startedAtMilliseconds;
   host.spec = spec;
-  if (spec.bornMilliseconds == 0) {
-    host.spec.bornMilliseconds = bornBefore;
+  if (spec.startedAtMilliseconds == 0) {
+    host.spec.startedAtMilliseconds = bornBefore;
   }
   host.id = hostIdOf(serviceIdOf(pool), spec.name);
   host.pool = pool;
--- a/source/common/wire/codec.cc
+++ b/source/common/wire/codec.cc
@@ -69,7 +69,7 @@
   if (!isCompressedPayload(payload)) {
     return decodeStruct<Struct>(payload);
   }
-  const auto expanded = expandPayload(payload);
+  const auto expanded = decompressPayload(payload);
   if (!isOk(expanded)) {
     return errorOf(expanded);
   }
--- a/source/common/wire/payload_compression.cc
+++ b/source/common/wire/payload_compression.cc
@@ -102,7 +102,7 @@
   return !bytes.empty() && bytes.front() == kCompressedMark;
 }
 
-Result<std::string, DecodeError> expandPayload(std::string_view bytes) {
+Result<std::string, DecodeError> decompressPayload(std::string_view bytes) {
   if (!isCompressedPayload(bytes)) {
     return std::string(bytes);
   }
--- a/source/common/wire/payload_compression.h
+++ b/source/common/wire/payload_compression.h
@@ -36,6 +36,6 @@
 bool isCompressedPayload(std::string_view bytes);
 /** Inverse for bytes of any origin; what is not compressed comes back as it is. The result has
  * kMaxEncodedBytes at most. */
-Result<std::string, DecodeError> expandPayload(std::string_view bytes);
+Result<std::string, DecodeError> decompressPayload(std::string_view bytes);
 
 }  // namespace umberhold
--- a/test/common/health/host_observations_test.cc
+++ b/test/common/health/host_observations_test.cc
@@ -149,7 +149,7 @@
     PeerChanges changes;
     uint64_t number = 0;  // Tokens that can't be compressed.
     for (size_t index = 0; index < standings; ++index) {
-      changes.standings.push_back({flowTokenOf(++number), 500, 3000});
+      changes.slowHosts.push_back({flowTokenOf(++number), 500, 3000});
     }
     for (size_t index = 0; index < speeds; ++index) {
       changes.speeds.push_back({flowTokenOf(++number), 400, 127});
@@ -178,7 +178,7 @@
 
 TEST(HostObservations, RefusesAReportWithTooManySigns) {
   HostReport tooLong{1, 1, {}, {}};
-  tooLong.signs.resize(kMostReportedSigns + 1);
+  tooLong.livenessReports.resize(kMostReportedSigns + 1);
   CHECK_TRUE(zone.merge(now, tooLong) == ReportOutcome::kInvalid);
 }
 
@@ -190,7 +190,7 @@
   LONGS_EQUAL(0, urgent);
   exchange.add(now, {}, {{kSlowHost, now, 1, {11}, now, now}});
   LONGS_EQUAL(1, urgent);
-  LONGS_EQUAL(1, exchange.takeReport(now).signs.size());
+  LONGS_EQUAL(1, exchange.takeReport(now).livenessReports.size());
 }
 
 TEST(HostObservations, ANodeThatIsAskedNamesHostsThatAreSilentToItAndAnother) {
--- a/test/common/log/line_budget_test.cc
+++ b/test/common/log/line_budget_test.cc
@@ -47,9 +47,9 @@
 
 TEST(LineBudget, ATimeThatStandsStillOrRunsBackwardsGivesNoTokens) {
   LineBudget budget(kRates);
-  LONGS_EQUAL(1, admitted(budget, kStart, LineKind::kBelief, 5));
-  LONGS_EQUAL(0, admitted(budget, kStart - seconds(10), LineKind::kBelief, 5));
-  LONGS_EQUAL(0, admitted(budget, kStart, LineKind::kBelief, 5));
+  LONGS_EQUAL(1, admitted(budget, kStart, LineKind::kStateChange, 5));
+  LONGS_EQUAL(0, admitted(budget, kStart - seconds(10), LineKind::kStateChange, 5));
+  LONGS_EQUAL(0, admitted(budget, kStart, LineKind::kStateChange, 5));
 }
 
 }  // namespace umberhold
--- a/test/common/log/line_output_test.cc
+++ b/test/common/log/line_output_test.cc
@@ -57,8 +57,8 @@
     output.flush();
   }
   const LineCounters full = output.counters();
-  CHECK_TRUE(full.lost > 0);
-  LONGS_EQUAL(kLines, full.taken + full.lost);
+  CHECK_TRUE(full.dropped > 0);
+  LONGS_EQUAL(kLines, full.accepted + full.dropped);
   LONGS_EQUAL(0, ::fcntl(ends[1], F_GETFL) & O_NONBLOCK);
   // Once somebody reads, everything that was taken comes, in whole lines.
   size_t bytes = 0;
@@ -67,7 +67,7 @@
     output.flush();
   }
   bytes += readAll().size();
-  LONGS_EQUAL(full.taken * (line.size() + 1), bytes);
+  LONGS_EQUAL(full.accepted * (line.size() + 1), bytes);
 }
 
 TEST(LineOutput, OutlivesAReaderThatWentAway) {
@@ -77,7 +77,7 @@
     output.append("event=lost");
     output.flush();
   }
-  CHECK_TRUE(output.counters().lost > 0);
+  CHECK_TRUE(output.counters().dropped > 0);
 }
 
 }  // namespace umberhold
--- a/test/common/node/cluster_fuzzer.cc
+++ b/test/common/node/cluster_fuzzer.cc
@@ -344,7 +344,7 @@
   const NodeCounters after = core.counters();
   const bool unchanged = after.flows == before.flows && after.records == before.records &&
                          after.ownedShards == before.ownedShards &&
-                         after.inForceVersion == before.inForceVersion &&
+                         after.effectiveVersion == before.effectiveVersion &&
                          cluster_.toHosts().size() == hostsBefore;
   if (!unchanged) {
     broken_.emplace_back("forged or malformed input had an effect");
--- a/test/common/node/node_core_test.cc
+++ b/test/common/node/node_core_test.cc
@@ -210,9 +210,9 @@
       },
       std::chrono::seconds(3)));
   // Version 8 may still be unknown here: nothing above 7 counts as complete.
-  CHECK_EQUAL(7, cluster.node(NodeId{3}).counters().inForceVersion);
+  CHECK_EQUAL(7, cluster.node(NodeId{3}).counters().effectiveVersion);
   cluster.publish(NodeId{1}, {recordOf(changed, 9)});
-  CHECK(cluster.runUntil([&] { return cluster.node(NodeId{4}).counters().inForceVersion == 9; },
+  CHECK(cluster.runUntil([&] { return cluster.node(NodeId{4}).counters().effectiveVersion == 9; },
                          kPatience));
 }
 
--- a/test/common/platform/host_copy_test.cc
+++ b/test/common/platform/host_copy_test.cc
@@ -23,7 +23,7 @@
   made.host.zone = "megenagna";
   made.host.endpoint = Endpoint{0x0A000000 + static_cast<uint32_t>(number), 8080};
   made.host.incarnation = number * 0x9E3779B97F4A7C15U;
-  made.host.bornMilliseconds = 1764000000000 + number;
+  made.host.startedAtMilliseconds = 1764000000000 + number;
   made.version = number;
   made.madeAt = number;
   return made;
@@ -65,7 +65,7 @@
 TEST(HostCopy, EachPartIsFarBelowTheLongestMessage) {
   const auto copy = makeHostCopy(kManyHosts, hosts(kManyHosts));
   for (const std::string& part : valueOf(copy).parts) {
-    const auto expanded = expandPayload(part);
+    const auto expanded = decompressPayload(part);
     CHECK_TRUE(isOk(expanded));
     CHECK_TRUE(valueOf(expanded).size() < kMaxEncodedBytes / 8);
   }
--- a/test/common/platform/host_presence_test.cc
+++ b/test/common/platform/host_presence_test.cc
@@ -220,10 +220,10 @@
 
 TEST(HostPresence, ALateWriteOfAnEarlierLifeDoesNotBringItBack) {
   HostRegistration first = registration(1, HostState::kDraining);
-  first.host.bornMilliseconds = 1000;
+  first.host.startedAtMilliseconds = 1000;
   presence.onRegistered(first);
   HostRegistration second = registration(1);
-  second.host.bornMilliseconds = 2000;
+  second.host.startedAtMilliseconds = 2000;
   CHECK_TRUE(presence.onRegistered(second));
   settle();
   LONGS_EQUAL(1, active());
@@ -231,7 +231,7 @@
   CHECK_FALSE(presence.onRegistered(first));
   settle();
   LONGS_EQUAL(1, active());
-  CHECK_TRUE(pools["dispatch"].hosts[0].bornMilliseconds == 2000);
+  CHECK_TRUE(pools["dispatch"].hosts[0].startedAtMilliseconds == 2000);
   remove(1);
   first.version = ++version;
   CHECK_FALSE(presence.onRegistered(first));
@@ -241,20 +241,20 @@
 
 TEST(HostPresence, AnEntryWithoutABirthKeepsTheKnownOne) {
   HostRegistration told = registration(1);
-  told.host.bornMilliseconds = 1000;
+  told.host.startedAtMilliseconds = 1000;
   presence.onRegistered(told);
   CHECK_TRUE(presence.onRegistered(registration(1, HostState::kDraining)));
   settle();
   LONGS_EQUAL(1, draining());
-  CHECK_TRUE(pools["dispatch"].hosts[0].bornMilliseconds == 1000);
+  CHECK_TRUE(pools["dispatch"].hosts[0].startedAtMilliseconds == 1000);
 }
 
 TEST(HostPresence, OfTwoHostsAtOneEndpointTheLaterBornLivesThoughItsEntryIsOlder) {
   HostRegistration returned = registration(1);
-  returned.host.bornMilliseconds = 3000;
+  returned.host.startedAtMilliseconds = 3000;
   HostRegistration between = registration(2);
   between.host.endpoint = returned.host.endpoint;
-  between.host.bornMilliseconds = 2000;
+  between.host.startedAtMilliseconds = 2000;
   presence.onRegistered(between);
   presence.onRegistered(returned);
   settle();
--- a/test/common/shard/known_flows_test.cc
+++ b/test/common/shard/known_flows_test.cc
@@ -75,7 +75,7 @@
   deliver(*soon);
 
   ByteBudget scarce{{kPerSecond, kBurst}};
-  scarce.spend(now, 0.8 * kBurst);
+  scarce.consume(now, 0.8 * kBurst);
   stream.add(8);
   now += KnownFlowStream::kPace;
   CHECK_FALSE(stream.poll(now, scarce, lists).has_value());
@@ -87,6 +87,6 @@
   announce();
   stream.add(7);
   ByteBudget empty{{1.0, 1.0}};
-  empty.spend(now, 10.0);
+  empty.consume(now, 10.0);
   CHECK_FALSE(stream.takeAlong(now, empty).has_value());
 }
--- a/test/common/shard/replication_log_test.cc
+++ b/test/common/shard/replication_log_test.cc
@@ -191,14 +191,14 @@
 TEST(ReplicationLog, ALargeBatchGoesBeforeTheBytesForAllOfItAreThere) {
   constexpr double kPerSecond = 600.0;
   ByteBudget scarce{{kPerSecond, kPerSecond}};
-  scarce.spend(now, kPerSecond - 1.0);
+  scarce.consume(now, kPerSecond - 1.0);
   for (uint64_t flow = 1; flow <= 20; ++flow) {
     add(flow);
   }
   const auto batch = log.poll(now, scarce, kShard, kEpoch);
   CHECK_TRUE(batch.has_value());
   CHECK_EQUAL(20U, changesOf(*batch));
-  CHECK_FALSE(scarce.solvent(now));
+  CHECK_FALSE(scarce.hasTokens(now));
   deliver(*batch);
   add(21);
   CHECK_FALSE(log.poll(now, scarce, kShard, kEpoch).has_value());
--- a/test/common/spread/config_spread_test.cc
+++ b/test/common/spread/config_spread_test.cc
@@ -26,7 +26,7 @@
   region.run(milliseconds(1500));
   for (auto& [id, node] : region.nodes) {
     CHECK_EQUAL(5, node.control->store.versionOf({ObjectKind::kService, "dispatch"}));
-    CHECK_EQUAL(5, node.control->spread.inForceVersion());
+    CHECK_EQUAL(5, node.control->spread.effectiveVersion());
   }
 }
 
@@ -120,10 +120,10 @@
       {SpreadRegion::recordOf("b", 6)}, false, {region.control(1).store.total(), 6}};
   ControlNode& second = region.control(2);
   second.spread.handle(region.network.now(), Endpoint{}, NodeId{1}, onlyTheSecond);
-  CHECK_EQUAL(0, second.spread.inForceVersion());
+  CHECK_EQUAL(0, second.spread.effectiveVersion());
   region.network.faults.isCut = nullptr;
   region.run(seconds(3));
-  CHECK_EQUAL(6, second.spread.inForceVersion());
+  CHECK_EQUAL(6, second.spread.effectiveVersion());
 }
 
 TEST(ConfigSpread, RecordOfManyDatagramsArrivesWhole) {
@@ -166,7 +166,7 @@
   CHECK_TRUE(region.control(SpreadRegion::kOtherRegion + 3).spread.caughtUp());
   region.publish(1, SpreadRegion::recordOf("dispatch", 6));
   region.run(seconds(3));
-  CHECK_EQUAL(6, region.control(SpreadRegion::kOtherRegion + 3).spread.inForceVersion());
+  CHECK_EQUAL(6, region.control(SpreadRegion::kOtherRegion + 3).spread.effectiveVersion());
 }
 
 TEST(ConfigSpread, DeadContactDelaysAChangeToAnotherRegionOnlyBriefly) {
--- a/test/common/spread/spread_property.cc
+++ b/test/common/spread/spread_property.cc
@@ -139,7 +139,7 @@
   /** @return whether every node holds every change up to the version that it says is effective. */
   bool claimsHold() {
     for (auto& [id, node] : region_.nodes) {
-      const uint64_t inForce = node.control->spread.inForceVersion();
+      const uint64_t inForce = node.control->spread.effectiveVersion();
       for (const ConfigRecord& event : history_) {
         if (event.version <= inForce && node.control->store.versionOf(event.key) < event.version) {
           return false;
@@ -157,7 +157,7 @@
         }
       }
       const uint64_t last = history_.empty() ? 0 : history_.back().version;
-      if (node.control->spread.inForceVersion() != last || !node.control->spread.caughtUp()) {
+      if (node.control->spread.effectiveVersion() != last || !node.control->spread.caughtUp()) {
         return false;
       }
     }
--- a/test/common/token/host_lives_test.cc
+++ b/test/common/token/host_lives_test.cc
@@ -22,7 +22,7 @@
   host.endpoint = {0x0A800000 + static_cast<uint32_t>(number), 8080};
   host.zone = "bole";
   host.incarnation = number;
-  host.bornMilliseconds = born;
+  host.startedAtMilliseconds = born;
   return host;
 }
 
@@ -155,7 +155,7 @@
   CHECK_TRUE(has(setHosts({cold, makeHost(2)}), HostChangeKind::kCold));
   now += seconds(5);
   LONGS_EQUAL(0, director.coldHostCount(now));
-  cold.bornMilliseconds = unixNow();
+  cold.startedAtMilliseconds = unixNow();
   CHECK_TRUE(has(setHosts({cold, makeHost(2)}), HostChangeKind::kCold));
   LONGS_EQUAL(1, director.coldHostCount(now));
 }
--- a/test/common/wire/payload_compression_test.cc
+++ b/test/common/wire/payload_compression_test.cc
@@ -32,7 +32,7 @@
 }
 
 DecodeErrorCode failureOf(std::string_view bytes) {
-  const auto expanded = expandPayload(bytes);
+  const auto expanded = decompressPayload(bytes);
   return isOk(expanded) ? DecodeErrorCode::kCount : errorOf(expanded).code;
 }
 
@@ -44,7 +44,7 @@
   const Service service = serviceOf(15);
   const std::string packed = valueOf(encodeService(service));
   CHECK(isCompressedPayload(packed));
-  const std::string plain = valueOf(expandPayload(packed));
+  const std::string plain = valueOf(decompressPayload(packed));
   CHECK(packed.size() * 2 < plain.size());
   CHECK(valueOf(decodeService(packed)) == service);
 }
@@ -53,12 +53,12 @@
   const std::string plain(100000, 'x');
   const std::string packed = compressPayload(plain, CompressionEffort::kFast);
   CHECK(packed.size() * 10 < plain.size());
-  CHECK(valueOf(expandPayload(packed)) == plain);
+  CHECK(valueOf(decompressPayload(packed)) == plain);
 }
 
 TEST(PayloadCompression, PlainPayloadsStayReadable) {
   const Service service = serviceOf(4);
-  const std::string plain = valueOf(expandPayload(valueOf(encodeService(service))));
+  const std::string plain = valueOf(decompressPayload(valueOf(encodeService(service))));
   CHECK_FALSE(isCompressedPayload(plain));
   CHECK(valueOf(decodeService(plain)) == service);
 }
@@ -96,7 +96,7 @@
     for (size_t repeat = 0; repeat < repeats; ++repeat) {
       text += piece;
     }
-    const auto expanded = expandPayload(compressPayload(text));
+    const auto expanded = decompressPayload(compressPayload(text));
     RC_ASSERT(isOk(expanded));
     RC_ASSERT(valueOf(expanded) == text);
   }));
--- a/test/platform/store/edge_node_test.cc
+++ b/test/platform/store/edge_node_test.cc
@@ -295,15 +295,15 @@
   configure();
   CHECK_TRUE(awaitReadiness(200));
   const std::string filler(1000, 'x');
-  while (log.output().counters().lost == 0) {
+  while (log.output().counters().dropped == 0) {
     LOG(INFO) << "event=filler text=" << filler;
   }
-  const uint64_t lost = log.output().counters().lost;
+  const uint64_t lost = log.output().counters().dropped;
   for (int packet = 0; packet < 50; ++packet) {
     CHECK_FALSE(pass(packetOf(kSyn, 0)).empty());
   }
   CHECK_EQUAL(200, askReadiness());
-  CHECK_TRUE(log.output().counters().lost > lost);
+  CHECK_TRUE(log.output().counters().dropped > lost);
   stopNode();
   startNode(nullptr);
   ::close(ends[0]);
--- a/test/platform/store/object_store_adapter_test.cc
+++ b/test/platform/store/object_store_adapter_test.cc
@@ -389,7 +389,7 @@
   STRCMP_EQUAL("bole", second.host.zone.c_str());
   LONGS_EQUAL(2, second.host.slots);
   CHECK_TRUE(second.host.state == HostState::kDraining);
-  const auto text = expandPayload(adapter->answerPeer(kPeerConfigurationPath)->body);
+  const auto text = decompressPayload(adapter->answerPeer(kPeerConfigurationPath)->body);
   const auto config = decodePage(StoreKind::kConfiguration, valueOf(text));
   const auto& told = std::get<Configuration>(valueOf(config).objects.at(0).specification);
   LONGS_EQUAL(3, told.version);
--- a/test/support/control_node.h
+++ b/test/support/control_node.h
@@ -34,7 +34,7 @@
     if (spread.caughtUp() && detector.selfMember().state == MemberState::kJoining) {
       detector.announceReady(now);
     }
-    coverage.tick(now, spread.inForceVersion());
+    coverage.tick(now, spread.effectiveVersion());
   }
   void onMessage(TimePoint now, const Endpoint& from, NodeId sender, const Message& message) {
     std::visit(
