--- a/bench/packet_benchmark.cc
+++ b/bench/packet_benchmark.cc
@@ -47,9 +47,9 @@
 
 class CountingOutput : public PacketOutput {
  public:
-  void toHost(const Endpoint&, std::string_view packet) override { bytes += packet.size(); }
-  void toNode(const Endpoint&, std::string_view packet) override { bytes += packet.size(); }
-  void toCaller(const Endpoint& /*caller*/, std::string_view packet) override {
+  void sendToHost(const Endpoint&, std::string_view packet) override { bytes += packet.size(); }
+  void sendToNode(const Endpoint&, std::string_view packet) override { bytes += packet.size(); }
+  void sendToCaller(const Endpoint& /*caller*/, std::string_view packet) override {
     bytes += packet.size();
   }
   uint64_t bytes = 0;
--- a/source/common/packet/packet_format.cc
+++ b/source/common/packet/packet_format.cc
@@ -8,7 +8,7 @@
   Result<ParsedPacket, DropReason> parse(std::string_view bytes) const override {
     return parsePacket(bytes);
   }
-  std::string_view forHost(std::string_view packet, const ForwardToHost& /*decision*/,
+  std::string_view rewriteForHost(std::string_view packet, const ForwardToHost& /*decision*/,
                            std::string& /*buffer*/) const override {
     return packet;
   }
--- a/source/common/packet/packet_format.h
+++ b/source/common/packet/packet_format.h
@@ -32,7 +32,7 @@
    * @param buffer may be written and kept between calls.
    * @return the datagram for the host; it points into packet or buffer.
    */
-  virtual std::string_view forHost(std::string_view packet, const ForwardToHost& decision,
+  virtual std::string_view rewriteForHost(std::string_view packet, const ForwardToHost& decision,
                                    std::string& buffer) const = 0;
 
   /** @return the datagram that refuses the packet, for its caller. */
--- a/source/common/packet/packet_output.h
+++ b/source/common/packet/packet_output.h
@@ -13,12 +13,12 @@
  public:
   virtual ~PacketOutput() = default;
   /** Sends the packet to a back end. */
-  virtual void toHost(const Endpoint& host, std::string_view packet) = 0;
+  virtual void sendToHost(const Endpoint& host, std::string_view packet) = 0;
   /** Relays the packet to another node. */
-  virtual void toNode(const Endpoint& relay, std::string_view packet) = 0;
+  virtual void sendToNode(const Endpoint& relay, std::string_view packet) = 0;
   /** Sends an answer of this node (a TCP reset, an ICMP unreachable) to the caller it is addressed
    * to. */
-  virtual void toCaller(const Endpoint& caller, std::string_view packet) = 0;
+  virtual void sendToCaller(const Endpoint& caller, std::string_view packet) = 0;
 };
 
 }  // namespace umberhold
--- a/source/common/packet/packet_path.cc
+++ b/source/common/packet/packet_path.cc
@@ -71,7 +71,7 @@
     return;
   }
   ++counters_.resetFlows;
-  output_.toCaller(decision.key.caller, valueOf(reset));
+  output_.sendToCaller(decision.key.caller, valueOf(reset));
   if (observer_ != nullptr) {
     observer_->onReset(now, decision);
   }
@@ -126,7 +126,7 @@
 void PacketPath::act(const ForwardToHost& decision, const ParsedPacket& /*packet*/,
                      std::string_view bytes) {
   ++counters_.forwarded;
-  output_.toHost(decision.endpoint, format_.forHost(bytes, decision, hostBuffer_));
+  output_.sendToHost(decision.endpoint, format_.rewriteForHost(bytes, decision, hostBuffer_));
 }
 
 void PacketPath::act(const RelayToNode& decision, const ParsedPacket& /*packet*/,
@@ -138,7 +138,7 @@
     return;
   }
   ++counters_.relayed;
-  output_.toNode(decision.endpoint, relayBuffer_);
+  output_.sendToNode(decision.endpoint, relayBuffer_);
 }
 
 void PacketPath::act(const RefuseFlow&, const ParsedPacket& packet, std::string_view bytes) {
@@ -148,7 +148,7 @@
     ++counters_.unanswered;
     return;
   }
-  output_.toCaller(packet.key.caller, valueOf(answer));
+  output_.sendToCaller(packet.key.caller, valueOf(answer));
 }
 
 void PacketPath::act(const HoldPacket&, const ParsedPacket&, std::string_view) {
--- a/source/common/server/packet_transport.cc
+++ b/source/common/server/packet_transport.cc
@@ -3,7 +3,7 @@
 
 namespace umberhold {
 
-void PacketTransport::toCaller(const Endpoint& /*caller*/, std::string_view packet) {
+void PacketTransport::sendToCaller(const Endpoint& /*caller*/, std::string_view packet) {
   if (returnGateway_.port == 0) {
     ++unsentAnswers_;
     return;
--- a/source/common/server/packet_transport.h
+++ b/source/common/server/packet_transport.h
@@ -16,11 +16,11 @@
   PacketTransport(UdpPort& port, const Endpoint& returnGateway)
       : port_(port), returnGateway_(returnGateway) {}
 
-  void toHost(const Endpoint& host, std::string_view packet) override { port_.send(host, packet); }
-  void toNode(const Endpoint& relay, std::string_view packet) override {
+  void sendToHost(const Endpoint& host, std::string_view packet) override { port_.send(host, packet); }
+  void sendToNode(const Endpoint& relay, std::string_view packet) override {
     port_.send(relay, packet);
   }
-  void toCaller(const Endpoint& /*caller*/, std::string_view packet) override;
+  void sendToCaller(const Endpoint& /*caller*/, std::string_view packet) override;
 
   /** @return answers to callers that were not sent for lack of a gateway. */
   uint64_t unsentAnswers() const { return unsentAnswers_; }
--- a/source/common/server/token_node.cc
+++ b/source/common/server/token_node.cc
@@ -29,11 +29,11 @@
   /** @param port borrowed. @param callerPort where callers take answers of the service. */
   DirectOutput(UdpPort& port, uint16_t callerPort) : port_(port), callerPort_(callerPort) {}
 
-  void toHost(const Endpoint& host, std::string_view packet) override { port_.send(host, packet); }
-  void toNode(const Endpoint& relay, std::string_view packet) override {
+  void sendToHost(const Endpoint& host, std::string_view packet) override { port_.send(host, packet); }
+  void sendToNode(const Endpoint& relay, std::string_view packet) override {
     port_.send(relay, packet);
   }
-  void toCaller(const Endpoint& caller, std::string_view packet) override {
+  void sendToCaller(const Endpoint& caller, std::string_view packet) override {
     port_.send(Endpoint{caller.address, callerPort_}, packet);
   }
 
--- a/test/common/packet/packet_path_test.cc
+++ b/test/common/packet/packet_path_test.cc
@@ -46,13 +46,13 @@
 
 class RecordingOutput : public PacketOutput {
  public:
-  void toHost(const Endpoint& host, std::string_view packet) override {
+  void sendToHost(const Endpoint& host, std::string_view packet) override {
     hosts.emplace_back(host, packet);
   }
-  void toNode(const Endpoint& relay, std::string_view packet) override {
+  void sendToNode(const Endpoint& relay, std::string_view packet) override {
     nodes.emplace_back(relay, packet);
   }
-  void toCaller(const Endpoint& /*caller*/, std::string_view packet) override {
+  void sendToCaller(const Endpoint& /*caller*/, std::string_view packet) override {
     callers.emplace_back(packet);
   }
 
--- a/test/fuzz/packet_fuzzer.cc
+++ b/test/fuzz/packet_fuzzer.cc
@@ -67,18 +67,18 @@
 
 class CheckingOutput : public PacketOutput {
  public:
-  void toHost(const Endpoint&, std::string_view packet) override {
+  void sendToHost(const Endpoint&, std::string_view packet) override {
     FUZZ_CHECK(input.substr(0, packet.size()) == packet);
     FUZZ_CHECK(isOk(parsePacket(packet)));
   }
-  void toNode(const Endpoint&, std::string_view packet) override {
+  void sendToNode(const Endpoint&, std::string_view packet) override {
     const auto before = parsePacket(input);
     const auto after = parsePacket(packet);
     FUZZ_CHECK(isOk(after));
     FUZZ_CHECK(valueOf(after).timeToLive + 1 == valueOf(before).timeToLive);
     FUZZ_CHECK(valueOf(after).key == valueOf(before).key);
   }
-  void toCaller(const Endpoint& /*caller*/, std::string_view packet) override {
+  void sendToCaller(const Endpoint& /*caller*/, std::string_view packet) override {
     const auto asked = parsePacket(input);
     const auto answer = parsePacket(packet);
     if (valueOf(asked).key.protocol == TransportProtocol::kUdp) {
--- a/test/platform/packet/echo_format_test.cc
+++ b/test/platform/packet/echo_format_test.cc
@@ -76,7 +76,7 @@
   ForwardToHost decision;
   decision.incarnation = 0x7F3A91C2;
   decision.token = 0xA0B0C0D0;
-  const std::string sent(format.forHost(syn, decision, buffer));
+  const std::string sent(format.rewriteForHost(syn, decision, buffer));
   std::string expected = bytesOf("00 00 00 00 7f 3a 91 c2") + syn;
   expected.replace(8 + 5, 4, bytesOf("a0 b0 c0 d0"));
   CHECK_TRUE(expected == sent);
--- a/test/platform/packet/flow_log_test.cc
+++ b/test/platform/packet/flow_log_test.cc
@@ -35,9 +35,9 @@
 
 class NoOutput : public PacketOutput {
  public:
-  void toHost(const Endpoint& /*host*/, std::string_view /*packet*/) override {}
-  void toNode(const Endpoint& /*relay*/, std::string_view /*packet*/) override {}
-  void toCaller(const Endpoint& /*caller*/, std::string_view /*packet*/) override {}
+  void sendToHost(const Endpoint& /*host*/, std::string_view /*packet*/) override {}
+  void sendToNode(const Endpoint& /*relay*/, std::string_view /*packet*/) override {}
+  void sendToCaller(const Endpoint& /*caller*/, std::string_view /*packet*/) override {}
 };
 
 void put(std::string& packet, size_t offset, uint64_t value, size_t bytes) {
--- a/test/support/simulated_cluster.cc
+++ b/test/support/simulated_cluster.cc
@@ -246,18 +246,18 @@
   }
 }
 
-void SimulatedCluster::Outputs::toHost(const Endpoint& host, std::string_view packet) {
+void SimulatedCluster::Outputs::sendToHost(const Endpoint& host, std::string_view packet) {
   cluster.toHosts_.push_back(SentPacket{self, host, std::string(packet)});
   if (cluster.hostObserver_) {
     cluster.hostObserver_(cluster.toHosts_.back());
   }
 }
 
-void SimulatedCluster::Outputs::toNode(const Endpoint& relay, std::string_view packet) {
+void SimulatedCluster::Outputs::sendToNode(const Endpoint& relay, std::string_view packet) {
   cluster.transmit(Frame{Frame::Kind::kRelayed, self, nodeAt(relay), std::string(packet), {}});
 }
 
-void SimulatedCluster::Outputs::toCaller(const Endpoint& /*caller*/, std::string_view packet) {
+void SimulatedCluster::Outputs::sendToCaller(const Endpoint& /*caller*/, std::string_view packet) {
   cluster.toCallers_.emplace_back(packet);
   if (cluster.callerObserver_) {
     cluster.callerObserver_(cluster.toCallers_.back());
--- a/test/support/simulated_cluster.h
+++ b/test/support/simulated_cluster.h
@@ -104,9 +104,9 @@
   struct Outputs : public MessageSink, public PacketOutput, public ProbeOutput {
     Outputs(SimulatedCluster& owner, NodeId id, uint64_t incarnation);
     void send(const Endpoint& to, Message message) override;
-    void toHost(const Endpoint& host, std::string_view packet) override;
-    void toNode(const Endpoint& relay, std::string_view packet) override;
-    void toCaller(const Endpoint& /*caller*/, std::string_view packet) override;
+    void sendToHost(const Endpoint& host, std::string_view packet) override;
+    void sendToNode(const Endpoint& relay, std::string_view packet) override;
+    void sendToCaller(const Endpoint& /*caller*/, std::string_view packet) override;
     void probe(ServiceId service, HostId host, const Endpoint& httpEndpoint) override;
     SimulatedCluster& cluster;
     NodeId self;
