--- a/source/common/base/endpoint.cc
+++ b/source/common/base/endpoint.cc
@@ -56,13 +56,13 @@
 }
 
 std::optional<Endpoint> parseEndpoint(std::string_view text) {
-  constexpr uint32_t kHighestPort = 65535;
+  constexpr uint32_t kMaxPort = 65535;
   const size_t colon = text.rfind(':');
   if (colon == std::string_view::npos) {
     return std::nullopt;
   }
   const auto address = parseAddress(text.substr(0, colon));
-  const auto port = parseNumber(text.substr(colon + 1), kHighestPort);
+  const auto port = parseNumber(text.substr(colon + 1), kMaxPort);
   if (!address || !port || *port == 0) {
     return std::nullopt;
   }
--- a/source/common/base/jitter.h
+++ b/source/common/base/jitter.h
@@ -7,8 +7,8 @@
 namespace umberhold {
 
 /** @return the period, longer or shorter by up to the part of it. */
-inline Duration jittered(Duration period, double part, RandomSource& random) {
-  const double factor = 1.0 + part * (2.0 * random.unit() - 1.0);
+inline Duration jittered(Duration period, double fraction, RandomSource& random) {
+  const double factor = 1.0 + fraction * (2.0 * random.unit() - 1.0);
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double, Duration::period>(
       static_cast<double>(period.count()) * factor));
 }
--- a/source/common/log/line_budget.cc
+++ b/source/common/log/line_budget.cc
@@ -47,9 +47,9 @@
 
 uint64_t LineBudget::takeSuppressed(LineKind kind) {
   Bucket& bucket = bucketOf(kind);
-  const uint64_t news = bucket.suppressed - bucket.reported;
+  const uint64_t unreported = bucket.suppressed - bucket.reported;
   bucket.reported = bucket.suppressed;
-  return news;
+  return unreported;
 }
 
 uint64_t LineBudget::suppressed(LineKind kind) const {
--- a/source/common/log/line_output.cc
+++ b/source/common/log/line_output.cc
@@ -32,24 +32,24 @@
   buffer_.push_back('\n');
 }
 
-size_t LineOutput::room() {
+size_t LineOutput::writableBytes() {
   if (alwaysReady_) {
     return SIZE_MAX;
   }
-  if (knownRoom_ == 0) {
+  if (knownWritableBytes_ == 0) {
     pollfd ready{descriptor_, POLLOUT, 0};
     // A pipe is writable once it has a free buffer of PIPE_BUF bytes, which short writes share.
     const bool writable = ::poll(&ready, 1, 0) == 1 && (ready.revents & POLLOUT) != 0;
-    knownRoom_ = writable ? PIPE_BUF : 0;
+    knownWritableBytes_ = writable ? PIPE_BUF : 0;
   }
-  return knownRoom_;
+  return knownWritableBytes_;
 }
 
 void LineOutput::flush() {
   const std::lock_guard lock(mutex_);
   while (written_ < buffer_.size()) {
-    const size_t most = std::min(room(), buffer_.size() - written_);
-    const ssize_t count = most == 0 ? 0 : ::write(descriptor_, buffer_.data() + written_, most);
+    const size_t limit = std::min(writableBytes(), buffer_.size() - written_);
+    const ssize_t count = limit == 0 ? 0 : ::write(descriptor_, buffer_.data() + written_, limit);
     if (count < 0 && errno == EINTR) {
       continue;
     }
@@ -57,7 +57,7 @@
       break;
     }
     written_ += static_cast<size_t>(count);
-    knownRoom_ -= alwaysReady_ ? 0 : static_cast<size_t>(count);
+    knownWritableBytes_ -= alwaysReady_ ? 0 : static_cast<size_t>(count);
   }
   buffer_.erase(0, written_);
   written_ = 0;
--- a/source/common/log/line_output.h
+++ b/source/common/log/line_output.h
@@ -45,7 +45,7 @@
 
  private:
   /** @return bytes that can be written now without waiting; 0 for none. */
-  size_t room();
+  size_t writableBytes();
 
   const int descriptor_;
   const size_t bufferBytes_;
@@ -56,7 +56,7 @@
   /** Bytes of the buffer that were written already. */
   size_t written_ = 0;
   /** Bytes that the descriptor definitely has room for. */
-  size_t knownRoom_ = 0;
+  size_t knownWritableBytes_ = 0;
   LineCounters counters_;
 };
 
--- a/source/common/log/structured_log.cc
+++ b/source/common/log/structured_log.cc
@@ -46,13 +46,13 @@
   text_.append(fraction.data(), static_cast<size_t>(digits));
   text_.append("level=").append(levelOf(severity)).append(" ").append(message, length);
   output_.append(text_);
-  if (atOnce_) {
+  if (flushEachLine_) {
     output_.flush();
   }
 }
 
 StructuredLog::StructuredLog(const char* program, int descriptor)
-    : output_(descriptor), immediate_(output_, true), gathered_(output_, false) {
+    : output_(descriptor), immediate_(output_, true), buffered_(output_, false) {
   google::InitGoogleLogging(program);
   for (int severity = 0; severity < google::NUM_SEVERITIES; ++severity) {
     google::SetLogDestination(severity, "");
--- a/source/common/log/structured_log.h
+++ b/source/common/log/structured_log.h
@@ -27,7 +27,7 @@
   StructuredLog& operator=(const StructuredLog&) = delete;
 
   /** @return a sink for LOG_TO_SINK_BUT_NOT_TO_LOGFILE whose lines wait for flush(). */
-  google::LogSink* buffered() { return &gathered_; }
+  google::LogSink* buffered() { return &buffered_; }
   /** Writes what was gathered, as far as the descriptor takes it now. */
   void flush() { output_.flush(); }
   const LineOutput& output() const { return output_; }
@@ -36,7 +36,7 @@
   /** Puts the time and the level before each line. */
   class Sink : public google::LogSink {
    public:
-    Sink(LineOutput& output, bool atOnce) : output_(output), atOnce_(atOnce) {}
+    Sink(LineOutput& output, bool flushEachLine) : output_(output), flushEachLine_(flushEachLine) {}
     using google::LogSink::send;
     void send(google::LogSeverity severity, const char* fullFilename, const char* baseFilename,
               int line, const google::LogMessageTime& time, const char* message,
@@ -44,7 +44,7 @@
 
    private:
     LineOutput& output_;
-    const bool atOnce_;
+    const bool flushEachLine_;
     /** The last line's second and its text; most lines share it with the one before. */
     std::time_t second_ = -1;
     std::string secondText_;
@@ -53,7 +53,7 @@
 
   LineOutput output_;
   Sink immediate_;
-  Sink gathered_;
+  Sink buffered_;
 };
 
 }  // namespace umberhold
--- a/source/common/membership/failure_detector.cc
+++ b/source/common/membership/failure_detector.cc
@@ -8,14 +8,14 @@
 namespace umberhold {
 namespace {
 
-constexpr Duration kForgetPeriod = std::chrono::minutes(1);
+constexpr Duration kPurgePeriod = std::chrono::minutes(1);
 constexpr Duration kPushRefillPeriod = std::chrono::seconds(1);
 /** Members notified directly that this node has left. */
 constexpr size_t kLeftFanout = 6;
 /** Members compared with after a pause. */
-constexpr int kPauseSyncs = 2;
+constexpr int kSyncsAfterPause = 2;
 /** Members in the answer to one MemberQuery. */
-constexpr size_t kMaxQueried = 28;
+constexpr size_t kMaxQueriedIds = 28;
 
 }  // namespace
 
@@ -39,17 +39,17 @@
 }
 
 void FailureDetector::start(TimePoint now, const std::vector<Endpoint>& seeds) {
-  const auto someTime = [&](Duration period) {
+  const auto randomTimeWithin = [&](Duration period) {
     return now + Duration(static_cast<Duration::rep>(
                      context_.random.below(static_cast<uint64_t>(period.count()) + 1)));
   };
   started_ = true;
-  lastSeen_ = now;
-  prober_.reset(someTime(context_.options.probePeriod));
-  nextSync_ = someTime(context_.options.syncPeriod);
-  nextDeadRetry_ = someTime(context_.options.deadRetryPeriod);
+  lastCallAt_ = now;
+  prober_.reset(randomTimeWithin(context_.options.probePeriod));
+  nextSync_ = randomTimeWithin(context_.options.syncPeriod);
+  nextDeadRetry_ = randomTimeWithin(context_.options.deadRetryPeriod);
   nextSeedRetry_ = now + context_.options.seedRetryPeriod;
-  nextForget_ = now + kForgetPeriod;
+  nextPurge_ = now + kPurgePeriod;
   pushRefill_ = now;
   pushTokens_ = context_.options.pushBurst;
   context_.queue.add(self(), true, true);
@@ -60,10 +60,10 @@
   if (!started_ || left_) {
     return;
   }
-  noticeTime(now);
+  checkForPause(now);
   joiner_.tick(now);
   helper_.tick(now);
-  takeVerdicts(now);
+  applyVerdicts(now);
   runPeriodic(now);
   pushUrgent(now);
 }
@@ -91,12 +91,12 @@
     return;
   }
   context_.table.setSelf(now, selfMember().incarnation, state);
-  applied(self(), false);
+  queueAndNotify(self(), false);
 }
 
-void FailureDetector::noticeTime(TimePoint now) {
-  const Duration gap = now - lastSeen_;
-  lastSeen_ = std::max(lastSeen_, now);
+void FailureDetector::checkForPause(TimePoint now) {
+  const Duration gap = now - lastCallAt_;
+  lastCallAt_ = std::max(lastCallAt_, now);
   if (started_ && gap > context_.options.pauseThreshold) {
     recoverFromPause(now);
   }
@@ -119,7 +119,7 @@
     notify(id);
   }
   context_.queue.add(self(), false, true);
-  for (int peer = 0; peer < kPauseSyncs; ++peer) {
+  for (int peer = 0; peer < kSyncsAfterPause; ++peer) {
     sync_.begin();
   }
 }
@@ -128,17 +128,17 @@
   if (left_) {
     return;
   }
-  noticeTime(now);
+  checkForPause(now);
   mergeGossip(now, from, sender, ping.gossip);
-  introduceUnknown(from, sender);
-  context_.sink.send(from, Message{PingAck{ping.sequence, self(), answerGossip(sender)}});
+  queryUnknownSender(from, sender);
+  context_.sink.send(from, Message{PingAck{ping.sequence, self(), gossipFor(sender)}});
 }
 
 void FailureDetector::handle(TimePoint now, const Endpoint& from, NodeId sender,
                              const PingAck& ack) {
-  noticeTime(now);
+  checkForPause(now);
   mergeGossip(now, from, sender, ack.gossip);
-  introduceUnknown(from, sender);
+  queryUnknownSender(from, sender);
   if (helper_.onAck(ack.sequence, ack.subject)) {
     return;
   }
@@ -154,13 +154,13 @@
   if (left_) {
     return;
   }
-  noticeTime(now);
+  checkForPause(now);
   helper_.onRequest(now, from, request);
 }
 
 void FailureDetector::handle(TimePoint now, const Endpoint& /*from*/, NodeId sender,
                              const PingNack& nack) {
-  noticeTime(now);
+  checkForPause(now);
   if (isKnownLive(sender)) {
     prober_.onNack(nack.sequence, sender);
   }
@@ -168,7 +168,7 @@
 
 void FailureDetector::handle(TimePoint now, const Endpoint& from, NodeId sender,
                              const MemberGossip& gossip) {
-  noticeTime(now);
+  checkForPause(now);
   mergeGossip(now, from, sender, gossip);
 }
 
@@ -177,7 +177,7 @@
   if (left_) {
     return;
   }
-  noticeTime(now);
+  checkForPause(now);
   mergeMember(now, request.sender, true);
   context_.sink.send(from, Message{joinPage(context_.table, request.from)});
   const MemberEntry* entry = context_.table.find(request.sender.id);
@@ -189,7 +189,7 @@
 
 void FailureDetector::handle(TimePoint now, const Endpoint& /*from*/, NodeId sender,
                              const JoinReply& reply) {
-  noticeTime(now);
+  checkForPause(now);
   for (const Member& member : reply.members) {
     mergeMember(now, member, false);
   }
@@ -199,26 +199,26 @@
 
 void FailureDetector::handle(TimePoint now, const Endpoint& from, NodeId /*sender*/,
                              const MemberDigest& digest) {
-  noticeTime(now);
+  checkForPause(now);
   sync_.onDigest(from, digest);
 }
 
 void FailureDetector::handle(TimePoint now, const Endpoint& from, NodeId /*sender*/,
                              const MemberDigestReply& reply) {
-  noticeTime(now);
-  mergeUpdates(now, from, reply.updates, DeathClaims::kVerify);
+  checkForPause(now);
+  mergeUpdates(now, from, reply.updates, DeathClaimPolicy::kVerify);
   sync_.onReply(from, reply);
 }
 
 void FailureDetector::handle(TimePoint now, const Endpoint& from, NodeId /*sender*/,
                              const MemberQuery& query) {
-  noticeTime(now);
+  checkForPause(now);
   JoinReply reply;
   // A page without progress: it never ends the receiver's own join.
   reply.more = true;
   for (const NodeId id : query.ids) {
     const MemberEntry* entry = context_.table.find(id);
-    if (entry != nullptr && isLiveEntry(*entry) && reply.members.size() < kMaxQueried) {
+    if (entry != nullptr && isLiveEntry(*entry) && reply.members.size() < kMaxQueriedIds) {
       reply.members.push_back(published(entry->member));
     }
   }
@@ -227,7 +227,7 @@
   }
 }
 
-void FailureDetector::applied(NodeId id, bool withAddress) {
+void FailureDetector::queueAndNotify(NodeId id, bool withAddress) {
   context_.queue.add(id, withAddress, true);
   notify(id);
 }
@@ -247,7 +247,7 @@
 }
 
 /** Tells a sender that is dead in this view about it first, so that it can refute. */
-MemberGossip FailureDetector::answerGossip(NodeId sender) {
+MemberGossip FailureDetector::gossipFor(NodeId sender) {
   MemberGossip gossip = context_.piggyback();
   const MemberEntry* entry = context_.table.find(sender);
   if (isDeadEntry(entry)) {
@@ -256,14 +256,14 @@
   return gossip;
 }
 
-void FailureDetector::introduceUnknown(const Endpoint& from, NodeId sender) {
+void FailureDetector::queryUnknownSender(const Endpoint& from, NodeId sender) {
   if (context_.table.find(sender) == nullptr) {
     context_.sink.send(from, Message{MemberQuery{{sender}}});
     sync_.begin(from);
   }
 }
 
-void FailureDetector::takeVerdicts(TimePoint now) {
+void FailureDetector::applyVerdicts(TimePoint now) {
   for (const ProbeVerdict& verdict : prober_.tick(now)) {
     if (verdict.state == MemberState::kSuspect) {
       if (context_.table.setSuspect(now, verdict.id, true)) {
@@ -273,7 +273,7 @@
     }
     const MemberUpdate death{verdict.id, verdict.incarnation, MemberState::kDead};
     if (context_.table.merge(now, death) == MergeOutcome::kChanged) {
-      applied(verdict.id, false);
+      queueAndNotify(verdict.id, false);
       // It may only have been paused: it refutes as soon as it reads this.
       context_.sink.send(find(verdict.id)->controlEndpoint(), Message{MemberGossip{{death}, {}}});
     }
@@ -321,9 +321,9 @@
     nextSeedRetry_ = now + context_.options.seedRetryPeriod;
     retrySeed();
   }
-  if (now >= nextForget_) {
-    nextForget_ = now + kForgetPeriod;
-    context_.table.forgetDead(now - context_.options.deadRetention);
+  if (now >= nextPurge_) {
+    nextPurge_ = now + kPurgePeriod;
+    context_.table.purgeDead(now - context_.options.deadRetention);
   }
 }
 
--- a/source/common/membership/failure_detector.h
+++ b/source/common/membership/failure_detector.h
@@ -65,24 +65,24 @@
 
  private:
   /** How far a death claim of a message is believed. */
-  enum class DeathClaims : uint8_t { kBelieve, kVerify };
+  enum class DeathClaimPolicy : uint8_t { kAccept, kVerify };
 
-  void noticeTime(TimePoint now);
+  void checkForPause(TimePoint now);
   void recoverFromPause(TimePoint now);
   void mergeGossip(TimePoint now, const Endpoint& from, NodeId sender, const MemberGossip& gossip);
   void mergeUpdates(TimePoint now, const Endpoint& from, const std::vector<MemberUpdate>& updates,
-                    DeathClaims claims);
+                    DeathClaimPolicy claims);
   void mergeMember(TimePoint now, const Member& member, bool spread);
   void mergeSelf(TimePoint now, const Endpoint& from, const MemberUpdate& update);
   void verifyDeathClaim(TimePoint now, const MemberUpdate& claim);
-  void applied(NodeId id, bool withAddress);
+  void queueAndNotify(NodeId id, bool withAddress);
   void setSelfState(TimePoint now, MemberState state);
   void notify(NodeId id);
   bool isKnownLive(NodeId sender) const;
-  MemberGossip answerGossip(NodeId sender);
-  void introduceUnknown(const Endpoint& from, NodeId sender);
+  MemberGossip gossipFor(NodeId sender);
+  void queryUnknownSender(const Endpoint& from, NodeId sender);
   void onRevived(TimePoint now, const Endpoint& from);
-  void takeVerdicts(TimePoint now);
+  void applyVerdicts(TimePoint now);
   void pushUrgent(TimePoint now);
   void pushTo(size_t members);
   void retryDead();
@@ -98,12 +98,12 @@
   bool started_ = false;
   bool left_ = false;
   uint64_t pauses_ = 0;
-  TimePoint lastSeen_;
+  TimePoint lastCallAt_;
   TimePoint nextDeadRetry_;
   TimePoint nextSeedRetry_;
   TimePoint nextSync_;
   TimePoint lastRevivalSync_;
-  TimePoint nextForget_;
+  TimePoint nextPurge_;
   TimePoint pushRefill_;
   size_t pushTokens_ = 0;
 };
--- a/source/common/membership/joiner.cc
+++ b/source/common/membership/joiner.cc
@@ -10,7 +10,7 @@
 /** Members in one page: they fit into one datagram. */
 constexpr size_t kPageMembers = 28;
 /** Where so many seeds were asked and none has joined, the whole region is starting. */
-constexpr size_t kMostSeedsAsked = 8;
+constexpr size_t kMaxSeedsAsked = 8;
 
 }  // namespace
 
@@ -50,10 +50,10 @@
 }
 
 void Joiner::tick(TimePoint now) {
-  if (complete_ || now < nextTry_) {
+  if (complete_ || now < nextRequest_) {
     return;
   }
-  if (heardJoiner_ && allSeedsAsked()) {
+  if (joiningMemberReplied_ && allSeedsAsked()) {
     complete_ = true;
     return;
   }
@@ -61,20 +61,20 @@
 }
 
 bool Joiner::allSeedsAsked() const {
-  return asked_ >= std::min(seeds_.size(), kMostSeedsAsked);
+  return seedsAsked_ >= std::min(seeds_.size(), kMaxSeedsAsked);
 }
 
 void Joiner::request(TimePoint now) {
-  nextTry_ = now + context_.options.joinRetry;
+  nextRequest_ = now + context_.options.joinRetry;
   const Member* member =
       cursor_ == NodeId{} ? nullptr : context_.table.pick(context_.random, isTrustedEntry);
   const Endpoint to =
-      member != nullptr ? member->controlEndpoint() : seeds_[(firstSeed_ + asked_) % seeds_.size()];
-  asked_ += cursor_ == NodeId{} ? 1 : 0;
+      member != nullptr ? member->controlEndpoint() : seeds_[(firstSeed_ + seedsAsked_) % seeds_.size()];
+  seedsAsked_ += cursor_ == NodeId{} ? 1 : 0;
   context_.sink.send(to, Message{JoinRequest{context_.table.self(), cursor_}});
 }
 
-void Joiner::onReply(TimePoint now, const JoinReply& reply, bool fromJoiner) {
+void Joiner::onReply(TimePoint now, const JoinReply& reply, bool fromJoiningMember) {
   if (complete_) {
     return;
   }
@@ -85,11 +85,11 @@
     }
     return;
   }
-  if (!fromJoiner) {
+  if (!fromJoiningMember) {
     complete_ = true;
     return;
   }
-  heardJoiner_ = true;
+  joiningMemberReplied_ = true;
   cursor_ = NodeId{};
   if (allSeedsAsked()) {
     complete_ = true;
--- a/source/common/membership/joiner.h
+++ b/source/common/membership/joiner.h
@@ -19,9 +19,9 @@
   void tick(TimePoint now);
   /**
    * Takes a page whose members are already in the table.
-   * @param fromJoiner the sender still joins: its own list may hold little more than itself.
+   * @param fromJoiningMember the sender still joins: its own list may hold little more than itself.
    */
-  void onReply(TimePoint now, const JoinReply& reply, bool fromJoiner);
+  void onReply(TimePoint now, const JoinReply& reply, bool fromJoiningMember);
   /**
    * @return whether a member that has joined gave the whole list, or everybody who was asked still
    * joins, or there is nobody to ask.
@@ -36,12 +36,12 @@
   MembershipContext& context_;
   std::vector<Endpoint> seeds_;
   /** Seeds asked so far; they are asked in turn, from a random one on. */
-  size_t asked_ = 0;
+  size_t seedsAsked_ = 0;
   size_t firstSeed_ = 0;
   /** A member that still joins gave its list. */
-  bool heardJoiner_ = false;
+  bool joiningMemberReplied_ = false;
   NodeId cursor_;
-  TimePoint nextTry_;
+  TimePoint nextRequest_;
   bool complete_ = false;
 };
 
--- a/source/common/membership/member_table.cc
+++ b/source/common/membership/member_table.cc
@@ -134,7 +134,7 @@
   ++revision_;
 }
 
-void MemberTable::forgetDead(TimePoint instant) {
+void MemberTable::purgeDead(TimePoint instant) {
   const size_t removed = std::erase_if(entries_, [&](const MemberEntry& entry) {
     return !isLive(entry.member) && entry.changedAt < instant && entry.member.id != self_;
   });
@@ -142,20 +142,20 @@
 }
 
 const Member* MemberTable::pick(RandomSource& random,
-                                const std::function<bool(const MemberEntry&)>& wanted) const {
-  const auto fits = [&](const MemberEntry& entry) {
-    return entry.member.id != self_ && wanted(entry);
+                                const std::function<bool(const MemberEntry&)>& matches) const {
+  const auto satisfies = [&](const MemberEntry& entry) {
+    return entry.member.id != self_ && matches(entry);
   };
   size_t index = 0;
   for (int draw = 0; draw < kRandomDraws; ++draw) {
     index = random.below(entries_.size());
-    if (fits(entries_[index])) {
+    if (satisfies(entries_[index])) {
       return &entries_[index].member;
     }
   }
   for (size_t step = 0; step < entries_.size(); ++step) {
     const MemberEntry& entry = entries_[(index + step) % entries_.size()];
-    if (fits(entry)) {
+    if (satisfies(entry)) {
       return &entry.member;
     }
   }
--- a/source/common/membership/member_table.h
+++ b/source/common/membership/member_table.h
@@ -56,11 +56,11 @@
   /** Sets or clears the suspicion of a member; @return whether anything changed. */
   bool setSuspect(TimePoint now, NodeId id, bool suspect);
   /** Removes members that died before the instant. */
-  void forgetDead(TimePoint before);
+  void purgeDead(TimePoint before);
 
   /** @return a random other member that satisfies the condition, or nullptr where there is none. */
   const Member* pick(RandomSource& random,
-                     const std::function<bool(const MemberEntry&)>& wanted) const;
+                     const std::function<bool(const MemberEntry&)>& matches) const;
   /** @return the number of members that are not dead, this node included. */
   size_t liveCount() const { return liveCount_; }
   uint64_t revision() const { return revision_; }
--- a/source/common/membership/membership_options.h
+++ b/source/common/membership/membership_options.h
@@ -22,13 +22,13 @@
   /** How long a suspect has to answer before it is declared dead. */
   Duration suspicionTime = std::chrono::milliseconds(2200);
   /** How long a helper waits for the target before it answers with a PingNack. */
-  Duration helperPatience = std::chrono::milliseconds(250);
+  Duration helperTimeout = std::chrono::milliseconds(250);
   /** A gap between two calls that tells this process that it was paused. */
   Duration pauseThreshold = std::chrono::seconds(1);
   /** How often one dead member is tried again, so that a healed partition is noticed. */
   Duration deadRetryPeriod = std::chrono::seconds(10);
   /** The same right after such a try has succeeded. */
-  Duration deadRetryBurst = std::chrono::milliseconds(200);
+  Duration deadRetryPeriodAfterRevival = std::chrono::milliseconds(200);
   /** How often one seed or listed machine that is no known member is tried. */
   Duration seedRetryPeriod = std::chrono::seconds(15);
   /** How often the member list is compared with a random member's. */
@@ -40,7 +40,7 @@
   /** Members asked to probe on this node's behalf, each time. */
   size_t helpers = 3;
   /** Helpers that must confirm that they don't reach a member either before it is declared dead. */
-  size_t witnesses = 2;
+  size_t confirmations = 2;
   /** Members that an urgent change is pushed to. */
   size_t fanout = 3;
   /** Urgent pushes that may follow each other at once; one more each second. */
--- a/source/common/membership/news_merging.cc
+++ b/source/common/membership/news_merging.cc
@@ -10,7 +10,7 @@
 
 constexpr Duration kRevivalSyncPeriod = std::chrono::seconds(2);
 /** Ids in one MemberQuery. */
-constexpr size_t kMaxQueried = 28;
+constexpr size_t kMaxQueriedIds = 28;
 
 }  // namespace
 
@@ -21,12 +21,12 @@
   }
   // Who is dead itself in this view may come from across a partition: there, everybody here is
   // dead.
-  const bool believed = isKnownLive(sender);
-  mergeUpdates(now, from, gossip.updates, believed ? DeathClaims::kBelieve : DeathClaims::kVerify);
+  const bool trusted = isKnownLive(sender);
+  mergeUpdates(now, from, gossip.updates, trusted ? DeathClaimPolicy::kAccept : DeathClaimPolicy::kVerify);
 }
 
 void FailureDetector::mergeUpdates(TimePoint now, const Endpoint& from,
-                                   const std::vector<MemberUpdate>& updates, DeathClaims claims) {
+                                   const std::vector<MemberUpdate>& updates, DeathClaimPolicy claims) {
   MemberQuery unknown;
   for (MemberUpdate update : updates) {
     if (update.state == MemberState::kSuspect) {
@@ -36,16 +36,16 @@
       mergeSelf(now, from, update);
       continue;
     }
-    if (update.state == MemberState::kDead && claims == DeathClaims::kVerify) {
+    if (update.state == MemberState::kDead && claims == DeathClaimPolicy::kVerify) {
       verifyDeathClaim(now, update);
       continue;
     }
     const bool wasDead = isDeadEntry(context_.table.find(update.id));
     const MergeOutcome outcome = context_.table.merge(now, update);
-    if (outcome == MergeOutcome::kUnknown && unknown.ids.size() < kMaxQueried) {
+    if (outcome == MergeOutcome::kUnknown && unknown.ids.size() < kMaxQueriedIds) {
       unknown.ids.push_back(update.id);
     } else if (outcome == MergeOutcome::kChanged) {
-      applied(update.id, false);
+      queueAndNotify(update.id, false);
       if (wasDead) {
         onRevived(now, from);
       }
@@ -66,7 +66,7 @@
     return;
   }
   if (spread) {
-    applied(member.id, outcome == MergeOutcome::kAdded);
+    queueAndNotify(member.id, outcome == MergeOutcome::kAdded);
   } else {
     notify(member.id);
   }
@@ -80,7 +80,7 @@
   }
   if (overrides(update.incarnation, update.state, own)) {
     context_.table.setSelf(now, update.incarnation + 1, own.state);
-    applied(self(), false);
+    queueAndNotify(self(), false);
   }
   if (from != own.controlEndpoint()) {
     context_.sink.send(from, Message{MemberGossip{{updateOf(selfMember())}, {}}});
@@ -99,7 +99,7 @@
 
 /** A member that was dead here is back: others from its side of a partition may be, too. */
 void FailureDetector::onRevived(TimePoint now, const Endpoint& from) {
-  nextDeadRetry_ = std::min(nextDeadRetry_, now + context_.options.deadRetryBurst);
+  nextDeadRetry_ = std::min(nextDeadRetry_, now + context_.options.deadRetryPeriodAfterRevival);
   if (now - lastRevivalSync_ >= kRevivalSyncPeriod) {
     lastRevivalSync_ = now;
     sync_.begin(from);
--- a/source/common/membership/probe_helper.cc
+++ b/source/common/membership/probe_helper.cc
@@ -12,29 +12,29 @@
 }  // namespace
 
 void ProbeHelper::onRequest(TimePoint now, const Endpoint& requester, const PingRequest& request) {
-  if (relayed_.size() >= kMaxRelayed) {
+  if (relayedProbes_.size() >= kMaxRelayed) {
     return;
   }
   const uint32_t sequence = context_.nextSequence();
-  relayed_.push_back(Relayed{requester, request.sequence, sequence, request.target,
-                             now + context_.options.helperPatience});
+  relayedProbes_.push_back(RelayedProbe{requester, request.sequence, sequence, request.target,
+                             now + context_.options.helperTimeout});
   context_.sink.send(request.targetEndpoint, Message{Ping{sequence, {}}});
 }
 
 bool ProbeHelper::onAck(uint32_t sequence, NodeId subject) {
-  const auto found = std::find_if(relayed_.begin(), relayed_.end(), [&](const Relayed& relayed) {
+  const auto found = std::find_if(relayedProbes_.begin(), relayedProbes_.end(), [&](const RelayedProbe& relayed) {
     return relayed.sequence == sequence && relayed.target == subject;
   });
-  if (found == relayed_.end()) {
+  if (found == relayedProbes_.end()) {
     return false;
   }
   context_.sink.send(found->requester, Message{PingAck{found->requesterSequence, subject, {}}});
-  relayed_.erase(found);
+  relayedProbes_.erase(found);
   return true;
 }
 
 void ProbeHelper::tick(TimePoint now) {
-  std::erase_if(relayed_, [&](const Relayed& relayed) {
+  std::erase_if(relayedProbes_, [&](const RelayedProbe& relayed) {
     if (now < relayed.deadline) {
       return false;
     }
--- a/source/common/membership/probe_helper.h
+++ b/source/common/membership/probe_helper.h
@@ -17,10 +17,10 @@
   bool onAck(uint32_t sequence, NodeId subject);
   /** Tells requesters of targets that did not answer in time. */
   void tick(TimePoint now);
-  void reset() { relayed_.clear(); }
+  void reset() { relayedProbes_.clear(); }
 
  private:
-  struct Relayed {
+  struct RelayedProbe {
     Endpoint requester;
     uint32_t requesterSequence = 0;
     uint32_t sequence = 0;
@@ -29,7 +29,7 @@
   };
 
   MembershipContext& context_;
-  std::vector<Relayed> relayed_;
+  std::vector<RelayedProbe> relayedProbes_;
 };
 
 }  // namespace umberhold
--- a/source/common/membership/prober.cc
+++ b/source/common/membership/prober.cc
@@ -32,9 +32,9 @@
 NodeId Prober::nextTarget() {
   const NodeId self = context_.table.self().id;
   for (int pass = 0; pass < 2; ++pass) {
-    while (!order_.empty()) {
-      const NodeId id = order_.back();
-      order_.pop_back();
+    while (!probeOrder_.empty()) {
+      const NodeId id = probeOrder_.back();
+      probeOrder_.pop_back();
       const MemberEntry* entry = context_.table.find(id);
       if (entry != nullptr && isLiveEntry(*entry)) {
         return id;
@@ -42,10 +42,10 @@
     }
     for (const MemberEntry& entry : context_.table.entries()) {
       if (isLiveEntry(entry) && entry.member.id != self) {
-        order_.push_back(entry.member.id);
+        probeOrder_.push_back(entry.member.id);
       }
     }
-    std::shuffle(order_.begin(), order_.end(), context_.random.engine());
+    std::shuffle(probeOrder_.begin(), probeOrder_.end(), context_.random.engine());
   }
   return self;
 }
@@ -81,10 +81,10 @@
 void Prober::onNack(uint32_t sequence, NodeId helper) {
   for (Probe& probe : probes_) {
     const bool known =
-        std::find(probe.witnesses.begin(), probe.witnesses.end(), helper) != probe.witnesses.end();
+        std::find(probe.confirmations.begin(), probe.confirmations.end(), helper) != probe.confirmations.end();
     if (probe.sequence == sequence && !known &&
-        probe.witnesses.size() < context_.options.witnesses) {
-      probe.witnesses.push_back(helper);
+        probe.confirmations.size() < context_.options.confirmations) {
+      probe.confirmations.push_back(helper);
     }
   }
 }
@@ -120,7 +120,7 @@
 bool Prober::stepSuspect(TimePoint now, Probe& probe, std::vector<ProbeVerdict>& verdicts) {
   const Duration suspectedFor = now - probe.suspectedAt;
   const bool due = suspectedFor >= context_.options.suspicionTime;
-  if (due && isWitnessed(probe)) {
+  if (due && isConfirmed(probe)) {
     verdicts.push_back({probe.target, probe.incarnation, MemberState::kDead});
     return false;
   }
@@ -132,14 +132,14 @@
   return true;
 }
 
-bool Prober::isWitnessed(const Probe& probe) const {
+bool Prober::isConfirmed(const Probe& probe) const {
   const NodeId self = context_.table.self().id;
   size_t helpers = 0;
   for (const MemberEntry& entry : context_.table.entries()) {
     const bool possible = entry.member.id != self && entry.member.id != probe.target;
     helpers += possible && isTrustedEntry(entry) ? 1 : 0;
   }
-  return probe.witnesses.size() >= std::min(helpers, context_.options.witnesses);
+  return probe.confirmations.size() >= std::min(helpers, context_.options.confirmations);
 }
 
 void Prober::sendPing(const Probe& probe) {
--- a/source/common/membership/prober.h
+++ b/source/common/membership/prober.h
@@ -51,7 +51,7 @@
     TimePoint startedAt;
     TimePoint suspectedAt;
     TimePoint nextStep;
-    std::vector<NodeId> witnesses;
+    std::vector<NodeId> confirmations;
   };
 
   void probeNext(TimePoint now);
@@ -59,14 +59,14 @@
   /** @return whether the probe goes on. */
   bool step(TimePoint now, Probe& probe, std::vector<ProbeVerdict>& verdicts);
   bool stepSuspect(TimePoint now, Probe& probe, std::vector<ProbeVerdict>& verdicts);
-  bool isWitnessed(const Probe& probe) const;
+  bool isConfirmed(const Probe& probe) const;
   void sendPing(const Probe& probe);
   void sendRequests(const Probe& probe);
   const Member* pickHelper(const Probe& probe, bool ownZone);
 
   MembershipContext& context_;
   std::vector<Probe> probes_;
-  std::vector<NodeId> order_;
+  std::vector<NodeId> probeOrder_;
   TimePoint nextProbe_;
 };
 
--- a/source/common/membership/update_queue.cc
+++ b/source/common/membership/update_queue.cc
@@ -12,8 +12,8 @@
 
 /** Transmissions of one change: enough for an epidemic over that many members. */
 uint16_t transmissionLimit(size_t members) {
-  constexpr size_t kSpare = 3;
-  return static_cast<uint16_t>(std::bit_width(members) + kSpare);
+  constexpr size_t kExtraTransmissions = 3;
+  return static_cast<uint16_t>(std::bit_width(members) + kExtraTransmissions);
 }
 
 }  // namespace
@@ -27,10 +27,10 @@
     }
   }
   if (entries_.size() == kCapacity) {
-    const auto oftenest = std::max_element(
+    const auto mostSent = std::max_element(
         entries_.begin(), entries_.end(),
         [](const Entry& left, const Entry& right) { return left.sent < right.sent; });
-    removeAt(static_cast<size_t>(oftenest - entries_.begin()));
+    removeAt(static_cast<size_t>(mostSent - entries_.begin()));
   }
   entries_.push_back(Entry{id, 0, withAddress, urgent});
   urgentCount_ += urgent ? 1 : 0;
--- a/source/common/packet/packet_parser.cc
+++ b/source/common/packet/packet_parser.cc
@@ -10,10 +10,10 @@
 namespace umberhold {
 namespace {
 
-constexpr size_t kLowestHeaderLength = 20;
+constexpr size_t kMinHeaderLength = 20;
 /** The longest IPv4 and TCP headers; the parser never sees more of a packet, so it copies little.
  */
-constexpr size_t kHighestHeaderLength = 60 + 60;
+constexpr size_t kMaxHeadersLength = 60 + 60;
 constexpr size_t kUdpHeaderLength = 8;
 constexpr size_t kWordLength = 4;
 constexpr size_t kTotalLengthOffset = 2;
@@ -50,14 +50,14 @@
 
 /** @return whether SYN comes with a flag that ends a connection, which no sender does (RFC 9293).
  */
-bool contradictsItself(const Tins::TCP& tcp) {
+bool hasInvalidFlags(const Tins::TCP& tcp) {
   const bool ends = tcp.get_flag(Tins::TCP::RST) != 0 || tcp.get_flag(Tins::TCP::FIN) != 0;
   return tcp.get_flag(Tins::TCP::SYN) != 0 && ends;
 }
 
 Result<ParsedPacket, DropReason> readTcp(const Tins::IP& ip, ParsedPacket packet) {
   const auto* tcp = ip.find_pdu<Tins::TCP>();
-  if (tcp == nullptr || contradictsItself(*tcp)) {
+  if (tcp == nullptr || hasInvalidFlags(*tcp)) {
     return DropReason::kMalformed;
   }
   packet.key.protocol = TransportProtocol::kTcp;
@@ -108,14 +108,14 @@
   if (byteAt(bytes, 0) >> 4U != kVersion4) {
     return DropReason::kNotIpv4;
   }
-  if (bytes.size() < kLowestHeaderLength || bytes.size() < totalLengthOf(bytes)) {
+  if (bytes.size() < kMinHeaderLength || bytes.size() < totalLengthOf(bytes)) {
     return DropReason::kTruncated;
   }
   if (!isSupported(byteAt(bytes, kProtocolOffset))) {
     return DropReason::kUnsupportedProtocol;
   }
   try {
-    const size_t length = std::min(bytes.size(), kHighestHeaderLength);
+    const size_t length = std::min(bytes.size(), kMaxHeadersLength);
     const Tins::IP ip(reinterpret_cast<const uint8_t*>(bytes.data()),
                       static_cast<uint32_t>(length));
     return readHeaders(ip);
--- a/source/common/packet/packet_path.cc
+++ b/source/common/packet/packet_path.cc
@@ -29,17 +29,17 @@
 
 void PacketPath::onPacket(TimePoint now, PacketSource source, std::string_view bytes) {
   ++counters_.received[static_cast<size_t>(source)];
-  if (!ready_ && holds_) {
+  if (!ready_ && holdUntilReady_) {
     hold(now, bytes);
     return;
   }
   if (!ready_) {
-    dropUnread(now, DropReason::kNotReady, bytes);
+    dropBeforeDecision(now, DropReason::kNotReady, bytes);
     return;
   }
   const auto parsed = format_.parse(bytes);
   if (!isOk(parsed)) {
-    dropUnread(now, errorOf(parsed), bytes);
+    dropBeforeDecision(now, errorOf(parsed), bytes);
     return;
   }
   route(now, source, valueOf(parsed), bytes.substr(0, valueOf(parsed).totalLength));
@@ -48,17 +48,17 @@
 void PacketPath::hold(TimePoint now, std::string_view bytes) {
   const auto parsed = format_.parse(bytes);
   if (!isOk(parsed)) {
-    dropUnread(now, errorOf(parsed), bytes);
+    dropBeforeDecision(now, errorOf(parsed), bytes);
     return;
   }
   ++counters_.heldUntilReady;
-  const size_t pushedOut =
+  const size_t evicted =
       held_.hold(now, flowPacketOf(valueOf(parsed), PacketSource::kFabric), bytes);
-  counters_.dropped[static_cast<size_t>(DropReason::kNotReady)] += pushedOut;
+  counters_.dropped[static_cast<size_t>(DropReason::kNotReady)] += evicted;
 }
 
 void PacketPath::releaseHeld(TimePoint now) {
-  holds_ = false;
+  holdUntilReady_ = false;
   for (const std::string& bytes : held_.take(now)) {
     onPacket(now, PacketSource::kFabric, bytes);
   }
@@ -112,7 +112,7 @@
   return DropPacket{DropReason::kUnknownService};
 }
 
-void PacketPath::dropUnread(TimePoint now, DropReason reason, std::string_view bytes) {
+void PacketPath::dropBeforeDecision(TimePoint now, DropReason reason, std::string_view bytes) {
   drop(reason);
   if (observer_ != nullptr) {
     observer_->onDropped(now, reason, bytes);
--- a/source/common/packet/packet_path.h
+++ b/source/common/packet/packet_path.h
@@ -47,7 +47,7 @@
   /** Until the node is ready every packet is dropped as kNotReady, also one from another node. */
   void setReady(bool ready) { ready_ = ready; }
   /** Packets that arrive before releaseHeld() wait for it instead of being dropped. */
-  void holdUntilReady() { holds_ = true; }
+  void holdUntilReady() { holdUntilReady_ = true; }
   /** Call it once the node is ready: what arrived before goes through the path. */
   void releaseHeld(TimePoint now);
   /** Whether callers of an address without a service are refused rather than left in silence. */
@@ -73,7 +73,7 @@
   FlowDecision decide(TimePoint now, PacketSource source, const ParsedPacket& packet,
                       std::string_view bytes);
   FlowDecision rejectUnknown(const ParsedPacket& packet) const;
-  void dropUnread(TimePoint now, DropReason reason, std::string_view bytes);
+  void dropBeforeDecision(TimePoint now, DropReason reason, std::string_view bytes);
   void drop(DropReason reason);
   void act(const ForwardToHost& decision, const ParsedPacket& packet, std::string_view bytes);
   void act(const RelayToNode& decision, const ParsedPacket& packet, std::string_view bytes);
@@ -90,7 +90,7 @@
   void hold(TimePoint now, std::string_view bytes);
 
   HeldPackets held_;
-  bool holds_ = false;
+  bool holdUntilReady_ = false;
   bool ready_ = false;
   bool refuseUnknownServices_ = false;
   PacketCounters counters_;
--- a/source/common/packet/refusal_builder.cc
+++ b/source/common/packet/refusal_builder.cc
@@ -16,7 +16,7 @@
 /** Bytes after the IP header that an ICMP error quotes at least; they hold the ports. */
 constexpr size_t kQuotedBytes = 8;
 constexpr uint8_t kPortUnreachable = 3;
-constexpr uint32_t kLowestMulticast = 0xE0000000U;
+constexpr uint32_t kFirstMulticastAddress = 0xE0000000U;
 
 Tins::IPv4Address networkOrder(uint32_t address) {
   return Tins::IPv4Address(Tins::Endian::host_to_be(address));
@@ -51,7 +51,7 @@
 }
 
 bool isUnicast(uint32_t address) {
-  return address != 0 && address < kLowestMulticast;
+  return address != 0 && address < kFirstMulticastAddress;
 }
 
 std::string serialize(Tins::IP packet) {
--- a/source/common/packet/request_header.cc
+++ b/source/common/packet/request_header.cc
@@ -14,7 +14,7 @@
 }
 
 /** @return whether the line is "<header>:...". */
-bool names(std::string_view line, std::string_view header) {
+bool isHeaderLine(std::string_view line, std::string_view header) {
   return line.size() > header.size() && line[header.size()] == ':' &&
          std::equal(header.begin(), header.end(), line.begin(), sameLetter);
 }
@@ -27,9 +27,9 @@
   return text.substr(first, text.find_last_not_of(" \t") - first + 1);
 }
 
-bool isPrintable(char sign) {
-  return std::isalnum(static_cast<unsigned char>(sign)) != 0 || sign == '-' || sign == '_' ||
-         sign == '.' || sign == ':' || sign == '/';
+bool isPrintable(char character) {
+  return std::isalnum(static_cast<unsigned char>(character)) != 0 || character == '-' || character == '_' ||
+         character == '.' || character == ':' || character == '/';
 }
 
 }  // namespace
@@ -48,7 +48,7 @@
       return {};  // The head ends, or its rest is in another packet.
     }
     const std::string_view line = payload.substr(begin, end - begin);
-    if (names(line, header)) {
+    if (isHeaderLine(line, header)) {
       return trimmed(line.substr(header.size() + 1));
     }
   }
@@ -56,9 +56,9 @@
 }
 
 std::string printableRequestId(std::string_view id) {
-  std::string printable(id.substr(0, kLongestRequestId));
+  std::string printable(id.substr(0, kMaxRequestIdLength));
   std::replace_if(
-      printable.begin(), printable.end(), [](char sign) { return !isPrintable(sign); }, '?');
+      printable.begin(), printable.end(), [](char character) { return !isPrintable(character); }, '?');
   return printable;
 }
 
--- a/source/common/packet/request_header.h
+++ b/source/common/packet/request_header.h
@@ -12,7 +12,7 @@
 namespace umberhold {
 
 /** Longest identifier that is logged; a longer one is cut. */
-constexpr size_t kLongestRequestId = 64;
+constexpr size_t kMaxRequestIdLength = 64;
 
 /**
  * @param payload the packet's data. @param header name of the header, any case; empty: none.
--- a/source/common/spread/config_spread.cc
+++ b/source/common/spread/config_spread.cc
@@ -9,15 +9,15 @@
 namespace {
 
 /** For this long after a difference the comparisons follow each other faster. */
-constexpr Duration kDifferenceMemory = std::chrono::milliseconds(500);
+constexpr Duration kDifferenceRetention = std::chrono::milliseconds(500);
 /** Peers that must hold the same before a starting node counts as caught up. */
-constexpr size_t kMatchesWanted = 2;
+constexpr size_t kRequiredMatches = 2;
 /** Keys in one RecordRequest or announcement. */
 constexpr size_t kKeysPerMessage = 32;
 /** Share of comparisons that a starting node begins with other starting ones, if there are any. */
-constexpr double kShareOfStartingPeers = 0.75;
+constexpr double kStartingPeerShare = 0.75;
 /** Content that a settled node tells a starting one in one exchange, bytes. */
-constexpr size_t kBytesToStartingPeer = 2048;
+constexpr size_t kStartingPeerBytesPerExchange = 2048;
 /** What the digests of one step of a comparison cost, bytes. */
 constexpr uint64_t kDigestBytes = 400;
 
@@ -33,7 +33,7 @@
       peers_(view, random),
       sender_(store, sink),
       transferBudget_(options.transferBudget),
-      fetcher_(options.fetchPatience, sink),
+      fetcher_(options.fetchTimeout, sink),
       exchange_(store, sender_, random, sink) {
   store_.addObserver(&contacts_);
 }
@@ -64,13 +64,13 @@
   if (storeListed_) {
     inForceVersion_ = std::max(inForceVersion_, publishedVersion_);
   }
-  recheckClaim();
+  recheckPendingClaim();
 }
 
 void ConfigSpread::publishUnconfirmed(const ConfigRecord& record) {
   if (store_.apply(record)) {
     rumors_[record.key] = true;
-    recheckClaim();
+    recheckPendingClaim();
   }
 }
 
@@ -85,7 +85,7 @@
 }
 
 void ConfigSpread::tick(TimePoint now) {
-  recheckClaim();
+  recheckPendingClaim();
   flushRumors();
   fetcher_.tick(now);
   if (now >= nextDigest_) {
@@ -99,9 +99,9 @@
 void ConfigSpread::handle(TimePoint /*now*/, const Endpoint& /*from*/, NodeId sender,
                           const RecordPush& push) {
   for (const ConfigRecord& record : push.records) {
-    accept(sender, record, push.rumor);
+    applyReceived(sender, record, push.rumor);
   }
-  learn(push.claim);
+  applyClaim(push.claim);
 }
 
 void ConfigSpread::handle(TimePoint /*now*/, const Endpoint& /*from*/, NodeId sender,
@@ -110,13 +110,13 @@
     return;
   }
   if (const auto record = assembler_.add(fragment)) {
-    accept(sender, *record, false);
-    recheckClaim();
+    applyReceived(sender, *record, false);
+    recheckPendingClaim();
   }
 }
 
-void ConfigSpread::accept(NodeId sender, const ConfigRecord& record, bool rumor) {
-  const bool fetched = fetcher_.arrived(record.key, record.version);
+void ConfigSpread::applyReceived(NodeId sender, const ConfigRecord& record, bool rumor) {
+  const bool fetched = fetcher_.onArrival(record.key, record.version);
   const bool foreign = isForeign(sender);
   if (!store_.apply(record) || !caughtUp_) {
     return;
@@ -133,20 +133,20 @@
   }
   std::vector<RecordKey> small;
   std::vector<RecordKey> large;
-  std::vector<RecordKey> crossing;
-  for (const auto& [key, crosses] : std::exchange(rumors_, {})) {
+  std::vector<RecordKey> forOtherRegions;
+  for (const auto& [key, toOtherRegions] : std::exchange(rumors_, {})) {
     const auto record = store_.find(key);
     const bool eager = record && record->payload.size() <= options_.maxPushBytes;
     (eager ? small : large).push_back(key);
-    if (crosses) {
-      crossing.push_back(key);
+    if (toOtherRegions) {
+      forOtherRegions.push_back(key);
     }
   }
   for (const Peer& peer : peers_.pick(options_.fanout)) {
     sendRumor(peer.control, small, true);
     sendRumor(peer.control, large, false);
   }
-  sendToOtherRegions(crossing);
+  sendToOtherRegions(forOtherRegions);
 }
 
 /** Each record crosses to each region through some of this region's contacts, not through all. */
@@ -155,15 +155,15 @@
     return;
   }
   for (const RegionId region : contacts_.otherRegions(ownRegion())) {
-    std::vector<RecordKey> carried;
+    std::vector<RecordKey> assigned;
     for (const RecordKey& key : keys) {
-      if (contacts_.carries(ownRegion(), view_.self(), key, region, options_.carriers)) {
-        carried.push_back(key);
+      if (contacts_.isForwarder(ownRegion(), view_.self(), key, region, options_.forwarders)) {
+        assigned.push_back(key);
       }
     }
     const auto contact = contacts_.pickOf(region, random_);
-    if (contact && !carried.empty()) {
-      sendRumor(contact->control, carried, true);
+    if (contact && !assigned.empty()) {
+      sendRumor(contact->control, assigned, true);
     }
   }
 }
@@ -188,40 +188,40 @@
 
 void ConfigSpread::handle(TimePoint now, const Endpoint& from, NodeId sender,
                           const DigestRequest& request) {
-  learn(request.claim);
-  if (!mayTransfer(now, request, sender)) {
+  applyClaim(request.claim);
+  if (!isTransferAllowed(now, request, sender)) {
     return;
   }
   const uint64_t sentBefore = sender_.bytesSent();
   const DigestOutcome outcome = exchange_.onRequest(
       from, request, claim(), caughtUp_,
-      caughtUp_ && startsNow(sender) ? kBytesToStartingPeer : kBytesPerExchange);
-  const bool servesStart = caughtUp_ && startsNow(sender);
-  if (outcome == DigestOutcome::kDiffers && !servesStart) {
-    noteDifference(now, from, sender);
-  }
-  spendTransfer(now, sender, sentBefore, outcome == DigestOutcome::kDiffers ? kDigestBytes : 0);
-  const bool newsForPeer = request.claim.version < inForceVersion_;
-  if (outcome == DigestOutcome::kEqual && (request.wantsReply || newsForPeer)) {
+      caughtUp_ && isPeerStarting(sender) ? kStartingPeerBytesPerExchange : kBytesPerExchange);
+  const bool serveStartingPeer = caughtUp_ && isPeerStarting(sender);
+  if (outcome == DigestOutcome::kDiffers && !serveStartingPeer) {
+    recordDifference(now, from, sender);
+  }
+  chargeTransfer(now, sender, sentBefore, outcome == DigestOutcome::kDiffers ? kDigestBytes : 0);
+  const bool peerIsBehind = request.claim.version < inForceVersion_;
+  if (outcome == DigestOutcome::kEqual && (request.wantsReply || peerIsBehind)) {
     sink_.send(from, Message{DigestReply{claim(), caughtUp_, {}, {}}});
   }
 }
 
 void ConfigSpread::handle(TimePoint now, const Endpoint& from, NodeId sender,
                           const DigestReply& reply) {
-  learn(reply.claim);
+  applyClaim(reply.claim);
   if (reply.claim.total == store_.total() && reply.caughtUp) {
-    noteMatch(sender);
+    recordMatch(sender);
   }
   const bool mayPush =
       reply.caughtUp || isForeign(sender) || !caughtUp_ || transferBudget_.hasTokens(now);
   const uint64_t sentBefore = sender_.bytesSent();
   const auto newer = exchange_.onSummary(from, reply, claim(), mayPush);
   if (!reply.caughtUp) {
-    spendTransfer(now, sender, sentBefore, 0);
+    chargeTransfer(now, sender, sentBefore, 0);
   }
   if (reply.buckets.empty()) {
-    fetcher_.announced(now, from, newer);
+    fetcher_.onAnnouncement(now, from, newer);
     return;
   }
   RecordRequest request;
@@ -240,7 +240,7 @@
                           const RecordRequest& request) {
   const uint64_t sentBefore = sender_.bytesSent();
   sender_.send(from, request.keys, false, claim());
-  spendTransfer(now, sender, sentBefore, 0);
+  chargeTransfer(now, sender, sentBefore, 0);
 }
 
 /**
@@ -248,14 +248,14 @@
  * up, and so may serve old news, are not held back; neither is another region, which has this node
  * alone to turn to; nor does a node hold back that has just started itself and serves no packets.
  */
-bool ConfigSpread::mayTransfer(TimePoint now, const DigestRequest& request, NodeId sender) {
+bool ConfigSpread::isTransferAllowed(TimePoint now, const DigestRequest& request, NodeId sender) {
   const bool isLong = !store_.changesSince(request.claim.total);
   const bool peerStarts = request.wantsReply;
   const bool isUnlimited = !caughtUp_ && isStarting(now);
   return !isLong || !peerStarts || isUnlimited || isForeign(sender) || transferBudget_.hasTokens(now);
 }
 
-bool ConfigSpread::startsNow(NodeId peer) const {
+bool ConfigSpread::isPeerStarting(NodeId peer) const {
   const Member* member = view_.find(peer);
   return member != nullptr ? member->state == MemberState::kJoining : !isForeign(peer);
 }
@@ -266,36 +266,36 @@
 }
 
 /** What goes to another region, without limit, must not take the budget of this one's members. */
-void ConfigSpread::spendTransfer(TimePoint now, NodeId peer, uint64_t recordBytesBefore,
+void ConfigSpread::chargeTransfer(TimePoint now, NodeId peer, uint64_t recordBytesBefore,
                                  uint64_t otherBytes) {
   if (isForeign(peer)) {
     return;
   }
   const uint64_t bytes = sender_.bytesSent() - recordBytesBefore + otherBytes;
-  transferBudget_.consume(now, static_cast<double>(bytes) / regionShare());
+  transferBudget_.consume(now, static_cast<double>(bytes) / budgetFactor());
 }
 
-double ConfigSpread::regionShare() {
-  const auto members = static_cast<double>(std::max<size_t>(peers_.settledPeers(), 1));
-  const double seconds = std::chrono::duration<double>(options_.copyTime).count();
+double ConfigSpread::budgetFactor() {
+  const auto members = static_cast<double>(std::max<size_t>(peers_.caughtUpPeerCount(), 1));
+  const double seconds = std::chrono::duration<double>(options_.fullCopyTime).count();
   const double wanted = static_cast<double>(store_.bytes()) / seconds / members;
   return std::max(1.0, wanted / std::max(1.0, options_.transferBudget.bytesPerSecond));
 }
 
-void ConfigSpread::noteDifference(TimePoint now, const Endpoint& from, NodeId sender) {
+void ConfigSpread::recordDifference(TimePoint now, const Endpoint& from, NodeId sender) {
   if (isForeign(sender)) {
     foreignDifference_ = now;
     foreignSource_ = from;
   } else {
-    ownDifference_ = now;
-    nextDigest_ = std::min(nextDigest_, now + period(ownDifference_, now, options_.digestPeriod));
+    regionDifference_ = now;
+    nextDigest_ = std::min(nextDigest_, now + period(regionDifference_, now, options_.digestPeriod));
   }
 }
 
 /** @return the time until the next comparison: less while the last ones differed. */
 Duration ConfigSpread::period(const std::optional<TimePoint>& difference, TimePoint now,
                               Duration usual) {
-  if (!difference || now - *difference >= kDifferenceMemory) {
+  if (!difference || now - *difference >= kDifferenceRetention) {
     return usual;
   }
   return !caughtUp_ && isStarting(now) ? options_.transferPeriod : options_.healingPeriod;
@@ -303,7 +303,7 @@
 
 void ConfigSpread::compareWithPeer(TimePoint now) {
   const Duration usual = caughtUp_ ? options_.digestPeriod : options_.healingPeriod;
-  const Duration wait = period(ownDifference_, now, usual);
+  const Duration wait = period(regionDifference_, now, usual);
   // Jitter of an eighth to either side keeps nodes that started together apart.
   const auto jitter = Duration(
       static_cast<Duration::rep>(random_.below(static_cast<uint64_t>(wait.count()) / 4 + 1)));
@@ -320,9 +320,9 @@
  */
 std::optional<Peer> ConfigSpread::pickForComparison(TimePoint now) {
   if (caughtUp_) {
-    return peers_.pickSettled();
+    return peers_.pickCaughtUp();
   }
-  if (isStarting(now) && random_.unit() < kShareOfStartingPeers) {
+  if (isStarting(now) && random_.unit() < kStartingPeerShare) {
     if (const auto peer = peers_.pickStarting()) {
       return peer;
     }
@@ -334,14 +334,14 @@
   const Duration usual = caughtUp_ ? options_.contactPeriod : options_.healingPeriod;
   const Duration wait = period(foreignDifference_, now, usual);
   nextContacts_ = now + wait;
-  if (!caughtUp_ && foreignSource_ != Endpoint{} && peers_.settledPeers() == 0) {
+  if (!caughtUp_ && foreignSource_ != Endpoint{} && peers_.caughtUpPeerCount() == 0) {
     // The first nodes of a region fetch everything from the node that turned to them.
     exchange_.begin(foreignSource_, claim(), true);
     return;
   }
   // A contact that starts has its own region to fetch from; others would feed it without limit.
-  const bool ownRegionFeeds = !caughtUp_ && peers_.settledPeers() > 0;
-  if (ownRegionFeeds || !contacts_.isContact(ownRegion(), view_.self())) {
+  const bool fetchesFromOwnRegion = !caughtUp_ && peers_.caughtUpPeerCount() > 0;
+  if (fetchesFromOwnRegion || !contacts_.isContact(ownRegion(), view_.self())) {
     return;
   }
   if (caughtUp_ && wait < usual) {
@@ -356,13 +356,13 @@
   }
 }
 
-void ConfigSpread::noteMatch(NodeId peer) {
+void ConfigSpread::recordMatch(NodeId peer) {
   if (matchedTotal_ != store_.total()) {
     matches_.clear();
     matchedTotal_ = store_.total();
   }
   matches_.insert(peer);
-  const size_t wanted = std::clamp<size_t>(peers_.settledPeers(), 1, kMatchesWanted);
+  const size_t wanted = std::clamp<size_t>(peers_.caughtUpPeerCount(), 1, kRequiredMatches);
   caughtUp_ = caughtUp_ || matches_.size() >= wanted;
   if (caughtUp_) {
     matches_.clear();
@@ -370,21 +370,21 @@
 }
 
 /** A claim counts where this node holds the claimed total now or held it a short while ago. */
-void ConfigSpread::learn(const CompletenessClaim& heard) {
-  if (heard.version <= inForceVersion_) {
+void ConfigSpread::applyClaim(const CompletenessClaim& received) {
+  if (received.version <= inForceVersion_) {
     return;
   }
-  if (store_.changesSince(heard.total)) {
-    inForceVersion_ = heard.version;
-  } else if (heard.version >= openClaim_.version) {
-    openClaim_ = heard;
+  if (store_.changesSince(received.total)) {
+    inForceVersion_ = received.version;
+  } else if (received.version >= pendingClaim_.version) {
+    pendingClaim_ = received;
   }
-  recheckClaim();
+  recheckPendingClaim();
 }
 
-void ConfigSpread::recheckClaim() {
-  if (openClaim_.version > inForceVersion_ && store_.changesSince(openClaim_.total)) {
-    inForceVersion_ = openClaim_.version;
+void ConfigSpread::recheckPendingClaim() {
+  if (pendingClaim_.version > inForceVersion_ && store_.changesSince(pendingClaim_.total)) {
+    inForceVersion_ = pendingClaim_.version;
   }
 }
 
--- a/source/common/spread/config_spread.h
+++ b/source/common/spread/config_spread.h
@@ -64,26 +64,26 @@
   const ContactBook& contacts() const { return contacts_; }
 
  private:
-  void accept(NodeId sender, const ConfigRecord& record, bool rumor);
+  void applyReceived(NodeId sender, const ConfigRecord& record, bool rumor);
   void flushRumors();
   void sendRumor(const Endpoint& to, const std::vector<RecordKey>& keys, bool whole);
-  void learn(const CompletenessClaim& claim);
-  void recheckClaim();
+  void applyClaim(const CompletenessClaim& claim);
+  void recheckPendingClaim();
   void compareWithPeer(TimePoint now);
   void compareWithContacts(TimePoint now);
   std::optional<Peer> pickForComparison(TimePoint now);
   /** @return whether the member is known to have not caught up yet. */
-  bool startsNow(NodeId peer) const;
+  bool isPeerStarting(NodeId peer) const;
   /** @return whether this node began less than SpreadOptions::startTime ago. */
   bool isStarting(TimePoint now);
   void sendToOtherRegions(const std::vector<RecordKey>& keys);
-  bool mayTransfer(TimePoint now, const DigestRequest& request, NodeId sender);
-  void spendTransfer(TimePoint now, NodeId peer, uint64_t recordBytesBefore, uint64_t otherBytes);
+  bool isTransferAllowed(TimePoint now, const DigestRequest& request, NodeId sender);
+  void chargeTransfer(TimePoint now, NodeId peer, uint64_t recordBytesBefore, uint64_t otherBytes);
   /** @return how many times its budget a node may spend where members are few for the records. */
-  double regionShare();
-  void noteDifference(TimePoint now, const Endpoint& from, NodeId sender);
+  double budgetFactor();
+  void recordDifference(TimePoint now, const Endpoint& from, NodeId sender);
   Duration period(const std::optional<TimePoint>& difference, TimePoint now, Duration usual);
-  void noteMatch(NodeId peer);
+  void recordMatch(NodeId peer);
   bool isForeign(NodeId sender) const;
   RegionId ownRegion() const;
   CompletenessClaim claim() const { return {store_.total(), inForceVersion_}; }
@@ -104,7 +104,7 @@
   /** New records to pass on; true for those that also go to other regions. */
   std::map<RecordKey, bool> rumors_;
   /** The claim of the highest version that this node cannot yet confirm. */
-  CompletenessClaim openClaim_;
+  CompletenessClaim pendingClaim_;
   uint64_t inForceVersion_ = 0;
   uint64_t publishedVersion_ = 0;
   bool storeListed_ = false;
@@ -113,7 +113,7 @@
   std::set<NodeId> matches_;
   uint64_t matchedTotal_ = 0;
   /** When a comparison within the region, and with another region, last differed. */
-  std::optional<TimePoint> ownDifference_;
+  std::optional<TimePoint> regionDifference_;
   std::optional<TimePoint> foreignDifference_;
   /** Node of another region that this node last differed with. */
   Endpoint foreignSource_;
--- a/source/common/spread/contact_book.cc
+++ b/source/common/spread/contact_book.cc
@@ -93,8 +93,8 @@
   return regions;
 }
 
-bool ContactBook::carries(RegionId own, NodeId contact, const RecordKey& key, RegionId region,
-                          size_t carriers) const {
+bool ContactBook::isForwarder(RegionId own, NodeId contact, const RecordKey& key, RegionId region,
+                          size_t forwarders) const {
   const auto found = contacts_.find(own);
   if (found == contacts_.end()) {
     return false;
@@ -104,7 +104,7 @@
   const auto better = std::count_if(
       found->second.begin(), found->second.end(),
       [&](const RegionContact& other) { return mixHash(target, other.id.value) > ownScore; });
-  return static_cast<size_t>(better) < carriers;
+  return static_cast<size_t>(better) < forwarders;
 }
 
 std::vector<ConfigRecord> contactRecordsFor(const RecordStore& store,
--- a/source/common/spread/contact_book.h
+++ b/source/common/spread/contact_book.h
@@ -43,8 +43,8 @@
    * @return whether the contact is one of the `carriers` that bring the object to the region: the
    * best of its region's contacts by rendezvous hashing over object and region.
    */
-  bool carries(RegionId own, NodeId contact, const RecordKey& key, RegionId region,
-               size_t carriers) const;
+  bool isForwarder(RegionId own, NodeId contact, const RecordKey& key, RegionId region,
+               size_t forwarders) const;
 
  private:
   std::map<RegionId, std::vector<RegionContact>> contacts_;
--- a/source/common/spread/coverage.cc
+++ b/source/common/spread/coverage.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /** Reports older than this many report periods are no longer counted. */
-constexpr int kReportLifetimes = 3;
+constexpr int kReportPeriodsKept = 3;
 /** Children, and nodes that took this one for their parent a short while ago. */
 constexpr size_t kMaxReports = 4 * kCoverageFanIn;
 
@@ -91,7 +91,7 @@
 }
 
 CoverageReport Coverage::ownSum(TimePoint now) {
-  const Duration lifetime = options_.reportPeriod * kReportLifetimes;
+  const Duration lifetime = options_.reportPeriod * kReportPeriodsKept;
   std::erase_if(reports_, [&](const auto& entry) { return now - entry.second.at > lifetime; });
   CoverageReport sum{region_, inForceVersion_, 1, 1, view_.self(), inForceVersion_};
   for (const auto& [sender, report] : reports_) {
@@ -106,7 +106,7 @@
   inForceVersion_ = effectiveVersion;
   refreshTree();
   report(now);
-  if (now < interestedUntil_ && now >= nextQuery_) {
+  if (now < queryUntil_ && now >= nextQuery_) {
     askRoot(now);
   }
 }
@@ -123,8 +123,8 @@
   } else if (!changedAt_) {
     changedAt_ = now;
   }
-  const bool gathered = changedAt_ && now - *changedAt_ >= options_.gatherTime * height_;
-  if (!gathered && waited < options_.reportPeriod) {
+  const bool aggregated = changedAt_ && now - *changedAt_ >= options_.aggregationDelay * height_;
+  if (!aggregated && waited < options_.reportPeriod) {
     return;
   }
   changedAt_.reset();
@@ -151,8 +151,8 @@
 
 std::vector<CoverageReport> Coverage::allRegions(TimePoint now) {
   std::vector<CoverageReport> regions{ownSum(now)};
-  for (const auto& [region, heard] : otherRegions_) {
-    regions.push_back(heard.report);
+  for (const auto& [region, received] : otherRegions_) {
+    regions.push_back(received.report);
   }
   return regions;
 }
--- a/source/common/spread/coverage.h
+++ b/source/common/spread/coverage.h
@@ -32,13 +32,13 @@
   Duration regionReportGap = std::chrono::seconds(3);
   /** After a change, a node waits this long per level below it, so that its children report first.
    */
-  Duration gatherTime = std::chrono::milliseconds(250);
+  Duration aggregationDelay = std::chrono::milliseconds(250);
   /** An unchanged sum is reported again this often. */
   Duration reportPeriod = std::chrono::seconds(5);
   /** How often an interested node asks the root. */
   Duration queryPeriod = std::chrono::seconds(1);
   /** For how long a call of refresh() keeps this node interested. */
-  Duration interest = std::chrono::seconds(30);
+  Duration queryDuration = std::chrono::seconds(30);
 };
 
 /** One node's part in the sums. No I/O; not thread safe. */
@@ -55,7 +55,7 @@
   void handle(TimePoint now, const Endpoint& from, NodeId sender, const CoverageSummary& summary);
 
   /** Begins (or goes on) to ask the root for the summary. */
-  void refresh(TimePoint now) { interestedUntil_ = now + options_.interest; }
+  void refresh(TimePoint now) { queryUntil_ = now + options_.queryDuration; }
   /** @return the last known sums, one per region; empty before the first answer. */
   const std::vector<CoverageReport>& summary() const { return summary_; }
   /** @return when summary() was received. */
@@ -98,7 +98,7 @@
   TimePoint lastSentAt_;
   /** When the sum first differed from what was sent. */
   std::optional<TimePoint> changedAt_;
-  TimePoint interestedUntil_;
+  TimePoint queryUntil_;
   TimePoint nextQuery_;
   uint32_t lastQuery_ = 0;
   std::vector<CoverageReport> summary_;
--- a/source/common/spread/digest_exchange.cc
+++ b/source/common/spread/digest_exchange.cc
@@ -11,7 +11,7 @@
 namespace {
 
 /** Changes that a peer may be behind to get just these instead of a comparison. */
-constexpr size_t kMaxDirectChanges = 16;
+constexpr size_t kMaxPushedChanges = 16;
 /** Encoded size of a RecordVersion beyond its name. */
 constexpr size_t kVersionOverhead = 14;
 
@@ -37,7 +37,7 @@
   if (changes && changes->empty()) {
     return DigestOutcome::kEqual;
   }
-  if (changes && changes->size() <= kMaxDirectChanges) {
+  if (changes && changes->size() <= kMaxPushedChanges) {
     sender_.send(from, *changes, false, claim);
     return DigestOutcome::kPeerIsBehind;
   }
@@ -53,7 +53,7 @@
     for (uint32_t& bucket : buckets) {
       bucket += request.group * kBucketsPerGroup;
     }
-    sendSummaries(from, withinBytes(std::move(buckets), byteLimit), claim, caughtUp);
+    sendSummaries(from, limitBytes(std::move(buckets), byteLimit), claim, caughtUp);
   }
   return DigestOutcome::kDiffers;
 }
@@ -72,7 +72,7 @@
   return differing;
 }
 
-std::vector<uint32_t> DigestExchange::withinBytes(std::vector<uint32_t> buckets,
+std::vector<uint32_t> DigestExchange::limitBytes(std::vector<uint32_t> buckets,
                                                   size_t byteLimit) const {
   size_t bytes = 0;
   size_t count = 0;
@@ -146,14 +146,14 @@
 
 void DigestExchange::pushNewer(const Endpoint& to, uint32_t bucket, const DigestReply& reply,
                                const CompletenessClaim& own) {
-  std::map<RecordKey, uint64_t> theirs;
+  std::map<RecordKey, uint64_t> peerVersions;
   for (const RecordVersion& record : reply.versions) {
-    theirs[record.key] = record.version;
+    peerVersions[record.key] = record.version;
   }
   std::vector<RecordKey> keys;
   for (const RecordVersion& record : store_.versionsIn(bucket)) {
-    const auto known = theirs.find(record.key);
-    const uint64_t version = known == theirs.end() ? 0 : known->second;
+    const auto known = peerVersions.find(record.key);
+    const uint64_t version = known == peerVersions.end() ? 0 : known->second;
     // Versions of contacts are counted by several readers: equal ones may differ in content.
     const bool mayDiffer = record.key.kind == ObjectKind::kRegionContacts;
     if (record.version > version || (mayDiffer && record.version == version)) {
--- a/source/common/spread/digest_exchange.h
+++ b/source/common/spread/digest_exchange.h
@@ -44,7 +44,7 @@
   std::vector<uint32_t> pickDiffering(const std::vector<uint64_t>& own,
                                       const std::vector<uint64_t>& other, size_t limit);
   /** @return the first buckets whose content stays within the limit, the first one in any case. */
-  std::vector<uint32_t> withinBytes(std::vector<uint32_t> buckets, size_t byteLimit) const;
+  std::vector<uint32_t> limitBytes(std::vector<uint32_t> buckets, size_t byteLimit) const;
   void sendSummaries(const Endpoint& to, const std::vector<uint32_t>& buckets,
                      const CompletenessClaim& own, bool caughtUp);
   void announce(const Endpoint& to, const std::vector<RecordVersion>& versions,
--- a/source/common/spread/peer_picker.cc
+++ b/source/common/spread/peer_picker.cc
@@ -11,18 +11,18 @@
   }
   revision_ = view_.revision();
   peers_.clear();
-  settledPeers_.clear();
+  caughtUpPeers_.clear();
   startingPeers_.clear();
-  settled_ = 0;
+  caughtUpCount_ = 0;
   view_.forEach([this](const Member& member) {
     if (member.id == view_.self() || member.state == MemberState::kDead) {
       return;
     }
-    settled_ += member.state == MemberState::kJoining ? 0 : 1;
+    caughtUpCount_ += member.state == MemberState::kJoining ? 0 : 1;
     if (member.state != MemberState::kSuspect) {
       const Peer peer{member.id, member.controlEndpoint()};
       peers_.push_back(peer);
-      (member.state == MemberState::kJoining ? startingPeers_ : settledPeers_).push_back(peer);
+      (member.state == MemberState::kJoining ? startingPeers_ : caughtUpPeers_).push_back(peer);
     }
   });
 }
@@ -32,9 +32,9 @@
   return pickOf(peers_);
 }
 
-std::optional<Peer> PeerPicker::pickSettled() {
+std::optional<Peer> PeerPicker::pickCaughtUp() {
   refresh();
-  return pickOf(settledPeers_.empty() ? peers_ : settledPeers_);
+  return pickOf(caughtUpPeers_.empty() ? peers_ : caughtUpPeers_);
 }
 
 std::optional<Peer> PeerPicker::pickStarting() {
@@ -59,9 +59,9 @@
   return {peers_.begin(), peers_.begin() + static_cast<std::ptrdiff_t>(wanted)};
 }
 
-size_t PeerPicker::settledPeers() {
+size_t PeerPicker::caughtUpPeerCount() {
   refresh();
-  return settled_;
+  return caughtUpCount_;
 }
 
 }  // namespace umberhold
--- a/source/common/spread/peer_picker.h
+++ b/source/common/spread/peer_picker.h
@@ -23,13 +23,13 @@
   /** @return a random member that is neither dead, suspect nor this node. */
   std::optional<Peer> pick();
   /** @return a random one of those that have caught up; of all where there is none. */
-  std::optional<Peer> pickSettled();
+  std::optional<Peer> pickCaughtUp();
   /** @return a random one of those that start, if any does. */
   std::optional<Peer> pickStarting();
   /** @return up to `count` different ones. */
   std::vector<Peer> pick(size_t count);
   /** @return how many other members serve as a source: they have caught up once. */
-  size_t settledPeers();
+  size_t caughtUpPeerCount();
 
  private:
   void refresh();
@@ -39,9 +39,9 @@
   RandomSource& random_;
   std::optional<uint64_t> revision_;
   std::vector<Peer> peers_;
-  std::vector<Peer> settledPeers_;
+  std::vector<Peer> caughtUpPeers_;
   std::vector<Peer> startingPeers_;
-  size_t settled_ = 0;
+  size_t caughtUpCount_ = 0;
 };
 
 }  // namespace umberhold
--- a/source/common/spread/record_fetcher.cc
+++ b/source/common/spread/record_fetcher.cc
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void RecordFetcher::announced(TimePoint now, const Endpoint& from,
+void RecordFetcher::onAnnouncement(TimePoint now, const Endpoint& from,
                               const std::vector<RecordVersion>& newer) {
   RecordRequest request;
   for (const RecordVersion& record : newer) {
@@ -30,7 +30,7 @@
   }
 }
 
-bool RecordFetcher::arrived(const RecordKey& key, uint64_t version) {
+bool RecordFetcher::onArrival(const RecordKey& key, uint64_t version) {
   const auto known = fetches_.find(key);
   if (known == fetches_.end() || known->second.version > version) {
     return false;
@@ -42,7 +42,7 @@
 void RecordFetcher::tick(TimePoint now) {
   for (auto fetch = fetches_.begin(); fetch != fetches_.end();) {
     Fetch& state = fetch->second;
-    const bool overdue = now - state.askedAt >= patience_;
+    const bool overdue = now - state.askedAt >= timeout_;
     if (overdue && state.attempts == kMaxAttempts) {
       fetch = fetches_.erase(fetch);
       continue;
--- a/source/common/spread/record_fetcher.h
+++ b/source/common/spread/record_fetcher.h
@@ -14,12 +14,12 @@
 /** Fetches announced records, and turns to another announcer where no answer comes. */
 class RecordFetcher {
  public:
-  RecordFetcher(Duration patience, MessageSink& sink) : patience_(patience), sink_(sink) {}
+  RecordFetcher(Duration timeout, MessageSink& sink) : timeout_(timeout), sink_(sink) {}
 
   /** Takes an announcement of records that are newer than this node's. */
-  void announced(TimePoint now, const Endpoint& from, const std::vector<RecordVersion>& newer);
+  void onAnnouncement(TimePoint now, const Endpoint& from, const std::vector<RecordVersion>& newer);
   /** @return whether the record was being fetched; it no longer is. */
-  bool arrived(const RecordKey& key, uint64_t version);
+  bool onArrival(const RecordKey& key, uint64_t version);
   /** Asks again where an answer is overdue: another announcer where there was one. */
   void tick(TimePoint now);
 
@@ -32,7 +32,7 @@
     Endpoint announcer;
   };
 
-  Duration patience_;
+  Duration timeout_;
   MessageSink& sink_;
   std::map<RecordKey, Fetch> fetches_;
 };
--- a/source/common/spread/record_store.cc
+++ b/source/common/spread/record_store.cc
@@ -65,7 +65,7 @@
   const uint64_t totalBefore = total_;
   replace(known, record, keyHash);
   trimTombstones();
-  noteChange(totalBefore, record.key);
+  rememberChange(totalBefore, record.key);
   if (record.key.kind != ObjectKind::kRegionContacts) {
     highestVersion_ = std::max(highestVersion_, record.version);
   }
@@ -137,7 +137,7 @@
   }
 }
 
-void RecordStore::noteChange(uint64_t totalBefore, const RecordKey& key) {
+void RecordStore::rememberChange(uint64_t totalBefore, const RecordKey& key) {
   changes_.push_back(Change{totalBefore, key});
   if (changes_.size() > kRememberedChanges) {
     changes_.pop_front();
--- a/source/common/spread/spread_options.h
+++ b/source/common/spread/spread_options.h
@@ -15,7 +15,7 @@
   /** Records up to this size are pushed whole; larger ones are announced and fetched. */
   size_t maxPushBytes = 0;
   /** How long a fetch of an announced record may take before another announcer is asked. */
-  Duration fetchPatience = std::chrono::milliseconds(100);
+  Duration fetchTimeout = std::chrono::milliseconds(100);
   /** How often the total is compared with a random member's. */
   Duration digestPeriod = std::chrono::seconds(1);
   /** The same while the last comparison differed. */
@@ -26,7 +26,7 @@
   Duration contactPeriod = std::chrono::seconds(2);
   size_t contactsCompared = 2;
   /** How many contacts of a region carry one change to one other region. */
-  size_t carriers = 2;
+  size_t forwarders = 2;
   /** Changes handed in at once beyond which nothing is pushed: the comparisons carry it. */
   size_t rumorLimit = 64;
   /**
@@ -38,7 +38,7 @@
   Duration startTime = std::chrono::seconds(30);
   /** The settled members of a region together may spend a copy of all records in this time, also
    * where that is more than the budget of each. */
-  Duration copyTime = std::chrono::seconds(3);
+  Duration fullCopyTime = std::chrono::seconds(3);
 };
 
 }  // namespace umberhold
--- a/source/common/wire/codec.cc
+++ b/source/common/wire/codec.cc
@@ -17,7 +17,7 @@
 /** First chunk of the memory that parsing takes; most messages need no second. */
 constexpr size_t kZoneChunkBytes = 2048;
 /** Space reserved for an encoded message: most fit a datagram. */
-constexpr size_t kUsualMessageBytes = 256;
+constexpr size_t kTypicalMessageBytes = 256;
 
 Result<std::string, EncodeError> finish(std::string output, const FieldWriter& writer) {
   if (writer.error()) {
@@ -32,7 +32,7 @@
 template <class Struct>
 Result<std::string, EncodeError> encodeStruct(const Struct& value) {
   std::string output;
-  output.reserve(kUsualMessageBytes);
+  output.reserve(kTypicalMessageBytes);
   FieldWriter writer(output);
   writer.write(value);
   return finish(std::move(output), writer);
@@ -69,11 +69,11 @@
   if (!isCompressedPayload(payload)) {
     return decodeStruct<Struct>(payload);
   }
-  const auto expanded = decompressPayload(payload);
-  if (!isOk(expanded)) {
-    return errorOf(expanded);
+  const auto decompressed = decompressPayload(payload);
+  if (!isOk(decompressed)) {
+    return errorOf(decompressed);
   }
-  return decodeStruct<Struct>(valueOf(expanded));
+  return decodeStruct<Struct>(valueOf(decompressed));
 }
 
 using BodyDecoder = Result<Message, DecodeError> (*)(const msgpack::object&);
@@ -119,7 +119,7 @@
 
 Result<std::string, EncodeError> encode(const Message& message) {
   std::string output;
-  output.reserve(kUsualMessageBytes);
+  output.reserve(kTypicalMessageBytes);
   FieldWriter writer(output);
   writer.setPrefix(static_cast<uint32_t>(message.body.index()));
   std::visit([&writer](const auto& body) { writer.write(body); }, message.body);
--- a/source/common/wire/payload_compression.cc
+++ b/source/common/wire/payload_compression.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /** No msgpack value begins with this byte. */
-constexpr char kCompressedMark = '\xC1';
+constexpr char kCompressedMarker = '\xC1';
 /** Number of kDictionary in the payload. */
 constexpr char kDictionaryNumber = '\x01';
 constexpr size_t kHeaderBytes = 2;
@@ -75,7 +75,7 @@
 }  // namespace
 
 std::string compressPayload(std::string payload, CompressionEffort effort) {
-  if (payload.size() < kSmallestCompressed) {
+  if (payload.size() < kMinCompressedBytes) {
     return payload;
   }
   Deflation deflation(effort);
@@ -85,7 +85,7 @@
   z_stream& stream = deflation.stream;
   std::string packed(deflateBound(&stream, static_cast<uLong>(payload.size())) + kHeaderBytes,
                      '\0');
-  packed[0] = kCompressedMark;
+  packed[0] = kCompressedMarker;
   packed[1] = kDictionaryNumber;
   setInput(stream, payload);
   stream.next_out = reinterpret_cast<Bytef*>(packed.data() + kHeaderBytes);
@@ -99,7 +99,7 @@
 }
 
 bool isCompressedPayload(std::string_view bytes) {
-  return !bytes.empty() && bytes.front() == kCompressedMark;
+  return !bytes.empty() && bytes.front() == kCompressedMarker;
 }
 
 Result<std::string, DecodeError> decompressPayload(std::string_view bytes) {
--- a/source/common/wire/payload_compression.h
+++ b/source/common/wire/payload_compression.h
@@ -19,7 +19,7 @@
 namespace umberhold {
 
 /** Payloads below this stay plain, bytes: they would gain little. */
-constexpr size_t kSmallestCompressed = 96;
+constexpr size_t kMinCompressedBytes = 96;
 
 /** How much processor time a few bytes are worth. */
 enum class CompressionEffort : uint8_t {
--- a/source/common/wire/replay_guard.cc
+++ b/source/common/wire/replay_guard.cc
@@ -10,11 +10,11 @@
   if (incarnation < known.incarnation) {
     return ReplayVerdict::kTooOld;
   }
-  known.heardAt = ++clock_;
+  known.lastReceived = ++datagramCount_;
   if (sequence > known.highest) {
     const uint64_t advance = sequence - known.highest;
-    known.taken = advance < kReplayWindow ? known.taken << advance : std::bitset<kReplayWindow>{};
-    known.taken.set(0);
+    known.received = advance < kReplayWindow ? known.received << advance : std::bitset<kReplayWindow>{};
+    known.received.set(0);
     known.highest = sequence;
     return ReplayVerdict::kFresh;
   }
@@ -22,10 +22,10 @@
   if (behind >= kReplayWindow) {
     return ReplayVerdict::kTooOld;
   }
-  if (known.taken.test(behind)) {
+  if (known.received.test(behind)) {
     return ReplayVerdict::kRepeated;
   }
-  known.taken.set(behind);
+  known.received.set(behind);
   return ReplayVerdict::kFresh;
 }
 
@@ -33,19 +33,19 @@
   auto found = senders_.find(sender);
   if (found == senders_.end()) {
     if (senders_.size() >= kMaxSenders) {
-      forgetOldest();
+      evictOldest();
     }
-    found = senders_.emplace(sender, Sender{incarnation, sequence, clock_, {}}).first;
+    found = senders_.emplace(sender, Sender{incarnation, sequence, datagramCount_, {}}).first;
   } else if (incarnation > found->second.incarnation) {
-    found->second = Sender{incarnation, sequence, clock_, {}};
+    found->second = Sender{incarnation, sequence, datagramCount_, {}};
   }
   return found->second;
 }
 
-void ReplayGuard::forgetOldest() {
+void ReplayGuard::evictOldest() {
   const auto oldest =
       std::min_element(senders_.begin(), senders_.end(), [](const auto& left, const auto& right) {
-        return left.second.heardAt < right.second.heardAt;
+        return left.second.lastReceived < right.second.lastReceived;
       });
   senders_.erase(oldest);
 }
--- a/source/common/wire/replay_guard.h
+++ b/source/common/wire/replay_guard.h
@@ -35,18 +35,18 @@
   struct Sender {
     uint64_t incarnation = 0;
     uint64_t highest = 0;
-    /** Value of clock_ when last heard. */
-    uint64_t heardAt = 0;
+    /** Value of datagramCount_ when last heard. */
+    uint64_t lastReceived = 0;
     /** Bit i: number highest - i was taken. */
-    std::bitset<kReplayWindow> taken;
+    std::bitset<kReplayWindow> received;
   };
 
   Sender& find(NodeId sender, uint64_t incarnation, uint64_t sequence);
-  void forgetOldest();
+  void evictOldest();
 
   std::unordered_map<NodeId, Sender> senders_;
   /** Counts datagrams; stands for time. */
-  uint64_t clock_ = 0;
+  uint64_t datagramCount_ = 0;
 };
 
 }  // namespace umberhold
--- a/test/common/membership/failure_detector_test.cc
+++ b/test/common/membership/failure_detector_test.cc
@@ -36,7 +36,7 @@
 
 TEST(FailureDetector, EveryNodeLearnsOfEveryOther) {
   region.startAll(kNodes);
-  CHECK_TRUE(region.settled());
+  CHECK_TRUE(region.viewsAreCorrect());
 }
 
 TEST(FailureDetector, LearnsManyMembersPageByPage) {
@@ -54,7 +54,7 @@
   region.startAll(kNodes);
   region.crash(5);
   region.run(seconds(10));
-  CHECK_TRUE(region.settled());
+  CHECK_TRUE(region.viewsAreCorrect());
 }
 
 TEST(FailureDetector, TwoNodesNoticeEachOthersCrash) {
@@ -70,7 +70,7 @@
   region.run(seconds(10));
   region.start(5, 2).announceReady(region.network.now());
   region.run(seconds(3));
-  CHECK_TRUE(region.settled());
+  CHECK_TRUE(region.viewsAreCorrect());
   CHECK_EQUAL(2, region.nodes.at(3).detector->find(NodeId{5})->incarnation);
 }
 
@@ -80,7 +80,7 @@
   region.run(seconds(10));
   region.start(5, 0).announceReady(region.network.now());
   region.run(seconds(5));
-  CHECK_TRUE(region.settled());
+  CHECK_TRUE(region.viewsAreCorrect());
 }
 
 TEST(FailureDetector, PausedNodeReturnsAndDeclaresNobodyDead) {
@@ -92,7 +92,7 @@
   CHECK_TRUE(region.stateIn(3, 5) == MemberState::kDead);
   region.pause(5, false);
   region.run(seconds(5));
-  CHECK_TRUE(region.settled());
+  CHECK_TRUE(region.viewsAreCorrect());
   CHECK_EQUAL(1, region.nodes.at(5).detector->pauses());
   CHECK_EQUAL(0, recorder.seen.count(MemberState::kDead));
 }
@@ -105,19 +105,19 @@
   region.run(seconds(2));
   region.pause(5, false);
   region.run(seconds(5));
-  CHECK_TRUE(region.settled());
+  CHECK_TRUE(region.viewsAreCorrect());
   CHECK_EQUAL(0, recorder.seen.count(MemberState::kDead));
 }
 
 TEST(FailureDetector, FalseDeathIsRefuted) {
   region.startAll(kNodes);
-  MemberGossip lie;
-  lie.updates.push_back({NodeId{5}, 1, MemberState::kDead});
+  MemberGossip falseClaim;
+  falseClaim.updates.push_back({NodeId{5}, 1, MemberState::kDead});
   region.nodes.at(3).detector->handle(region.network.now(),
-                                      Region::memberOf(4, 1).controlEndpoint(), NodeId{4}, lie);
+                                      Region::memberOf(4, 1).controlEndpoint(), NodeId{4}, falseClaim);
   CHECK_TRUE(region.stateIn(3, 5) == MemberState::kDead);
   region.run(seconds(5));
-  CHECK_TRUE(region.settled());
+  CHECK_TRUE(region.viewsAreCorrect());
   CHECK_TRUE(region.nodes.at(3).detector->find(NodeId{5})->incarnation > 1);
 }
 
@@ -131,7 +131,7 @@
                                       Region::memberOf(5, 1).controlEndpoint(), NodeId{5}, claim);
   CHECK_TRUE(region.stateIn(3, 6) == MemberState::kAlive);
   region.run(seconds(5));
-  CHECK_TRUE(region.settled());
+  CHECK_TRUE(region.viewsAreCorrect());
 }
 
 TEST(FailureDetector, OldGossipDoesNotResurrectTheDead) {
@@ -190,7 +190,7 @@
   CHECK_TRUE(region.stateIn(4, 5) == MemberState::kAlive);
   region.network.faults.isCut = nullptr;
   region.run(seconds(60));
-  CHECK_TRUE(region.settled());
+  CHECK_TRUE(region.viewsAreCorrect());
 }
 
 TEST(FailureDetector, SidesMeetAgainWithoutTheSeed) {
@@ -203,7 +203,7 @@
   CHECK_TRUE(region.stateIn(4, 3) == MemberState::kDead);
   region.network.faults.isCut = nullptr;
   region.run(seconds(60));
-  CHECK_TRUE(region.settled());
+  CHECK_TRUE(region.viewsAreCorrect());
 }
 
 TEST(FailureDetector, SidesThatForgotEachOtherMeetThroughTheSeed) {
@@ -215,7 +215,7 @@
   CHECK_TRUE(region.nodes.at(4).detector->find(NodeId{3}) == nullptr);
   region.network.faults.isCut = nullptr;
   region.run(minutes(2));
-  CHECK_TRUE(region.settled());
+  CHECK_TRUE(region.viewsAreCorrect());
 }
 
 TEST(FailureDetector, LossAloneKillsNobody) {
--- a/test/common/membership/region.h
+++ b/test/common/membership/region.h
@@ -117,7 +117,7 @@
     return true;
   }
   /** @return whether every running node sees every running node alive and every other dead. */
-  bool settled() const {
+  bool viewsAreCorrect() const {
     for (const auto& [id, node] : nodes) {
       if (!allSee(id, node.running ? MemberState::kAlive : MemberState::kDead)) {
         return false;
--- a/test/common/packet/request_header_test.cc
+++ b/test/common/packet/request_header_test.cc
@@ -36,7 +36,7 @@
 TEST(RequestHeader, CantForgeALineOfTheLog) {
   STRCMP_EQUAL("a?event?x", printableRequestId("a event=x").c_str());
   STRCMP_EQUAL("a??b", printableRequestId("a\n\"b").c_str());
-  LONGS_EQUAL(kLongestRequestId, printableRequestId(std::string(1000, 'a')).size());
+  LONGS_EQUAL(kMaxRequestIdLength, printableRequestId(std::string(1000, 'a')).size());
 }
 
 }  // namespace umberhold
--- a/test/common/spread/config_spread_test.cc
+++ b/test/common/spread/config_spread_test.cc
@@ -195,7 +195,7 @@
 TEST(ConfigSpread, NodeWithoutTransferBudgetLeavesLongComparisonsToOthers) {
   SpreadOptions options;
   options.transferBudget = {0, 1000};
-  options.copyTime = std::chrono::hours(24);
+  options.fullCopyTime = std::chrono::hours(24);
   MessageNetwork network(1);
   const Member self = SpreadRegion::memberOf(1);
   const Member late = SpreadRegion::memberOf(2);
@@ -282,18 +282,18 @@
   }
   const RegionId hobart = regionIdOf("hobart");
   const RegionId addis = regionIdOf("addis");
-  std::map<uint32_t, uint32_t> carried;
+  std::map<uint32_t, uint32_t> assigned;
   for (uint32_t object = 0; object < kObjects; ++object) {
     const RecordKey key{ObjectKind::kService, "s" + std::to_string(object)};
-    uint32_t carriers = 0;
+    uint32_t forwarders = 0;
     for (uint32_t id = 1; id <= kContactsPerRegion; ++id) {
-      const bool carries = contacts.carries(hobart, NodeId{id}, key, addis, 2);
-      carriers += carries ? 1 : 0;
-      carried[id] += carries ? 1 : 0;
+      const bool isForwarder = contacts.isForwarder(hobart, NodeId{id}, key, addis, 2);
+      forwarders += isForwarder ? 1 : 0;
+      assigned[id] += isForwarder ? 1 : 0;
     }
-    CHECK_EQUAL(2, carriers);
+    CHECK_EQUAL(2, forwarders);
   }
-  for (const auto& [id, count] : carried) {
+  for (const auto& [id, count] : assigned) {
     CHECK_TRUE(count > kObjects / 2 && count < kObjects * 5 / 6);
   }
   CHECK_EQUAL(1, contacts.otherRegions(hobart).size());
@@ -303,7 +303,7 @@
 TEST(ConfigSpread, NodeThatStartsLongKeepsToItsTransferBudget) {
   SpreadOptions options;
   options.transferBudget = {0, 1};
-  options.copyTime = std::chrono::hours(24);
+  options.fullCopyTime = std::chrono::hours(24);
   MessageNetwork network(1);
   const Member self = SpreadRegion::memberOf(1);
   const Member late = SpreadRegion::memberOf(2);
@@ -354,7 +354,7 @@
 TEST(ConfigSpread, WhatAnotherRegionFetchesLeavesTheBudgetForOwnStartingNodes) {
   SpreadOptions options;
   options.transferBudget = {0, 1000};
-  options.copyTime = std::chrono::hours(24);
+  options.fullCopyTime = std::chrono::hours(24);
   MessageNetwork network(1);
   const Member self = SpreadRegion::memberOf(1);
   const Member late = SpreadRegion::memberOf(2);
--- a/test/common/spread/spread_property.cc
+++ b/test/common/spread/spread_property.cc
@@ -64,11 +64,11 @@
 struct MonotonicityObserver : RecordObserver {
   void onRecordApplied(const ConfigRecord& record) override {
     uint64_t& version = versions[record.key];
-    wentBack = wentBack || record.version < version;
+    regressed = regressed || record.version < version;
     version = record.version;
   }
   std::map<RecordKey, uint64_t> versions;
-  bool wentBack = false;
+  bool regressed = false;
 };
 
 /** The regions' system under test and the store's history. */
@@ -132,9 +132,9 @@
     region_.run(std::chrono::seconds(90));
   }
 
-  bool nothingWentBack() const {
+  bool noVersionRegressed() const {
     return std::none_of(observers_.begin(), observers_.end(),
-                        [](const auto& observer) { return observer->wentBack; });
+                        [](const auto& observer) { return observer->regressed; });
   }
   /** @return whether every node holds every change up to the version that it says is effective. */
   bool claimsHold() {
@@ -249,11 +249,11 @@
     const auto commands = *rc::gen::container<std::vector<Command>>(anyCommand());
     for (const Command& command : commands) {
       world.apply(command);
-      RC_ASSERT(world.nothingWentBack());
+      RC_ASSERT(world.noVersionRegressed());
       RC_ASSERT(world.claimsHold());
     }
     world.heal();
-    RC_ASSERT(world.nothingWentBack());
+    RC_ASSERT(world.noVersionRegressed());
     RC_ASSERT(world.claimsHold());
     RC_ASSERT(world.viewsAgree());
     RC_ASSERT(world.converged());
--- a/test/common/wire/payload_compression_test.cc
+++ b/test/common/wire/payload_compression_test.cc
@@ -68,7 +68,7 @@
 }
 
 TEST(PayloadCompression, ShortPayloadsStayPlain) {
-  const std::string text(kSmallestCompressed - 1, 'a');
+  const std::string text(kMinCompressedBytes - 1, 'a');
   CHECK(compressPayload(text) == text);
 }
 
