--- a/source/common/base/byte_budget.h
+++ b/source/common/base/byte_budget.h
@@ -7,18 +7,18 @@
 
 namespace umberhold {
 
-/** Size of a byte budget. */
+/** Refill rate and capacity of a byte budget. */
 struct ByteBudgetOptions {
   double bytesPerSecond = 600.0;
   double burstBytes = 3000.0;
 };
 
-/** A token bucket. Not thread safe. */
+/** Token bucket that counts bytes. Not thread safe. */
 class ByteBudget {
  public:
   explicit ByteBudget(ByteBudgetOptions options) : options_(options), tokens_(options.burstBytes) {}
 
-  /** Takes the bytes if they are there. */
+  /** Consumes the bytes if enough tokens are left; @return whether it did. */
   bool tryConsume(TimePoint now, double bytes) {
     refill(now);
     if (tokens_ < bytes) {
@@ -28,19 +28,19 @@
     return true;
   }
 
-  /** Takes the bytes in any case; later spenders wait until the debt is paid. */
+  /** Consumes the bytes in any case; the balance may become negative until the next refills. */
   void consume(TimePoint now, double bytes) {
     refill(now);
     tokens_ -= bytes;
   }
 
-  /** @return whether at least half of the burst is left, so that spenders need not be sparing. */
+  /** @return whether at least half of the burst is left. */
   bool isAtLeastHalfFull(TimePoint now) {
     refill(now);
     return tokens_ >= options_.burstBytes / 2;
   }
 
-  /** @return whether the budget has no debt. */
+  /** @return whether the balance is positive. */
   bool hasTokens(TimePoint now) {
     refill(now);
     return tokens_ > 0.0;
--- a/source/common/base/endpoint.cc
+++ b/source/common/base/endpoint.cc
@@ -8,7 +8,7 @@
 constexpr int kOctets = 4;
 constexpr uint32_t kOctetBits = 8;
 
-/** Parses a decimal number that spans the whole text, at most `limit`. */
+/** Parses a decimal number of at most `limit` that spans the whole text. */
 std::optional<uint32_t> parseNumber(std::string_view text, uint32_t limit) {
   uint32_t number = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
--- a/source/common/base/endpoint.h
+++ b/source/common/base/endpoint.h
@@ -28,12 +28,12 @@
 
 /** @return dotted-quad text of an address in host byte order. */
 std::string addressToString(uint32_t address);
-/** @return the address in host byte order, or nothing where the text is no dotted quad. */
+/** @return the address in host byte order, or std::nullopt if the text is not a dotted quad. */
 std::optional<uint32_t> parseAddress(std::string_view text);
 /** @return "a.b.c.d:port". */
 std::string toString(const Endpoint& endpoint);
-/** @return the endpoint, or nothing where the text is not "a.b.c.d:port" with a port of 1 to 65535.
- */
+/** @return the endpoint, or std::nullopt if the text is not "a.b.c.d:port" with a port from 1 to
+ * 65535. */
 std::optional<Endpoint> parseEndpoint(std::string_view text);
 
 }  // namespace umberhold
--- a/source/common/base/hash.h
+++ b/source/common/base/hash.h
@@ -1,4 +1,5 @@
-/** @file Hash helpers over xxHash. Every node must compute the same values: the seeds are fixed. */
+/** @file Hash functions based on xxHash. All nodes must compute the same values, so the seeds are
+ * fixed. */
 #pragma once
 
 #include <cstdint>
--- a/source/common/base/random.h
+++ b/source/common/base/random.h
@@ -1,4 +1,4 @@
-/** @file Injected randomness, so that every run of the decision logic can be repeated from its
+/** @file Injected randomness, so that every run of the decision logic is reproducible from its
  * seed. */
 #pragma once
 
@@ -7,21 +7,21 @@
 
 namespace umberhold {
 
-/** The one source of randomness that a core is given; seeded by whoever owns it. Not thread safe.
- */
+/** Pseudorandom generator, seeded by its owner. Decision logic uses no other source of randomness.
+ * Not thread safe. */
 class RandomSource {
  public:
   explicit RandomSource(uint64_t seed) : engine_(seed) {}
 
-  /** @return a number in [0, bound); bound must be above 0. */
+  /** @return a uniformly distributed integer in [0, bound); bound must be above 0. */
   uint64_t below(uint64_t bound) {
     return std::uniform_int_distribution<uint64_t>(0, bound - 1)(engine_);
   }
 
-  /** @return a number in [0, 1). */
+  /** @return a uniformly distributed number in [0, 1). */
   double unit() { return std::uniform_real_distribution<double>(0.0, 1.0)(engine_); }
 
-  /** @return the engine, for std::shuffle and the std distributions. */
+  /** @return the engine, for std::shuffle and the standard distributions. */
   std::mt19937_64& engine() { return engine_; }
 
  private:
--- a/source/common/base/result.h
+++ b/source/common/base/result.h
@@ -1,8 +1,8 @@
 /**
- * @file Results as values: a Result holds either what was asked for or a typed error.
+ * @file Error handling without exceptions: a Result holds either a value or a typed error.
  *
- * Exceptions stay inside the libraries that throw them; every function of this project that can
- * fail returns a Result.
+ * Exceptions of libraries are caught where the library is called; every function of this project
+ * that can fail returns a Result.
  */
 #pragma once
 
--- a/source/common/base/strong_id.h
+++ b/source/common/base/strong_id.h
@@ -1,4 +1,4 @@
-/** @file Identifiers that the compiler keeps apart. */
+/** @file Strongly typed identifiers. */
 #pragma once
 
 #include <compare>
@@ -8,7 +8,7 @@
 
 namespace umberhold {
 
-/** An integer identifier of one kind of thing; Tag only tells the kinds apart. */
+/** An integer identifier; Tag makes identifiers of different kinds distinct types. */
 template <class Tag, class Rep>
 struct StrongId {
   using Representation = Rep;
@@ -25,7 +25,7 @@
   }
 };
 
-/** A node process, numbered by its settings; unique in the whole system. */
+/** A node, numbered by its settings; unique across all regions. */
 using NodeId = StrongId<struct NodeIdTag, uint32_t>;
 /** A zone: xxHash32 of its name (see base/hash.h, zoneIdOf). */
 using ZoneId = StrongId<struct ZoneIdTag, uint32_t>;
--- a/source/common/base/time.h
+++ b/source/common/base/time.h
@@ -1,5 +1,4 @@
-/** @file Injected time. Decision logic never reads a clock: the caller passes the current instant.
- */
+/** @file Injected time. Decision logic never reads a clock; the caller passes the current time. */
 #pragma once
 
 #include <chrono>
@@ -7,10 +6,10 @@
 
 namespace umberhold {
 
-/** Microsecond resolution, everywhere. */
+/** Duration in microseconds, the resolution used throughout. */
 using Duration = std::chrono::microseconds;
 
-/** A monotonic clock whose instants only ever arrive as arguments; it has no now(). */
+/** A monotonic clock without now(): its time points are only passed as arguments. */
 struct MonotonicClock {
   using duration = Duration;
   using rep = Duration::rep;
@@ -19,7 +18,7 @@
   static constexpr bool is_steady = true;
 };
 
-/** An instant of this process's monotonic clock; not comparable between processes. */
+/** A time of this process's monotonic clock; not comparable between processes. */
 using TimePoint = MonotonicClock::time_point;
 
 /** Seconds since the Unix epoch, for deadlines that operators set. */
--- a/source/common/config/evacuated_zones.h
+++ b/source/common/config/evacuated_zones.h
@@ -1,4 +1,4 @@
-/** @file The zones that operators have emptied: their hosts get no new flow. */
+/** @file The zones that operators have evacuated: their hosts receive no new flows. */
 #pragma once
 
 #include <set>
@@ -6,7 +6,7 @@
 
 namespace umberhold {
 
-/** Open flows of these zones' hosts go on. */
+/** Zones whose hosts receive no new flows; their established flows continue. */
 struct EvacuatedZones {
   std::set<std::string, std::less<>> zones;
 
--- a/source/common/config/record.h
+++ b/source/common/config/record.h
@@ -1,8 +1,9 @@
 /**
- * @file The unit of configuration spread: one object at one version.
+ * @file The unit in which configuration is distributed: one object at one version.
  *
- * The version is the store's resource version, which only grows over the whole store: of two
- * records with one key the higher version is the newer, whoever brought it.
+ * The version is the store's resource version, which increases with every change of the whole
+ * store: of two records with the same key the one with the higher version is newer, regardless of
+ * which node sent it.
  */
 #pragma once
 
@@ -15,7 +16,7 @@
 /** The kind of the object in a record. */
 enum class ObjectKind : uint8_t { kService = 1, kPolicy = 2, kRegionContacts = 3, kHostPool = 4 };
 
-/** Names one object. */
+/** Identifies one object. */
 struct RecordKey {
   ObjectKind kind = ObjectKind::kService;
   std::string name;
@@ -30,10 +31,10 @@
   }
 };
 
-/** One object at one version; a deletion is a record too (a tombstone) and has no payload. */
+/** One object at one version. A deletion is a record without a payload (a tombstone). */
 struct ConfigRecord {
   RecordKey key;
-  /** Resource version of the store; 0 is older than every object. */
+  /** Resource version of the store; 0 is older than any object. */
   uint64_t version = 0;
   bool deleted = false;
   /** The object, encoded by wire/codec.h from the structs of config/service.h. */
--- a/source/common/config/region_contacts.h
+++ b/source/common/config/region_contacts.h
@@ -8,7 +8,7 @@
 
 namespace umberhold {
 
-/** One node that other regions may turn to. */
+/** A node that other regions exchange configuration with. */
 struct RegionContact {
   NodeId id;
   /** Its control endpoint. */
--- a/source/common/config/service.h
+++ b/source/common/config/service.h
@@ -1,9 +1,9 @@
 /**
  * @file The objects that operators create: services with their hosts, and policies.
  *
- * The platform's store keeps them as JSON (platform/object_json.h); peers pass them on as msgpack
- * (config/record.h). One service object carries its hosts, so that one conditional update changes
- * both.
+ * The platform's store holds them as JSON (platform/object_json.h); nodes send them to each other
+ * as msgpack (config/record.h). A service object contains its hosts, so that one conditional update
+ * changes both.
  */
 #pragma once
 
@@ -20,46 +20,47 @@
 /** Inner protocol of a service. Values are the IP protocol numbers. */
 enum class TransportProtocol : uint8_t { kTcp = 6, kUdp = 17 };
 
-/** What the operator wants of a host. */
+/** Administrative state of a host. */
 enum class HostState : uint8_t {
   kActive = 0,
-  /** Receives no new flow; keeps its established ones until they end or until drainDeadline. */
+  /** Receives no new flows; its established flows continue until they end or until drainDeadline.
+   */
   kDraining = 1,
 };
 
-/** One back end of a service. */
+/** One backend host of a service. */
 struct HostSpec {
   std::string name;
-  /** Where packets for the host are sent (GUE variant 1 over UDP). */
+  /** Destination of packets for the host (GUE variant 1 over UDP). */
   Endpoint endpoint;
-  /** HTTP endpoint of GET /health and GET /load; port 0 where the host has none. */
+  /** HTTP endpoint of GET /health and GET /load; port 0 if the host has none. */
   Endpoint probe;
   std::string zone;
   HostState state = HostState::kActive;
-  /** When a draining host's remaining flows may be cut; 0 for never. */
+  /** Time from which the remaining flows of a draining host may be terminated; 0: never. */
   UnixSeconds drainDeadline = 0;
-  /** Open connections that the host bears, over all owners. */
+  /** Maximum number of open connections to the host, over all owners. */
   uint32_t connectionLimit = 2000;
-  /** Operator's static weight that policies see; 100 is usual. */
+  /** Static weight set by the operator, an input of policies; 100 is the default. */
   uint32_t weight = 100;
   /**
-   * Identity of this run of the host, for packet formats that carry it (packet/packet_format.h); a
-   * host that starts again has another. 0: the host has none.
+   * Identifies one run of the host, for packet formats that carry it (packet/packet_format.h); it
+   * differs after a restart of the host. 0: the host has none.
    */
   uint64_t incarnation = 0;
-  /** How much longer it was cold when it last said so, milliseconds. */
+  /** Remaining duration of the host's cold start at its last report, milliseconds. */
   uint32_t coldMilliseconds = 0;
-  /** Requests that it works on at once; 0: not known. */
+  /** Requests that the host processes concurrently; 0: unknown. */
   uint32_t slots = 0;
   /**
-   * When this life of the host began, Unix milliseconds by the host's own clock; 0: not told. A
-   * host that starts again under its name and incarnation has a greater one (token/host_life.h).
+   * Start time of this run of the host, Unix milliseconds by the host's own clock; 0: not reported.
+   * A host that restarts with the same name and incarnation has a greater one (token/host_life.h).
    */
   uint64_t startedAtMilliseconds = 0;
 
   bool operator==(const HostSpec&) const = default;
 
-  /** Fields at the end that nodes of an earlier release leave out. */
+  /** Number of trailing fields that nodes of an earlier release do not send. */
   static constexpr uint32_t kOptionalFields = 1;
 
   template <class Visitor>
@@ -69,11 +70,11 @@
   }
 };
 
-/** What hosts bear for a while after their start. */
+/** Request rate that hosts can serve during their cold start. */
 struct ColdLimit {
-  /** 0: no limit is known. */
+  /** 0: unknown. */
   double requestsPerSecond = 0.0;
-  /** How long a host is cold after its start. */
+  /** Duration of the cold start of a host, milliseconds. */
   uint32_t startMilliseconds = 0;
 
   bool operator==(const ColdLimit&) const = default;
@@ -84,7 +85,7 @@
   }
 };
 
-/** Hosts that several services share: each names the pool in its groups. */
+/** Hosts that several services share; each service names the pool in its groups. */
 struct HostPool {
   std::string name;
   std::vector<HostSpec> hosts;
@@ -98,11 +99,11 @@
   }
 };
 
-/** A part of a service's new flows that goes to the hosts of one pool. */
+/** The share of a service's new flows that is assigned to the hosts of one pool. */
 struct HostGroup {
   /** Name of a HostPool. */
   std::string pool;
-  /** Share of the new flows, in proportion to the sum over the service's groups; 0 for none. */
+  /** Share of the new flows, relative to the sum over the service's groups; 0: no new flows. */
   uint32_t share = 1;
 
   bool operator==(const HostGroup&) const = default;
@@ -113,38 +114,38 @@
   }
 };
 
-/** A service: a virtual address and port, its hosts and how new flows are spread over them. */
+/** A service: a virtual address and port, its hosts and how new flows are distributed over them. */
 struct Service {
   std::string name;
-  /** Home region; the owners of its flows are nodes of this region. */
+  /** Home region; nodes of this region own the service's flows. */
   std::string region;
   /** Virtual address, host byte order. */
   uint32_t address = 0;
   uint16_t port = 0;
   TransportProtocol protocol = TransportProtocol::kTcp;
-  /** Name of a Policy; empty for equal weights. */
+  /** Name of a Policy; empty: all hosts have equal weights. */
   std::string policy;
-  /** A flow without a packet for this long is forgotten. */
+  /** Idle timeout: a flow without a packet for this long is removed. */
   uint32_t idleTimeoutSeconds = 86400;
-  /** Shards of the flow space, each with one owner node; 1 to 64. */
+  /** Number of shards of the flow space, each with one owner node; 1 to 64. */
   uint16_t shardCount = 3;
   std::vector<HostSpec> hosts;
   /**
-   * Pools whose hosts serve new flows, by share; where there are any, `hosts` is empty. For the
-   * strategy "token" (flow/token_director.h) only.
+   * Pools whose hosts serve new flows, with their shares; if there are any, `hosts` is empty. Only
+   * for the strategy "token" (flow/token_director.h).
    */
   std::vector<HostGroup> groups;
   /**
-   * Callers may send a request of this service again: a flow whose host stays silent is refused, so
-   * that they do it early. For the strategy "token" only.
+   * Whether callers may retry requests of this service. If so, a flow whose host is unresponsive is
+   * refused, so that the caller retries early. Only for the strategy "token".
    */
   bool repeatable = false;
-  /** Whose openings go first where some have to wait: 0 comes before 1. For the strategy "token"
-   * only. */
+  /** Priority of the service's new flows if some are queued: 0 is served before 1. Only for the
+   * strategy "token". */
   uint32_t priority = 1;
-  /** Callers give a request up after so long; 0: not known. For the strategy "token" only. */
+  /** Timeout after which callers abandon a request; 0: unknown. Only for the strategy "token". */
   uint32_t requestTimeoutMilliseconds = 0;
-  /** Callers want an answer within so long; 0: not known. For the strategy "token" only. */
+  /** Target response latency of the service; 0: unknown. Only for the strategy "token". */
   uint32_t targetLatencyMilliseconds = 0;
 
   bool operator==(const Service&) const = default;
@@ -156,7 +157,8 @@
   }
 };
 
-/** A short Lua program: weigh(host) and admit(service). See policy/policy_engine.h. */
+/** A short Lua program with the functions weigh(host) and admit(service); see
+ * policy/policy_engine.h. */
 struct Policy {
   std::string name;
   std::string source;
--- a/source/common/config/service_source.h
+++ b/source/common/config/service_source.h
@@ -1,4 +1,4 @@
-/** @file Services of this node's own region, as ownership and placement see them. */
+/** @file Read access to the services of this node's own region, for ownership and placement. */
 #pragma once
 
 #include <functional>
@@ -8,15 +8,15 @@
 
 namespace umberhold {
 
-/** Read access to the services whose home region is this node's; catalog/service_catalog.h
- * implements it. */
+/** Read access to the services whose home region is this node's region; implemented by
+ * catalog/service_catalog.h. */
 class ServiceSource {
  public:
   virtual ~ServiceSource() = default;
 
   /**
-   * @return the service with its hosts, or nullptr where it is unknown, deleted or at home in
-   * another region; valid until the next change of the configuration.
+   * @return the service with its hosts, or nullptr if it is unknown, deleted or has its home in
+   * another region; valid until the next configuration change.
    */
   virtual const Service* find(ServiceId id) const = 0;
   /** Calls the visitor for every service of the region. */
--- a/source/common/log/line_budget.h
+++ b/source/common/log/line_budget.h
@@ -1,9 +1,9 @@
 /**
- * @file How many lines of each kind a process may log, so that a flood can neither fill the disks
- * of those who collect them nor crowd out the lines that explain failures.
+ * @file Rate limits for the lines of the log, by kind, so that a flood of one kind can neither fill
+ * the disks of the log collectors nor displace the lines that explain failures.
  *
- * Each kind has a token bucket of its own. Lines beyond it are counted, and the count is handed out
- * with the next line of the kind that is let through. Decision logic without I/O.
+ * Each kind has its own token bucket. Suppressed lines are counted; the count is reported with the
+ * next admitted line of the kind. Decision logic without I/O.
  */
 #pragma once
 
@@ -16,15 +16,15 @@
 
 namespace umberhold {
 
-/** What a line tells of; each kind has a budget of its own. */
+/** Kind of a log line; each kind has its own budget. */
 enum class LineKind : uint8_t {
-  /** A new flow got a host. */
+  /** A new flow was assigned to a host. */
   kPlacement,
-  /** A request went by on a flow. */
+  /** A request was observed on a flow. */
   kRequest,
-  /** A reset, a drop, or a repeated opening. */
+  /** A reset, a dropped packet, or a retransmitted SYN. */
   kFailure,
-  /** What the process believes changed: configuration, hosts, the store. */
+  /** The process's view of configuration, hosts or the store changed. */
   kStateChange,
   kCount,
 };
@@ -37,27 +37,28 @@
 /** Budget of one kind. */
 struct LineRate {
   double perSecond = 0.0;
-  /** Lines that may come at once after a quiet time. */
+  /** Capacity of the token bucket: lines that may be written at once. */
   double burst = 0.0;
 };
 
 /** Budgets of all kinds, by LineKind. */
 using LineRates = std::array<LineRate, kLineKinds>;
 
-/** About four times what a node sees on a busy day. */
+/** Default rates: about four times what a node logs on a busy day. */
 constexpr LineRates kDefaultLineRates = {LineRate{100, 200}, LineRate{200, 400}, LineRate{100, 400},
-                                       LineRate{50, 600}};
+                                         LineRate{50, 600}};
 
-/** Not thread safe. */
+/** Rate limiter for log lines. Not thread safe. */
 class LineBudget {
  public:
   explicit LineBudget(const LineRates& rates = kDefaultLineRates);
 
-  /** @return whether a line of the kind may be written now; a line that may not is counted. */
+  /** @return whether a line of the kind may be written now; otherwise it is counted as suppressed.
+   */
   bool admit(TimePoint now, LineKind kind);
-  /** @return lines of the kind that were suppressed since the last call, and forgets them. */
+  /** @return the number of lines of the kind suppressed since the previous call. */
   uint64_t takeSuppressed(LineKind kind);
-  /** @return lines of the kind that were suppressed since the start. */
+  /** @return the number of lines of the kind suppressed since the start. */
   uint64_t suppressed(LineKind kind) const;
 
  private:
--- a/source/common/log/line_output.cc
+++ b/source/common/log/line_output.cc
@@ -38,7 +38,8 @@
   }
   if (knownWritableBytes_ == 0) {
     pollfd ready{descriptor_, POLLOUT, 0};
-    // A pipe is writable once it has a free buffer of PIPE_BUF bytes, which short writes share.
+    // poll() reports a pipe as writable once PIPE_BUF bytes are free; several short writes share
+    // them.
     const bool writable = ::poll(&ready, 1, 0) == 1 && (ready.revents & POLLOUT) != 0;
     knownWritableBytes_ = writable ? PIPE_BUF : 0;
   }
--- a/source/common/log/line_output.h
+++ b/source/common/log/line_output.h
@@ -1,9 +1,9 @@
 /**
- * @file Lines to a descriptor that may be slow, full or gone: nothing here ever waits for it.
+ * @file Non-blocking output of lines to a descriptor that may be slow, full or closed.
  *
- * Lines are gathered in a bounded buffer and written when the descriptor takes them. A line that
- * has no room is lost as a whole and counted; no part of a line is ever written without the rest
- * following.
+ * Lines are collected in a bounded buffer and written when the descriptor is writable. A line that
+ * does not fit into the buffer is dropped as a whole and counted; a partially written line is
+ * always completed by later writes.
  */
 #pragma once
 
@@ -15,47 +15,47 @@
 
 namespace umberhold {
 
-/** Lines so far. */
+/** Line counts since the start. */
 struct LineCounters {
-  /** Lines taken, whether they have been written or are still in the buffer. */
+  /** Lines accepted, whether they have been written or are still in the buffer. */
   uint64_t accepted = 0;
-  /** Lines that found the buffer full. */
+  /** Lines dropped because the buffer was full. */
   uint64_t dropped = 0;
 };
 
-/** Thread safe. */
+/** Buffered, non-blocking line writer. Thread safe. */
 class LineOutput {
  public:
-  /** Bytes that wait for the descriptor at most. */
+  /** Maximum number of buffered bytes. */
   static constexpr size_t kBufferBytes = size_t{256} * 1024;
 
   /**
-   * @param descriptor borrowed; its flags are left alone, and no other process may write to it. A
-   * pipe is asked whether it has room, and then given no more than it said until it is asked again.
+   * @param descriptor borrowed; its flags are not changed, and no other process may write to it. A
+   * pipe is polled for free space, and no more than that is written to it before the next poll.
    */
   explicit LineOutput(int descriptor, size_t bufferBytes = kBufferBytes);
 
-  /** Takes a line; the end of line is added. Call flush() afterwards. */
+  /** Appends a line and a newline to the buffer. Call flush() afterwards. */
   void append(std::string_view line);
-  /** Writes what the descriptor takes now. */
+  /** Writes as much as the descriptor accepts without blocking. */
   void flush();
   LineCounters counters() const;
-  /** @return whether lines wait for the descriptor. */
+  /** @return whether the buffer holds bytes that are not yet written. */
   bool hasPending() const;
 
  private:
-  /** @return bytes that can be written now without waiting; 0 for none. */
+  /** @return the number of bytes that can be written now without blocking. */
   size_t writableBytes();
 
   const int descriptor_;
   const size_t bufferBytes_;
-  /** Whether every write is taken at once, as by a regular file. */
+  /** Whether writes never block, as for a regular file. */
   const bool alwaysReady_;
   mutable std::mutex mutex_;
   std::string buffer_;
-  /** Bytes of the buffer that were written already. */
+  /** Bytes of the buffer that are already written. */
   size_t written_ = 0;
-  /** Bytes that the descriptor definitely has room for. */
+  /** Bytes that can be written without another poll. */
   size_t knownWritableBytes_ = 0;
   LineCounters counters_;
 };
--- a/source/common/log/structured_log.cc
+++ b/source/common/log/structured_log.cc
@@ -34,7 +34,7 @@
                                const char* /*baseFilename*/, int /*line*/,
                                const google::LogMessageTime& time, const char* message,
                                size_t length) {
-  // glog calls one sink at a time.
+  // glog serializes calls to its sinks, so no lock is needed.
   if (time.timestamp() != second_) {
     second_ = time.timestamp();
     secondText_ = textOf(second_);
--- a/source/common/log/structured_log.h
+++ b/source/common/log/structured_log.h
@@ -2,8 +2,8 @@
  * @file The process's log as key=value lines on one descriptor, through glog.
  *
  * A line is `ts=<UTC> level=<info|warning|error> event=<name> key=value ...`; docs/OPERATIONS.md
- * lists the events. LOG(...) writes its line at once. Lines of the packet loop go to gathered(),
- * and out with flush(), so that a batch of packets costs one write. Neither ever waits for the
+ * lists the events. LOG(...) writes its line at once. Lines of the packet loop go to buffered() and
+ * are written by flush(), so that a batch of packets takes one write. Neither blocks on the
  * descriptor (line_output.h).
  */
 #pragma once
@@ -17,7 +17,7 @@
 
 namespace umberhold {
 
-/** Takes glog's lines from its construction to its destruction; one for a process. */
+/** Receives glog's lines from its construction to its destruction; one instance per process. */
 class StructuredLog {
  public:
   /** @param program name for glog. @param descriptor borrowed, usually standard output. */
@@ -26,14 +26,14 @@
   StructuredLog(const StructuredLog&) = delete;
   StructuredLog& operator=(const StructuredLog&) = delete;
 
-  /** @return a sink for LOG_TO_SINK_BUT_NOT_TO_LOGFILE whose lines wait for flush(). */
+  /** @return a sink for LOG_TO_SINK_BUT_NOT_TO_LOGFILE whose lines are written by flush(). */
   google::LogSink* buffered() { return &buffered_; }
-  /** Writes what was gathered, as far as the descriptor takes it now. */
+  /** Writes the buffered lines as far as the descriptor accepts them without blocking. */
   void flush() { output_.flush(); }
   const LineOutput& output() const { return output_; }
 
  private:
-  /** Puts the time and the level before each line. */
+  /** Prefixes each line with time and level. */
   class Sink : public google::LogSink {
    public:
     Sink(LineOutput& output, bool flushEachLine) : output_(output), flushEachLine_(flushEachLine) {}
@@ -45,7 +45,8 @@
    private:
     LineOutput& output_;
     const bool flushEachLine_;
-    /** The last line's second and its text; most lines share it with the one before. */
+    /** Second of the last line and its formatted text, cached because most lines share it with the
+     * preceding one. */
     std::time_t second_ = -1;
     std::string secondText_;
     std::string text_;
--- a/source/common/membership/failure_detector.cc
+++ b/source/common/membership/failure_detector.cc
@@ -8,13 +8,14 @@
 namespace umberhold {
 namespace {
 
+/** Interval of the removal of members that have been dead for long. */
 constexpr Duration kPurgePeriod = std::chrono::minutes(1);
 constexpr Duration kPushRefillPeriod = std::chrono::seconds(1);
-/** Members notified directly that this node has left. */
+/** Number of members that this node sends its departure to directly. */
 constexpr size_t kLeftFanout = 6;
-/** Members compared with after a pause. */
+/** Number of anti-entropy exchanges after a pause. */
 constexpr int kSyncsAfterPause = 2;
-/** Members in the answer to one MemberQuery. */
+/** Maximum number of members in the answer to one MemberQuery. */
 constexpr size_t kMaxQueriedIds = 28;
 
 }  // namespace
@@ -102,7 +103,7 @@
   }
 }
 
-/** What was noted before the pause says nothing about the others: drop it and ask. */
+/** Probe results and updates from before the pause are stale: discards them and synchronizes. */
 void FailureDetector::recoverFromPause(TimePoint now) {
   ++pauses_;
   prober_.reset(now);
@@ -182,7 +183,8 @@
   context_.sink.send(from, Message{joinPage(context_.table, request.from)});
   const MemberEntry* entry = context_.table.find(request.sender.id);
   if (entry != nullptr && updateOf(entry->member) != updateOf(request.sender)) {
-    // An earlier process of that id had a higher incarnation: let the new one rise above it.
+    // An earlier process with that id had a higher incarnation: report it, so that the new process
+    // raises its own above it.
     context_.sink.send(from, Message{MemberGossip{{updateOf(entry->member)}, {}}});
   }
 }
@@ -214,7 +216,7 @@
                              const MemberQuery& query) {
   checkForPause(now);
   JoinReply reply;
-  // A page without progress: it never ends the receiver's own join.
+  // `more` without `next` does not advance the receiver's join, and does not complete it either.
   reply.more = true;
   for (const NodeId id : query.ids) {
     const MemberEntry* entry = context_.table.find(id);
@@ -246,7 +248,7 @@
   return entry != nullptr && isLiveEntry(*entry);
 }
 
-/** Tells a sender that is dead in this view about it first, so that it can refute. */
+/** Puts the death of a sender that is dead in this view first, so that the sender can refute it. */
 MemberGossip FailureDetector::gossipFor(NodeId sender) {
   MemberGossip gossip = context_.piggyback();
   const MemberEntry* entry = context_.table.find(sender);
@@ -274,7 +276,7 @@
     const MemberUpdate death{verdict.id, verdict.incarnation, MemberState::kDead};
     if (context_.table.merge(now, death) == MergeOutcome::kChanged) {
       queueAndNotify(verdict.id, false);
-      // It may only have been paused: it refutes as soon as it reads this.
+      // The member may only have been paused; in that case it refutes the death on receipt.
       context_.sink.send(find(verdict.id)->controlEndpoint(), Message{MemberGossip{{death}, {}}});
     }
   }
--- a/source/common/membership/failure_detector.h
+++ b/source/common/membership/failure_detector.h
@@ -1,8 +1,8 @@
 /**
- * @file Who is in the region: SWIM with incarnations, witnessed deaths, pushed gossip and
- * anti-entropy.
+ * @file Membership of a region: SWIM with incarnations, deaths confirmed by indirect probes, pushed
+ * gossip and anti-entropy.
  *
- * See docs/decisions on membership for how it differs from the published protocol and why.
+ * See docs/decisions on membership for the differences from the published protocol and the reasons.
  */
 #pragma once
 
@@ -20,8 +20,8 @@
 /** One node's view of its region. No I/O; not thread safe. */
 class FailureDetector : public MembershipView {
  public:
-  /** @param self this node; kJoining for a node that has not yet caught up. The references must
-   * outlive this. */
+  /** @param self this node; kJoining if it has not yet caught up. The references must outlive this.
+   */
   FailureDetector(const MembershipOptions& options, const Member& self, RandomSource& random,
                   MessageSink& sink);
 
@@ -29,15 +29,16 @@
 
   /** Starts joining. @param seeds control endpoints of some members. */
   void start(TimePoint now, const std::vector<Endpoint>& seeds);
-  /** Runs what is due; call at least every 100 ms. */
+  /** Runs probes, timeouts and periodic work that are due; call at least every 100 ms. */
   void tick(TimePoint now);
-  /** Adds endpoints (from the platform's machine list) where members may be found. */
+  /** Adds control endpoints from the platform's machine list at which members may run. */
   void setMachineList(const std::vector<Endpoint>& machines);
-  /** kJoining to kAlive. */
+  /** Changes the state of this node from kJoining to kAlive. */
   void announceReady(TimePoint now);
-  /** A planned stop begins. */
+  /** Begins a planned shutdown: changes the state of this node to kLeaving. */
   void announceLeaving(TimePoint now);
-  /** The planned stop ends: dead by its own word. Call once, before the process ends. */
+  /** Completes a planned shutdown: this node announces its own state kDead. Call once, before the
+   * process ends. */
   void announceLeft(TimePoint now);
 
   void handle(TimePoint now, const Endpoint& from, NodeId sender, const Ping& ping);
@@ -51,11 +52,11 @@
   void handle(TimePoint now, const Endpoint& from, NodeId sender, const MemberDigestReply& reply);
   void handle(TimePoint now, const Endpoint& from, NodeId sender, const MemberQuery& query);
 
-  /** @return whether the member list was fetched, or there is nobody to fetch it from. */
+  /** @return whether the member list has been fetched, or there is no node to fetch it from. */
   bool joined() const { return joiner_.complete(); }
-  /** @return this node as it now is. */
+  /** @return the current record of this node. */
   const Member& selfMember() const { return context_.table.self(); }
-  /** @return how often this process noticed that it had been paused. */
+  /** @return how often this process has detected that it was paused. */
   uint64_t pauses() const { return pauses_; }
 
   NodeId self() const override { return context_.table.self().id; }
@@ -64,7 +65,7 @@
   uint64_t revision() const override { return context_.table.revision(); }
 
  private:
-  /** How far a death claim of a message is believed. */
+  /** Whether reports of deaths in a message are accepted or verified by a probe first. */
   enum class DeathClaimPolicy : uint8_t { kAccept, kVerify };
 
   void checkForPause(TimePoint now);
--- a/source/common/membership/joiner.cc
+++ b/source/common/membership/joiner.cc
@@ -7,9 +7,9 @@
 namespace umberhold {
 namespace {
 
-/** Members in one page: they fit into one datagram. */
+/** Members per page, so that a page fits into one datagram. */
 constexpr size_t kPageMembers = 28;
-/** Where so many seeds were asked and none has joined, the whole region is starting. */
+/** If this many seeds were asked and none has joined, the whole region is starting. */
 constexpr size_t kMaxSeedsAsked = 8;
 
 }  // namespace
@@ -68,8 +68,8 @@
   nextRequest_ = now + context_.options.joinRetry;
   const Member* member =
       cursor_ == NodeId{} ? nullptr : context_.table.pick(context_.random, isTrustedEntry);
-  const Endpoint to =
-      member != nullptr ? member->controlEndpoint() : seeds_[(firstSeed_ + seedsAsked_) % seeds_.size()];
+  const Endpoint to = member != nullptr ? member->controlEndpoint()
+                                        : seeds_[(firstSeed_ + seedsAsked_) % seeds_.size()];
   seedsAsked_ += cursor_ == NodeId{} ? 1 : 0;
   context_.sink.send(to, Message{JoinRequest{context_.table.self(), cursor_}});
 }
--- a/source/common/membership/joiner.h
+++ b/source/common/membership/joiner.h
@@ -1,4 +1,4 @@
-/** @file Fetches the member list when a node starts. */
+/** @file Fetches the member list at the start of a node. */
 #pragma once
 
 #include <vector>
@@ -7,24 +7,25 @@
 
 namespace umberhold {
 
-/** Asks seeds for the first page of members and any members for the rest. */
+/** Requests the first page of members from seeds and further pages from any members. */
 class Joiner {
  public:
   explicit Joiner(MembershipContext& context) : context_(context) {}
 
-  /** @param seeds control endpoints; this node's own is left out. */
+  /** @param seeds control endpoints; this node's own is ignored. */
   void start(TimePoint now, const std::vector<Endpoint>& seeds);
-  /** Adds seeds that were learned later. */
+  /** Adds further seeds. */
   void addSeeds(const std::vector<Endpoint>& seeds);
   void tick(TimePoint now);
   /**
-   * Takes a page whose members are already in the table.
-   * @param fromJoiningMember the sender still joins: its own list may hold little more than itself.
+   * Processes a page whose members are already merged into the table.
+   * @param fromJoiningMember whether the sender is still joining, so that its list may be
+   * incomplete.
    */
   void onReply(TimePoint now, const JoinReply& reply, bool fromJoiningMember);
   /**
-   * @return whether a member that has joined gave the whole list, or everybody who was asked still
-   * joins, or there is nobody to ask.
+   * @return whether a joined member has sent the complete list, or all nodes that answered are
+   * still joining themselves, or there are no seeds.
    */
   bool complete() const { return complete_; }
   const std::vector<Endpoint>& seeds() const { return seeds_; }
@@ -35,10 +36,10 @@
 
   MembershipContext& context_;
   std::vector<Endpoint> seeds_;
-  /** Seeds asked so far; they are asked in turn, from a random one on. */
+  /** Number of seeds asked so far, in order from a random first one. */
   size_t seedsAsked_ = 0;
   size_t firstSeed_ = 0;
-  /** A member that still joins gave its list. */
+  /** Whether a member that is still joining has sent its list. */
   bool joiningMemberReplied_ = false;
   NodeId cursor_;
   TimePoint nextRequest_;
--- a/source/common/membership/member_sync.cc
+++ b/source/common/membership/member_sync.cc
@@ -5,9 +5,9 @@
 namespace umberhold {
 namespace {
 
-/** Buckets that one exchange reconciles. */
+/** Maximum number of buckets that one exchange reconciles. */
 constexpr size_t kBucketsPerExchange = 4;
-/** Updates in one datagram. */
+/** Maximum number of updates in one datagram. */
 constexpr size_t kUpdatesPerReply = 70;
 
 }  // namespace
--- a/source/common/membership/member_sync.h
+++ b/source/common/membership/member_sync.h
@@ -1,4 +1,5 @@
-/** @file Anti-entropy of the member list: two nodes compare digests and exchange what differs. */
+/** @file Anti-entropy of the member list: two nodes compare digests and exchange the differences.
+ */
 #pragma once
 
 #include <vector>
@@ -7,18 +8,18 @@
 
 namespace umberhold {
 
-/** Stateless: each answer follows from the message and the table. */
+/** Anti-entropy exchange. Stateless: each answer depends on the message and the table only. */
 class MemberSync {
  public:
   explicit MemberSync(MembershipContext& context) : context_(context) {}
 
-  /** Opens an exchange with a random member. */
+  /** Starts an exchange with a random member. */
   void begin();
-  /** Opens an exchange with the given node. */
+  /** Starts an exchange with the given node. */
   void begin(const Endpoint& peer);
-  /** Answers with bucket digests, or with what this node knows of differing buckets. */
+  /** Answers with bucket digests, or with this node's states of the differing buckets. */
   void onDigest(const Endpoint& from, const MemberDigest& digest);
-  /** Answers a reply, already merged, with this node's side of the same buckets. */
+  /** Answers a reply, which is already merged, with this node's states of the same buckets. */
   void onReply(const Endpoint& from, const MemberDigestReply& reply);
 
  private:
--- a/source/common/membership/member_table.cc
+++ b/source/common/membership/member_table.cc
@@ -76,8 +76,8 @@
   return MergeOutcome::kChanged;
 }
 
-MergeOutcome MemberTable::merge(TimePoint now, const Member& news) {
-  const Member member = published(news);
+MergeOutcome MemberTable::merge(TimePoint now, const Member& received) {
+  const Member member = published(received);
   if (member.region != self().region) {
     return MergeOutcome::kStale;
   }
--- a/source/common/membership/member_table.h
+++ b/source/common/membership/member_table.h
@@ -1,4 +1,4 @@
-/** @file The members that a node knows, with the rule which news overrides which. */
+/** @file A node's table of members, with the precedence rules for updates. */
 #pragma once
 
 #include <array>
@@ -13,33 +13,33 @@
 
 namespace umberhold {
 
-/** Buckets of the member digest. */
+/** Number of buckets of the member digest. */
 constexpr size_t kMemberBuckets = 64;
 
-/** What came of a piece of news about a member. */
+/** Result of merging an update of a member. */
 enum class MergeOutcome : uint8_t {
-  /** Older than, or the same as, what is known. */
+  /** The update is not newer than the known state. */
   kStale,
-  /** The member is unknown, and the news had no address. */
+  /** The member is unknown, and the update has no address. */
   kUnknown,
-  /** The member was known and is changed now. */
+  /** The state of a known member changed. */
   kChanged,
-  /** The member was unknown, or had another address. */
+  /** The member was unknown or had another address. */
   kAdded,
 };
 
-/** A member with what only this node notes about it. */
+/** A member with its local bookkeeping. */
 struct MemberEntry {
   Member member;
-  /** When the state last changed here. */
+  /** Time of the last state change in this table. */
   TimePoint changedAt;
-  /** Died after announcing its leave: not worth another try. */
+  /** Died after announcing its departure: it is not probed again. */
   bool left = false;
 };
 
 /**
- * Members by rising id, this node included. News overrides by incarnation, then by state
- * (MemberState's order). kSuspect is a state of this node's view only and never leaves it.
+ * Members in ascending order of ids, this node included. Updates take precedence by incarnation,
+ * then by state (order of MemberState). kSuspect is local to this node's view and is never sent.
  */
 class MemberTable {
  public:
@@ -51,23 +51,24 @@
 
   MergeOutcome merge(TimePoint now, const MemberUpdate& update);
   MergeOutcome merge(TimePoint now, const Member& member);
-  /** Changes this node's own entry, whatever was known. */
+  /** Overwrites this node's own entry. */
   void setSelf(TimePoint now, uint64_t incarnation, MemberState state);
-  /** Sets or clears the suspicion of a member; @return whether anything changed. */
+  /** Sets or clears the suspicion of a member; @return whether its state changed. */
   bool setSuspect(TimePoint now, NodeId id, bool suspect);
-  /** Removes members that died before the instant. */
+  /** Removes members that died before the given time. */
   void purgeDead(TimePoint before);
 
-  /** @return a random other member that satisfies the condition, or nullptr where there is none. */
+  /** @return a random other member that satisfies the condition, or nullptr if there is none. */
   const Member* pick(RandomSource& random,
                      const std::function<bool(const MemberEntry&)>& matches) const;
   /** @return the number of members that are not dead, this node included. */
   size_t liveCount() const { return liveCount_; }
+  /** @return a number that increases with every change of a member's state or address. */
   uint64_t revision() const { return revision_; }
 
-  /** @return a digest of the living members. */
+  /** @return a digest of the members that are not dead. */
   uint64_t digest() const;
-  /** @return digests per bucket, kMemberBuckets of them. */
+  /** @return the digests of the kMemberBuckets buckets. */
   std::vector<uint32_t> bucketDigests() const;
   static size_t bucketOf(NodeId id);
 
@@ -83,11 +84,11 @@
   uint64_t revision_ = 0;
 };
 
-/** @return the member as it is sent to others: kSuspect becomes kAlive. */
+/** @return the member as it is sent to other nodes: kSuspect becomes kAlive. */
 Member published(const Member& member);
-/** @return the same without the address. */
+/** @return the update of a member as it is sent to other nodes, without the address. */
 MemberUpdate updateOf(const Member& member);
-/** @return whether news of that incarnation and state overrides the known member. */
+/** @return whether an update with that incarnation and state overrides the known member. */
 bool overrides(uint64_t incarnation, MemberState state, const Member& known);
 
 }  // namespace umberhold
--- a/source/common/membership/membership_context.h
+++ b/source/common/membership/membership_context.h
@@ -1,4 +1,4 @@
-/** @file What the parts of the failure detector share. */
+/** @file State shared by the parts of the failure detector. */
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace umberhold {
 
-/** Owned by FailureDetector; its parts borrow it. */
+/** Owned by FailureDetector, borrowed by its parts. */
 struct MembershipContext {
   MembershipOptions options;
   MemberTable table;
@@ -21,11 +21,11 @@
   uint32_t lastSequence = 0;
 
   uint32_t nextSequence() { return ++lastSequence; }
-  /** @return a gossip with the piggyback share of the queue. */
+  /** @return the queued updates that are piggybacked on the next message. */
   MemberGossip piggyback() { return queue.take(table, options.piggybackUpdates); }
 };
 
-/** @return whether the member takes part: it is not dead. */
+/** @return whether the member is not dead. */
 inline bool isLiveEntry(const MemberEntry& entry) {
   return entry.member.state != MemberState::kDead;
 }
@@ -35,7 +35,7 @@
   return entry != nullptr && !isLiveEntry(*entry);
 }
 
-/** @return whether the member is expected to answer: neither dead nor under suspicion here. */
+/** @return whether the member is expected to answer: neither dead nor suspect in this view. */
 inline bool isTrustedEntry(const MemberEntry& entry) {
   return isLiveEntry(entry) && entry.member.state != MemberState::kSuspect;
 }
--- a/source/common/membership/membership_options.h
+++ b/source/common/membership/membership_options.h
@@ -9,47 +9,47 @@
 
 /** Defaults fit regions of 2 to 2,000 members; see docs/decisions on membership. */
 struct MembershipOptions {
-  /** Each period one member is probed. */
+  /** Interval between the starts of two probes; each probes one member. */
   Duration probePeriod = std::chrono::seconds(1);
-  /** After the first Ping without an answer: a second one. */
+  /** Time from an unanswered first Ping to the second one. */
   Duration retryAfter = std::chrono::milliseconds(200);
-  /** After the first Ping without an answer: indirect probes. */
+  /** Time from an unanswered first Ping to the indirect probes. */
   Duration indirectAfter = std::chrono::milliseconds(400);
-  /** After the first Ping without an answer: the member is suspect here. */
+  /** Time from an unanswered first Ping until this node suspects the member. */
   Duration suspectAfter = std::chrono::milliseconds(800);
-  /** How often a suspect is probed again, directly and indirectly. */
+  /** Interval at which a suspect is probed again, directly and indirectly. */
   Duration verifyPeriod = std::chrono::milliseconds(400);
-  /** How long a suspect has to answer before it is declared dead. */
+  /** Time that a suspect has to answer before it is declared dead. */
   Duration suspicionTime = std::chrono::milliseconds(2200);
-  /** How long a helper waits for the target before it answers with a PingNack. */
+  /** Time that a helper waits for the target before it answers with a PingNack. */
   Duration helperTimeout = std::chrono::milliseconds(250);
-  /** A gap between two calls that tells this process that it was paused. */
+  /** A gap between two calls above which this process considers itself to have been paused. */
   Duration pauseThreshold = std::chrono::seconds(1);
-  /** How often one dead member is tried again, so that a healed partition is noticed. */
+  /** Interval at which one dead member is probed again, to detect that a partition has healed. */
   Duration deadRetryPeriod = std::chrono::seconds(10);
-  /** The same right after such a try has succeeded. */
+  /** The same interval after a dead member has become alive again. */
   Duration deadRetryPeriodAfterRevival = std::chrono::milliseconds(200);
-  /** How often one seed or listed machine that is no known member is tried. */
+  /** Interval at which one seed or listed machine that is not a known member is probed. */
   Duration seedRetryPeriod = std::chrono::seconds(15);
-  /** How often the member list is compared with a random member's. */
+  /** Interval of the anti-entropy exchanges with a random member. */
   Duration syncPeriod = std::chrono::seconds(20);
-  /** How long a dead member is remembered. */
+  /** Time after which a dead member is removed from the table. */
   Duration deadRetention = std::chrono::hours(1);
-  /** Repetition of an unanswered JoinRequest. */
+  /** Retry interval of an unanswered JoinRequest. */
   Duration joinRetry = std::chrono::milliseconds(500);
-  /** Members asked to probe on this node's behalf, each time. */
+  /** Number of members that are sent a PingRequest per round of indirect probes. */
   size_t helpers = 3;
-  /** Helpers that must confirm that they don't reach a member either before it is declared dead. */
+  /** Number of helpers that must report the member as unreachable before it is declared dead. */
   size_t confirmations = 2;
-  /** Members that an urgent change is pushed to. */
+  /** Number of members that an urgent change is pushed to. */
   size_t fanout = 3;
-  /** Urgent pushes that may follow each other at once; one more each second. */
+  /** Maximum burst of urgent pushes; one more is allowed each second. */
   size_t pushBurst = 4;
-  /** Updates that ride on one probe or answer. */
+  /** Maximum number of updates piggybacked on one probe or acknowledgement. */
   size_t piggybackUpdates = 6;
-  /** Updates in one urgent push. */
+  /** Maximum number of updates in one urgent push. */
   size_t pushUpdates = 40;
-  /** Most members that are under verification at once. */
+  /** Maximum number of concurrent probes. */
   size_t activeProbes = 16;
 };
 
--- a/source/common/membership/membership_view.h
+++ b/source/common/membership/membership_view.h
@@ -1,4 +1,4 @@
-/** @file The read side of membership, as ownership, hand-over and spread see it. */
+/** @file Read access to membership, for ownership, hand-over and configuration distribution. */
 #pragma once
 
 #include <cstdint>
@@ -15,20 +15,20 @@
 
   /** @return this node's own identifier. */
   virtual NodeId self() const = 0;
-  /** @return the member, or nullptr for one never heard of or long dead; valid until the next
-   * change. */
+  /** @return the member, or nullptr if it is unknown or was removed after its death; valid until
+   * the next change. */
   virtual const Member* find(NodeId id) const = 0;
-  /** Calls the visitor for every known member, dead ones that are still remembered included. */
+  /** Calls the visitor for every member in the table, including dead ones. */
   virtual void forEach(const std::function<void(const Member&)>& visitor) const = 0;
-  /** @return a number that grows with every change of a member's state or address. */
+  /** @return a number that increases with every change of a member's state or address. */
   virtual uint64_t revision() const = 0;
 };
 
-/** Is notified of every change of the view, after it took effect. */
+/** Notified of every change of the view, after it took effect. */
 class MembershipObserver {
  public:
   virtual ~MembershipObserver() = default;
-  /** @param member the member as it now is; compare its state with what was known before. */
+  /** @param member the member after the change; its state may be unchanged. */
   virtual void onMemberChanged(const Member& member) = 0;
 };
 
--- a/source/common/membership/news_merging.cc
+++ b/source/common/membership/news_merging.cc
@@ -1,4 +1,4 @@
-/** @file How a failure detector takes in what others say about members. */
+/** @file Merging of received membership updates into the failure detector's table. */
 #include <algorithm>
 #include <utility>
 
@@ -8,8 +8,9 @@
 namespace umberhold {
 namespace {
 
+/** Minimum interval between two anti-entropy exchanges that are triggered by revived members. */
 constexpr Duration kRevivalSyncPeriod = std::chrono::seconds(2);
-/** Ids in one MemberQuery. */
+/** Maximum number of ids in one MemberQuery. */
 constexpr size_t kMaxQueriedIds = 28;
 
 }  // namespace
@@ -19,14 +20,16 @@
   for (const Member& member : gossip.joined) {
     mergeMember(now, member, true);
   }
-  // Who is dead itself in this view may come from across a partition: there, everybody here is
-  // dead.
+  // A sender that is dead in this view may be on the other side of a partition, where all members
+  // of this side are considered dead.
   const bool trusted = isKnownLive(sender);
-  mergeUpdates(now, from, gossip.updates, trusted ? DeathClaimPolicy::kAccept : DeathClaimPolicy::kVerify);
+  mergeUpdates(now, from, gossip.updates,
+               trusted ? DeathClaimPolicy::kAccept : DeathClaimPolicy::kVerify);
 }
 
 void FailureDetector::mergeUpdates(TimePoint now, const Endpoint& from,
-                                   const std::vector<MemberUpdate>& updates, DeathClaimPolicy claims) {
+                                   const std::vector<MemberUpdate>& updates,
+                                   DeathClaimPolicy claims) {
   MemberQuery unknown;
   for (MemberUpdate update : updates) {
     if (update.state == MemberState::kSuspect) {
@@ -72,7 +75,7 @@
   }
 }
 
-/** Refutes news of this node that overrides what it says of itself, and corrects older news. */
+/** Refutes updates of this node that override its own state, and corrects older ones. */
 void FailureDetector::mergeSelf(TimePoint now, const Endpoint& from, const MemberUpdate& update) {
   const Member& own = selfMember();
   if (left_ || update == updateOf(own)) {
@@ -87,7 +90,7 @@
   }
 }
 
-/** Tells the member that it is said to be dead, and probes it: if it lives it refutes by itself. */
+/** Sends the reported death to the member and probes it: a member that is alive refutes it. */
 void FailureDetector::verifyDeathClaim(TimePoint now, const MemberUpdate& claim) {
   const MemberEntry* entry = context_.table.find(claim.id);
   if (entry == nullptr || !overrides(claim.incarnation, claim.state, entry->member)) {
@@ -97,7 +100,8 @@
   prober_.probe(now, claim.id);
 }
 
-/** A member that was dead here is back: others from its side of a partition may be, too. */
+/** A member that was dead in this view is alive again: probes the other dead members sooner,
+ * because a partition may have healed. */
 void FailureDetector::onRevived(TimePoint now, const Endpoint& from) {
   nextDeadRetry_ = std::min(nextDeadRetry_, now + context_.options.deadRetryPeriodAfterRevival);
   if (now - lastRevivalSync_ >= kRevivalSyncPeriod) {
--- a/source/common/membership/probe_helper.cc
+++ b/source/common/membership/probe_helper.cc
@@ -7,6 +7,7 @@
 namespace umberhold {
 namespace {
 
+/** Maximum number of concurrent relayed probes; further requests are ignored. */
 constexpr size_t kMaxRelayed = 64;
 
 }  // namespace
@@ -17,14 +18,15 @@
   }
   const uint32_t sequence = context_.nextSequence();
   relayedProbes_.push_back(RelayedProbe{requester, request.sequence, sequence, request.target,
-                             now + context_.options.helperTimeout});
+                                        now + context_.options.helperTimeout});
   context_.sink.send(request.targetEndpoint, Message{Ping{sequence, {}}});
 }
 
 bool ProbeHelper::onAck(uint32_t sequence, NodeId subject) {
-  const auto found = std::find_if(relayedProbes_.begin(), relayedProbes_.end(), [&](const RelayedProbe& relayed) {
-    return relayed.sequence == sequence && relayed.target == subject;
-  });
+  const auto found =
+      std::find_if(relayedProbes_.begin(), relayedProbes_.end(), [&](const RelayedProbe& relayed) {
+        return relayed.sequence == sequence && relayed.target == subject;
+      });
   if (found == relayedProbes_.end()) {
     return false;
   }
--- a/source/common/membership/probe_helper.h
+++ b/source/common/membership/probe_helper.h
@@ -1,4 +1,4 @@
-/** @file Probes that this node makes on behalf of others. */
+/** @file Indirect probes: probes that this node runs on behalf of other members. */
 #pragma once
 
 #include <vector>
@@ -7,15 +7,15 @@
 
 namespace umberhold {
 
-/** Passes indirect probes on and their outcome back. */
+/** Relays probes to their targets and returns the results to the requesters. */
 class ProbeHelper {
  public:
   explicit ProbeHelper(MembershipContext& context) : context_(context) {}
 
   void onRequest(TimePoint now, const Endpoint& requester, const PingRequest& request);
-  /** @return whether the answer belonged to a probe for somebody else. */
+  /** @return whether the acknowledgement belongs to a relayed probe. */
   bool onAck(uint32_t sequence, NodeId subject);
-  /** Tells requesters of targets that did not answer in time. */
+  /** Sends a PingNack to the requesters of probes that timed out. */
   void tick(TimePoint now);
   void reset() { relayedProbes_.clear(); }
 
--- a/source/common/membership/prober.cc
+++ b/source/common/membership/prober.cc
@@ -80,8 +80,8 @@
 
 void Prober::onNack(uint32_t sequence, NodeId helper) {
   for (Probe& probe : probes_) {
-    const bool known =
-        std::find(probe.confirmations.begin(), probe.confirmations.end(), helper) != probe.confirmations.end();
+    const bool known = std::find(probe.confirmations.begin(), probe.confirmations.end(), helper) !=
+                       probe.confirmations.end();
     if (probe.sequence == sequence && !known &&
         probe.confirmations.size() < context_.options.confirmations) {
       probe.confirmations.push_back(helper);
@@ -126,7 +126,7 @@
   }
   sendPing(probe);
   sendRequests(probe);
-  // Without witnesses this node may itself be cut off: go on, at a falling rate.
+  // Without confirmations this node may itself be partitioned: continue at a decreasing rate.
   const Duration slower = due ? suspectedFor / 2 : Duration::zero();
   probe.nextStep = now + context_.options.verifyPeriod + slower;
   return true;
--- a/source/common/membership/prober.h
+++ b/source/common/membership/prober.h
@@ -1,11 +1,12 @@
 /**
- * @file Finds members that stopped answering.
+ * @file Detection of unresponsive members.
  *
- * SWIM's round-robin probe order over a shuffled list, direct then indirect. A suspicion stays with
- * the node that raised it: it goes on probing, directly and through helpers, and the member is
- * declared dead only after the suspicion time and only if enough helpers, which themselves
- * answered, did not reach it either. A node that is cut off or slow gets no such witnesses and
- * declares nobody dead (compare Lifeguard: Dadgar, Phillips, Currey, 2017).
+ * SWIM's round-robin probe order over a shuffled list, direct probes before indirect ones. A
+ * suspicion is local to the node that raised it: the node continues to probe, directly and through
+ * helpers, and declares the member dead only after the suspicion time and only if enough helpers
+ * have reported that they cannot reach it either. A node that is partitioned or slow receives no
+ * such confirmations and declares no member dead (compare Lifeguard: Dadgar, Phillips, Currey,
+ * 2017).
  */
 #pragma once
 
@@ -17,7 +18,7 @@
 
 namespace umberhold {
 
-/** What a probe has shown about a member; the table is not changed by the prober. */
+/** Result of a probe. The prober itself does not change the table. */
 struct ProbeVerdict {
   NodeId id;
   uint64_t incarnation = 0;
@@ -25,20 +26,20 @@
   MemberState state = MemberState::kSuspect;
 };
 
-/** The probes of one node. */
+/** Runs the probes of one node. */
 class Prober {
  public:
   explicit Prober(MembershipContext& context) : context_(context) {}
 
-  /** Starts and continues probes. */
+  /** Starts and continues probes; @return members that became suspect or dead. */
   std::vector<ProbeVerdict> tick(TimePoint now);
-  /** Begins a probe of the member now, unless one is running. */
+  /** Starts a probe of the member now, unless one is running or too many are. */
   void probe(TimePoint now, NodeId target);
-  /** Takes an answer; @return the member that it was about, where the probe is ours. */
+  /** Processes an acknowledgement; @return the acknowledged member if the probe is this node's. */
   std::optional<NodeId> onAck(uint32_t sequence, NodeId subject);
-  /** Takes a helper's word that the target did not answer it. */
+  /** Records a helper's report that the target did not answer it. */
   void onNack(uint32_t sequence, NodeId helper);
-  /** Forgets every probe: what they have seen is worth nothing after a pause. */
+  /** Discards all probes, for example after a pause, when their results are stale. */
   void reset(TimePoint now);
 
  private:
@@ -56,7 +57,7 @@
 
   void probeNext(TimePoint now);
   NodeId nextTarget();
-  /** @return whether the probe goes on. */
+  /** @return whether the probe continues. */
   bool step(TimePoint now, Probe& probe, std::vector<ProbeVerdict>& verdicts);
   bool stepSuspect(TimePoint now, Probe& probe, std::vector<ProbeVerdict>& verdicts);
   bool isConfirmed(const Probe& probe) const;
--- a/source/common/membership/update_queue.cc
+++ b/source/common/membership/update_queue.cc
@@ -7,10 +7,11 @@
 namespace {
 
 constexpr size_t kCapacity = 512;
-/** A whole Member counts like this many MemberUpdates against the limit. */
+/** Cost of a Member against the limit, in MemberUpdates. */
 constexpr size_t kAddressCost = 2;
 
-/** Transmissions of one change: enough for an epidemic over that many members. */
+/** @return the number of transmissions of one change: logarithmic in the number of members, as
+ * epidemic dissemination requires. */
 uint16_t transmissionLimit(size_t members) {
   constexpr size_t kExtraTransmissions = 3;
   return static_cast<uint16_t>(std::bit_width(members) + kExtraTransmissions);
--- a/source/common/membership/update_queue.h
+++ b/source/common/membership/update_queue.h
@@ -1,4 +1,4 @@
-/** @file Which members' news still have to be passed on, and how often. */
+/** @file Queue of membership updates to be disseminated. */
 #pragma once
 
 #include <cstdint>
@@ -9,18 +9,18 @@
 namespace umberhold {
 
 /**
- * Bounded dissemination queue: each change is passed on a limited number of times, the least often
- * sent first (SWIM, section 4.1). Only ids are queued; what is sent is the table's latest state of
- * them.
+ * Bounded dissemination queue: each change is sent a limited number of times, the least often sent
+ * first (SWIM, section 4.1). Only ids are queued; the state that is sent is read from the table at
+ * that time.
  */
 class UpdateQueue {
  public:
-  /** @param withAddress the change concerns a member that others may not know the address of. */
+  /** @param withAddress whether other nodes may not know the address of the member. */
   void add(NodeId id, bool withAddress, bool urgent);
-  /** @return up to `limit` updates, counted as sent `copies` times; entries sent often enough leave
-   * the queue. */
+  /** @return up to `limit` updates, counted as sent `copies` times. Entries that have been sent
+   * often enough are removed from the queue. */
   MemberGossip take(const MemberTable& table, size_t limit, size_t copies = 1);
-  /** @return whether some entry has not been sent since it was added as urgent. */
+  /** @return whether an entry has not been sent since it was added as urgent. */
   bool hasUrgent() const { return urgentCount_ > 0; }
   void clear();
   size_t size() const { return entries_.size(); }
--- a/source/common/messages/member.h
+++ b/source/common/messages/member.h
@@ -1,4 +1,4 @@
-/** @file What one node knows about another. */
+/** @file The membership record of a node. */
 #pragma once
 
 #include <cstdint>
@@ -8,31 +8,33 @@
 
 namespace umberhold {
 
-/** Liveness of a member, in the order in which an update of one incarnation overrides another. */
+/** State of a member. Within one incarnation, an update with a higher value overrides a lower one.
+ */
 enum class MemberState : uint8_t {
-  /** Running, but it still takes over configuration; it owns nothing and takes no packets. */
+  /** Running, but still fetching the configuration; it owns no shards and accepts no packets. */
   kJoining = 0,
   kAlive = 1,
-  /** Missed its probes; still used until the suspicion ends. */
+  /** Did not answer its probes; still used until the suspicion ends. */
   kSuspect = 2,
-  /** On a planned stop: owns nothing new, still relays and answers hand-over requests. */
+  /** In a planned shutdown: acquires no new shards, still relays packets and answers hand-over
+   * requests. */
   kLeaving = 3,
   kDead = 4,
 };
 
-/** One member of the region, as last heard. */
+/** Last known state of one member of the region. */
 struct Member {
   NodeId id;
-  /** Start time of the process in Unix milliseconds, raised to refute a suspicion. */
+  /** Start time of the process in Unix milliseconds, incremented to refute a suspicion. */
   uint64_t incarnation = 0;
   MemberState state = MemberState::kAlive;
   RegionId region;
   ZoneId zone;
-  /** IPv4 address of the node, host byte order; the ports below are on it. */
+  /** IPv4 address of the node, host byte order. */
   uint32_t address = 0;
-  /** Node-to-node messages (wire/envelope.h). */
+  /** UDP port for messages between nodes (wire/envelope.h). */
   uint16_t controlPort = 0;
-  /** Packets that other nodes relay (GUE variant 1). */
+  /** UDP port for packets relayed by other nodes (GUE variant 1). */
   uint16_t relayPort = 0;
 
   bool operator==(const Member&) const = default;
--- a/source/common/messages/membership_messages.h
+++ b/source/common/messages/membership_messages.h
@@ -9,7 +9,7 @@
 
 namespace umberhold {
 
-/** A change of a member that the receiver is expected to know the address of. */
+/** State change of a member. Carries no address: the receiver usually knows it already. */
 struct MemberUpdate {
   NodeId id;
   uint64_t incarnation = 0;
@@ -23,10 +23,11 @@
   }
 };
 
-/** Recent changes; rides on probes and answers, and is sent alone where a change is urgent. */
+/** Recent membership changes; piggybacked on probes and acknowledgements, and sent separately if a
+ * change is urgent. */
 struct MemberGossip {
   std::vector<MemberUpdate> updates;
-  /** Members that are new, with their addresses. */
+  /** New members, with their addresses. */
   std::vector<Member> joined;
 
   template <class Visitor>
@@ -35,7 +36,7 @@
   }
 };
 
-/** Asks whether the receiver is alive. */
+/** Direct probe of the receiver. */
 struct Ping {
   uint32_t sequence = 0;
   MemberGossip gossip;
@@ -46,10 +47,10 @@
   }
 };
 
-/** Answers a Ping, or a PingRequest once its target has answered. */
+/** Answer to a Ping, or to a PingRequest whose target has answered. */
 struct PingAck {
   uint32_t sequence = 0;
-  /** The member that is alive; not the sender where the probe was indirect. */
+  /** The member that answered; differs from the sender if the probe was indirect. */
   NodeId subject;
   MemberGossip gossip;
 
@@ -59,7 +60,7 @@
   }
 };
 
-/** Asks the receiver to probe another member on the sender's behalf. */
+/** Requests an indirect probe: the receiver probes the target on behalf of the sender. */
 struct PingRequest {
   uint32_t sequence = 0;
   NodeId target;
@@ -71,8 +72,8 @@
   }
 };
 
-/** Answers a PingRequest whose target did not answer: the requester itself is reachable, the target
- * is not. */
+/** Answer to a PingRequest whose target did not answer. It shows that the requester is reachable
+ * while the target is not. */
 struct PingNack {
   uint32_t sequence = 0;
   NodeId subject;
@@ -83,7 +84,7 @@
   }
 };
 
-/** Introduces the sender and asks for the members with an id of at least `from`. */
+/** Announces the sender and requests the members with an id of at least `from`. */
 struct JoinRequest {
   Member sender;
   NodeId from;
@@ -94,11 +95,11 @@
   }
 };
 
-/** Members that the sender knows, by rising id; answers a JoinRequest or a MemberQuery. */
+/** Members in the sender's table, in ascending order of ids; answer to a JoinRequest or a
+ * MemberQuery. */
 struct JoinReply {
   std::vector<Member> members;
-  /** Whether this is a page of the list, to be continued from `next`; otherwise the list has ended.
-   */
+  /** Whether the list continues at `next`; false on the last page. */
   bool more = false;
   NodeId next;
 
@@ -108,10 +109,10 @@
   }
 };
 
-/** Digest of the sender's living members; the receiver answers where its own differs. */
+/** Digest of the sender's members that are not dead; the receiver answers if its own differs. */
 struct MemberDigest {
   uint64_t total = 0;
-  /** Digest per bucket of ids; empty in the first, cheap round. */
+  /** Digest per bucket of ids; empty in the first round, which compares only the total. */
   std::vector<uint32_t> buckets;
 
   template <class Visitor>
@@ -120,10 +121,10 @@
   }
 };
 
-/** What the sender knows of the members in the buckets that differ. */
+/** The sender's states of the members in the buckets that differ. */
 struct MemberDigestReply {
   std::vector<MemberUpdate> updates;
-  /** Whether the receiver is to answer with what it knows of the same buckets. */
+  /** Whether the receiver is to answer with its own states of the same buckets. */
   bool wantsReply = false;
   std::vector<uint32_t> buckets;
 
@@ -133,7 +134,7 @@
   }
 };
 
-/** Asks for the addresses of members that the sender knows by id only. */
+/** Requests the addresses of members of which the sender has only the ids. */
 struct MemberQuery {
   std::vector<NodeId> ids;
 
--- a/source/common/messages/peer_messages.h
+++ b/source/common/messages/peer_messages.h
@@ -1,5 +1,6 @@
 /**
- * @file What nodes that read the platform's store tell the nodes that don't.
+ * @file Messages between the nodes that read the platform's store (readers) and the nodes that
+ * follow them.
  *
  * The fields are written in the order of visitFields (wire/codec.h).
  */
@@ -13,14 +14,15 @@
 
 namespace umberhold {
 
-/** One change of a host's registration. Of one that ended, only name and version mean something. */
+/** One change of a host's registration. If the registration ended, only name and version are valid.
+ */
 struct HostEvent {
   /** HostPool that the host belongs to. */
   std::string pool;
   HostSpec host;
-  /** Version of the store at the change. */
+  /** Store version of the change. */
   uint64_t version = 0;
-  /** Version at which the registration was made. */
+  /** Store version at which the registration was created. */
   uint64_t madeAt = 0;
   bool ended = false;
 
@@ -32,16 +34,16 @@
   }
 };
 
-/** What a node saw of one host since its last report. */
+/** A node's measurements of one host since its previous report. */
 struct HostObservation {
   /** Flow token of the host. */
   uint32_t token = 0;
-  /** Requests that ended, or waited beyond all measure. */
+  /** Number of requests that ended, or that are overdue by a wide margin. */
   uint32_t requests = 0;
-  /** Mean of their times, as a percentage of their services' usual time. */
+  /** Mean response time, as a percentage of the usual response time of the services. */
   uint32_t percentOfUsual = 100;
-  /** Mean of the times that the host worked on them, the network and waiting left out, as a
-   * percentage of the usual one; 0: not measured. */
+  /** Mean processing time on the host, without network and queueing delays, as a percentage of the
+   * usual one; 0: not measured. */
   uint32_t workPercent = 0;
 
   bool operator==(const HostObservation&) const = default;
@@ -55,20 +57,20 @@
   }
 };
 
-/** HostLivenessReport::answeredAgoMilliseconds where there was no sign of life. */
+/** Value of HostLivenessReport::answeredAgoMilliseconds if the host never answered. */
 constexpr uint32_t kNeverAnswered = UINT32_MAX;
 
-/** Whether a host acknowledged what a node's callers sent it. */
+/** Whether a host acknowledged the data that the callers of a node sent to it. */
 struct HostLivenessReport {
   /** Flow token of the host. */
   uint32_t token = 0;
-  /** Age of its last sign of life, milliseconds. */
+  /** Time since its last answer, milliseconds. */
   uint32_t answeredAgoMilliseconds = kNeverAnswered;
-  /** Copies of data that callers sent since then. */
+  /** Transmissions of data by callers since then, retransmissions included. */
   uint32_t copies = 0;
-  /** Addresses of these callers, each once; a few of them. */
+  /** Distinct addresses of some of these callers. */
   std::vector<uint32_t> callers;
-  /** How long ago the first of that data was first sent, milliseconds. */
+  /** Time since the first transmission of the oldest of that data, milliseconds. */
   uint32_t silentMilliseconds = 0;
 
   bool operator==(const HostLivenessReport&) const = default;
@@ -79,11 +81,12 @@
   }
 };
 
-/** What a node that follows a reader saw of hosts since it last asked. */
+/** Measurements of hosts that a node sends to the reader that it follows, since its previous
+ * request. */
 struct HostReport {
-  /** Tells the nodes of a zone apart. */
+  /** Identifies the reporting node within its zone. */
   uint64_t reporter = 0;
-  /** Rises with each report of one run of the node. */
+  /** Increases with each report of one run of the node. */
   uint64_t sequence = 0;
   std::vector<HostObservation> hosts;
   std::vector<HostLivenessReport> livenessReports;
@@ -96,10 +99,10 @@
   }
 };
 
-/** A host that is silent to all nodes of a zone. */
+/** A host that is unresponsive for all nodes of a zone. */
 struct SilentHost {
   uint32_t token = 0;
-  /** How long it has been silent, milliseconds. */
+  /** Duration of the unresponsiveness, milliseconds. */
   uint32_t silentMilliseconds = 0;
 
   bool operator==(const SilentHost&) const = default;
@@ -110,11 +113,11 @@
   }
 };
 
-/** A host that the nodes of a zone together see answering late. */
+/** A host that answers slowly according to the combined reports of a zone. */
 struct SlowHost {
   uint32_t token = 0;
   uint32_t percentOfUsual = 100;
-  /** Age of the youngest report that speaks of it. */
+  /** Age of the latest report on the host. */
   uint32_t ageMilliseconds = 0;
 
   bool operator==(const SlowHost&) const = default;
@@ -125,12 +128,12 @@
   }
 };
 
-/** How fast the nodes of a zone together find a host. */
+/** Speed of a host, estimated from the combined reports of a zone. */
 struct LearnedSpeed {
   uint32_t token = 0;
-  /** Work in the same time, as a percentage of the usual. */
+  /** Work done in the same time, as a percentage of the usual. */
   uint32_t percentOfUsual = 100;
-  /** Requests that it rests on, each weighed by its age. */
+  /** Number of requests behind the estimate, each weighted by its age. */
   uint32_t samples = 0;
 
   bool operator==(const LearnedSpeed&) const = default;
@@ -141,10 +144,10 @@
   }
 };
 
-/** PeerChanges::outageEndedAgoMilliseconds where there was no outage. */
+/** Value of PeerChanges::outageEndedAgoMilliseconds if there was no outage. */
 constexpr uint32_t kNoOutage = UINT32_MAX;
 
-/** One part of all registered hosts of a reader (platform/host_copy.h). */
+/** One part of a reader's snapshot of all registered hosts (platform/host_copy.h). */
 struct HostCopyPart {
   std::vector<HostEvent> hosts;
 
@@ -156,10 +159,10 @@
   }
 };
 
-/** All registered hosts as of a version, to be fetched in parts. */
+/** Offer of a snapshot of all registered hosts at a version, to be fetched in parts. */
 struct HostCopyOffer {
   uint64_t version = 0;
-  /** 0: nothing is offered. */
+  /** 0: no snapshot is offered. */
   uint32_t parts = 0;
 
   bool operator==(const HostCopyOffer&) const = default;
@@ -170,8 +173,8 @@
   }
 };
 
-/** Versions of the store between which changes of hosts are known by their outcome alone, both
- * excluded: of a host that came and went nothing is known. */
+/** A range of store versions, both ends excluded, for which only the resulting state of hosts is
+ * known: hosts that were registered and removed within the range are missing. */
 struct VersionGap {
   uint64_t after = 0;
   uint64_t before = 0;
@@ -184,40 +187,42 @@
   }
 };
 
-/** The answer to a node that asks for the changes after a version. */
+/** Answer of a peer to a request for the changes after a version. */
 struct PeerChanges {
-  /** Whether the peer reads the store; if not, the rest means nothing yet, unless it offers a copy.
-   * False beside an offer, too: a node of an earlier release would take the events for all hosts.
-   */
+  /** Whether the peer reads the store; if not, the other fields are not valid yet, unless it offers
+   * a snapshot. Also false with an offer, because a node of an earlier release would take the
+   * events for the complete list of hosts. */
   bool reading = false;
-  /** How long ago it was sure that it had missed nothing, milliseconds. */
+  /** Time since the peer last confirmed that it is up to date with the store, milliseconds. */
   uint32_t confirmedAgoMilliseconds = 0;
-  /** How long ago the store could be read again after an outage, milliseconds. */
+  /** Time since the end of the last outage of the store, milliseconds. */
   uint32_t outageEndedAgoMilliseconds = kNoOutage;
-  /** The configuration that it holds; its text is asked for apart. */
+  /** Version of the peer's configuration; its text is fetched by a separate request. */
   uint64_t configurationVersion = 0;
-  /** Version of the store up to which its hosts are known; where the next question begins. */
+  /** Store version up to which the peer's hosts are complete; the next request starts from it. */
   uint64_t hostsVersion = 0;
-  /** The events are all hosts that are registered, because the changes reach not far enough back:
-   * from nodes of an earlier release, which offer no copy. */
+  /** Whether the events are the complete list of registered hosts, because the change history does
+   * not reach back far enough. Set only by nodes of an earlier release, which offer no snapshot. */
   bool whole = false;
   std::vector<HostEvent> events;
-  /** Hosts that the zone's nodes together see answering late; the others are as usual. */
+  /** Hosts that answer slowly according to the combined reports of the zone; all others are normal.
+   */
   std::vector<SlowHost> slowHosts;
-  /** Version of the store up to which evacuations are known. */
+  /** Store version up to which evacuations are complete. */
   uint64_t evacuationsVersion = 0;
-  /** All zones that are evacuated as of that version. */
+  /** All zones that are evacuated at that version. */
   std::vector<std::string> evacuatedZones;
-  /** Hosts that are silent to all nodes of the zone. */
+  /** Hosts that are unresponsive for all nodes of the zone. */
   std::vector<SilentHost> silentHosts;
-  /** Hosts whose speed is known; of many, a part of them. */
+  /** Hosts whose speed is known; only some of them if there are many. */
   std::vector<LearnedSpeed> speeds;
-  /** Where the changes reach not far enough back: all hosts, which the asker needs first; the
-   * events are those after its version. */
+  /** If the change history does not reach back far enough: a snapshot of all hosts that the
+   * requester must fetch first. The events are those after the snapshot's version. */
   HostCopyOffer copy;
-  /** Of a peer that does not read yet: rises with each piece that it gets of what it needs. */
+  /** Progress of a peer that does not read yet: increases with each part of its initial state that
+   * it receives. */
   uint64_t progress = 0;
-  /** Those of the events. */
+  /** Gaps in the history of the events. */
   std::vector<VersionGap> gaps;
 
   bool operator==(const PeerChanges&) const = default;
--- a/source/common/messages/shard_messages.h
+++ b/source/common/messages/shard_messages.h
@@ -1,4 +1,4 @@
-/** @file Messages of shard ownership: takeover, replication, shared load, connection permits. */
+/** @file Messages of shard ownership: takeover, replication, load reports, connection permits. */
 #pragma once
 
 #include <cstdint>
@@ -24,7 +24,7 @@
   }
 };
 
-/** One host of a base table with its weight byte. */
+/** A host of a base table with its 8-bit weight. */
 struct BaseHost {
   HostId host;
   uint8_t weight = 0;
@@ -37,8 +37,8 @@
   }
 };
 
-/** A flow that is not where the base table would place it; `host` indexes the host list beside it.
- */
+/** A flow that is not on the host that the base table assigns to it; `host` is an index into the
+ * host list of the same message. */
 struct FlowException {
   FlowHash flow;
   uint16_t host = 0;
@@ -51,12 +51,12 @@
   }
 };
 
-/** The would-be owner asks for the state of a shard. */
+/** Request of a prospective owner for the state of a shard. */
 struct TakeoverRequest {
   ShardId shard;
   /** Distinguishes attempts of one node. */
   uint32_t attempt = 0;
-  /** Highest epoch of the shard that the sender knows. */
+  /** Highest epoch of the shard known to the sender. */
   uint32_t epoch = 0;
 
   template <class Visitor>
@@ -65,35 +65,39 @@
   }
 };
 
-/** What the receiver of a TakeoverRequest holds; of one epoch the higher value is the better
- * source. */
+/** State that the receiver of a TakeoverRequest holds. Within one epoch, the higher value is the
+ * better source. */
 enum class HeldRole : uint8_t {
   kNothing = 0,
-  /** A synchronised copy of an owner's state. */
+  /** A synchronized replica of an owner's state. */
   kReplica = 1,
   /** The frozen state of a former owner. */
   kReleased = 2,
-  /** The state of the owner, which is released by this very reply. */
+  /** The state of the owner, which releases the shard with this reply. */
   kOwner = 3,
-  /** Still owner: its view does not name the requester (yet); ask again. */
+  /** The sender is still the owner, because its membership view does not select the requester
+   * (yet); the requester must retry. */
   kStillOwner = 4,
 };
 
-/** Says what the sender holds; the state itself is fetched with SnapshotAck{next = 0}. */
+/** Describes the state that the sender holds; the state itself is fetched with SnapshotAck{next =
+ * 0}. */
 struct TakeoverReply {
   ShardId shard;
   uint32_t attempt = 0;
   HeldRole role = HeldRole::kNothing;
   uint32_t epoch = 0;
-  /** Where `role` is kReplica: the first change that it lacks; breaks ties within an epoch. */
+  /** If `role` is kReplica: number of the first change that the replica lacks; breaks ties within
+   * an epoch. */
   uint32_t sequence = 0;
-  /** kReleased: the node that it was released to; kReplica: the owner that it is a copy of. */
+  /** kReleased: the node that the shard was released to; kReplica: the owner that it replicates. */
   NodeId successor;
-  /** The sender is on the way to own the shard itself. */
+  /** The sender is taking over the shard itself. */
   bool acquiring = false;
-  /** The sender's view holds a member that died: state may have been lost with it. */
+  /** The sender's view contains a dead member: state may have been lost with it. */
   bool memberDied = false;
-  /** The sender knows of a silent zone, a death or a heal just now: an owner may live there. */
+  /** The sender recently detected an unresponsive zone, a member's death or a healed partition:
+   * another owner may exist there. */
   bool mayHaveRivals = false;
 
   template <class Visitor>
@@ -102,12 +106,13 @@
   }
 };
 
-/** The node named by the sender's view should own the shard, but the sender does: it asks to be
- * relieved. */
+/** Sent by the current owner of a shard to the node that should own it according to the sender's
+ * view, so that the receiver takes over. */
 struct OwnershipNotice {
   ShardId shard;
   uint32_t epoch = 0;
-  /** The sender lost the shard to the receiver, which did not take over the flows placed here. */
+  /** The sender lost the shard to the receiver, which did not take over the flows that the sender
+   * placed. */
   bool holdsFlows = false;
 
   template <class Visitor>
@@ -116,19 +121,19 @@
   }
 };
 
-/** What a snapshot is for. */
+/** Purpose of a snapshot. */
 enum class SnapshotPurpose : uint8_t { kTakeover = 0, kReplica = 1 };
 
 /**
  * A shard's flows on one host and its connection permits for it (placement/connection_limit.h). The
- * totals are indexed by shard and only ever grow; they are empty where every total is 0.
+ * totals are indexed by shard and never decrease; a list is empty if all its totals are 0.
  */
 struct HostPermits {
   HostId host;
   uint32_t flows = 0;
-  /** Permits that this shard ever lent to each other shard. */
+  /** Total permits that this shard has lent to each other shard. */
   std::vector<uint64_t> lent;
-  /** Permits that each other shard ever lent to this one, as far as this one heard. */
+  /** Total permits that this shard has received from each other shard. */
   std::vector<uint64_t> borrowed;
 
   template <class Visitor>
@@ -137,30 +142,31 @@
   }
 };
 
-/** A part of a shard's state. */
+/** One part of a snapshot of a shard's state. */
 struct SnapshotChunk {
   ShardId shard;
   SnapshotPurpose purpose = SnapshotPurpose::kTakeover;
-  /** Takeover: the requester's attempt. Replica: the owner's number of the snapshot. */
+  /** Takeover: the requester's attempt. Replica: the owner's snapshot number. */
   uint32_t attempt = 0;
   uint32_t epoch = 0;
   uint32_t index = 0;
   uint32_t chunks = 0;
-  /** Replica: sequence of the first ReplicaAppend change that is not in the snapshot. */
+  /** Replica: sequence number of the first ReplicaAppend change that the snapshot does not include.
+   */
   uint32_t sequence = 0;
   bool knowsAllFlows = false;
-  /** The base table, spread over the chunks. */
+  /** The base table, divided among the chunks. */
   std::vector<BaseHost> base;
-  /** Hosts that the exceptions of this chunk index. */
+  /** Host list indexed by the exceptions of this chunk. */
   std::vector<HostId> hosts;
   std::vector<FlowException> exceptions;
-  /** Flows refused a short while ago. */
+  /** Recently refused flows. */
   std::vector<FlowHash> refused;
-  /** Flows and permits by host, spread over the chunks; sent by owners only. */
+  /** Flows and permits by host, divided among the chunks; sent by owners only. */
   std::vector<HostPermits> permits;
-  /** `oldFlows` of all chunks name every flow of the shard. */
+  /** Whether the `oldFlows` of all chunks together list every flow of the shard. */
   bool listsOldFlows = false;
-  /** Fingerprints (known_flows.h), spread over the chunks. */
+  /** Fingerprints (known_flows.h), divided among the chunks. */
   std::vector<uint32_t> oldFlows;
 
   template <class Visitor>
@@ -183,13 +189,14 @@
   }
 };
 
-/** A part of the owner's list of its flows (known_flows.h). Numbers grow by one a fingerprint. */
+/** A part of the owner's list of its flows (known_flows.h). Fingerprints are numbered
+ * consecutively. */
 struct KnownFlowBatch {
-  /** Number of the list's first fingerprint, higher with every new list; 0: no list. */
+  /** Number of the first fingerprint of the list; increases with every new list; 0: no list. */
   uint32_t start = 0;
-  /** Number of the first fingerprint here. */
+  /** Number of the first fingerprint in this message. */
   uint32_t first = 0;
-  /** The list has no fingerprint of this number yet: the replica lacks none if it has those below.
+  /** Number after the last fingerprint of the list: a replica that has all lower ones is complete.
    */
   uint32_t end = 0;
   std::vector<uint32_t> fingerprints;
@@ -202,20 +209,20 @@
 
 /**
  * Consecutive changes of the owner's log for its replica, to be applied in this order: all added,
- * all removed, all refused. The changes of one flow keep their order so; applied twice they give
- * the same.
+ * all removed, all refused. This preserves the order of the changes of each flow; applying them
+ * twice is harmless (idempotent).
  */
 struct ReplicaAppend {
   ShardId shard;
   uint32_t epoch = 0;
-  /** Number of the first change in this message; they count from 1 within an epoch. */
+  /** Number of the first change in this message; changes are numbered from 1 within an epoch. */
   uint32_t sequence = 0;
-  /** Hosts that `added` indexes. */
+  /** Host list indexed by `added`. */
   std::vector<HostId> hosts;
   std::vector<FlowException> added;
   std::vector<FlowHash> removed;
   std::vector<FlowHash> refused;
-  /** Apart from the log: its order does not matter to the changes. */
+  /** Independent of the log: its order relative to the changes does not matter. */
   KnownFlowBatch known;
 
   template <class Visitor>
@@ -224,16 +231,16 @@
   }
 };
 
-/** The replica's answer: what it holds, or that it follows a newer epoch. */
+/** Answer of a replica: how far it has applied the log, or that it follows a newer epoch. */
 struct ReplicaAck {
   ShardId shard;
   uint32_t epoch = 0;
   uint32_t nextSequence = 0;
   /** The replica has no base for this epoch and needs a snapshot. */
   bool needsSnapshot = false;
-  /** Node that owns a newer epoch; only where epoch is above the sender's. */
+  /** Owner of a newer epoch; only set if that epoch is above the sender's. */
   NodeId newerOwner;
-  /** First number of the list of known flows that the replica lacks. */
+  /** Number of the first fingerprint in the list of known flows that the replica lacks. */
   uint32_t nextKnown = 0;
 
   template <class Visitor>
@@ -242,11 +249,11 @@
   }
 };
 
-/** One owner's flows on one host, and what its probe last said. */
+/** One owner's flows on one host, and the result of its last probe of the host. */
 struct HostLoad {
   HostId host;
   uint32_t flows = 0;
-  /** Host-reported load in percent; 255 for not probed by the sender. */
+  /** Load reported by the host, percent; 255: not probed by the sender. */
   uint8_t reportedLoad = 255;
   bool healthy = true;
 
@@ -256,7 +263,7 @@
   }
 };
 
-/** An owner tells the other owners of a service what it has placed. */
+/** Load report of an owner to the other owners of a service. */
 struct LoadShare {
   ShardId shard;
   uint32_t epoch = 0;
@@ -268,17 +275,17 @@
   }
 };
 
-/** Asks another owner of the service for connection permits of a host. */
+/** Requests connection permits of a host from another owner of the service. */
 struct PermitRequest {
-  /** The shard that asks. */
+  /** The requesting shard. */
   ShardId shard;
   HostId host;
   uint32_t requestNumber = 0;
-  /** 0 only asks for the totals (after a takeover without the previous owner's state). */
+  /** 0 requests only the totals (after a takeover without the previous owner's state). */
   uint32_t wanted = 0;
-  /** Index of the shard that is asked. */
+  /** Index of the lending shard. */
   uint16_t lender = 0;
-  /** Total that the asking shard ever received from the lender for this host. */
+  /** Total that the requesting shard has received from the lender for this host. */
   uint64_t totalBorrowed = 0;
 
   template <class Visitor>
@@ -287,15 +294,15 @@
   }
 };
 
-/** Lends permits; the total that `from` ever lent to `to` for this host, so that repeats are
- * harmless. */
+/** Grants permits. Carries the total that `from` has lent to `to` for this host, so that duplicates
+ * are harmless. */
 struct PermitGrant {
   ShardId from;
   ShardId to;
   HostId host;
   uint32_t requestNumber = 0;
   uint64_t totalLent = 0;
-  /** Total that `from` ever received from `to`. */
+  /** Total that `from` has received from `to`. */
   uint64_t totalBorrowed = 0;
 
   template <class Visitor>
--- a/source/common/messages/spread_messages.h
+++ b/source/common/messages/spread_messages.h
@@ -1,4 +1,4 @@
-/** @file Messages of the configuration spread. */
+/** @file Messages of configuration distribution. */
 #pragma once
 
 #include <cstdint>
@@ -10,11 +10,12 @@
 
 namespace umberhold {
 
-/** States that whoever holds exactly the records of `total` holds every change up to `version`. */
+/** States that a node whose records have exactly the digest `total` holds every change up to
+ * `version`. */
 struct CompletenessClaim {
-  /** Combined digest of all records that the sender holds. */
+  /** Combined digest of all records of the sender. */
   uint64_t total = 0;
-  /** Store version up to which nothing is missing in them. */
+  /** Store version up to which these records are complete. */
   uint64_t version = 0;
 
   template <class Visitor>
@@ -23,10 +24,10 @@
   }
 };
 
-/** New or asked-for records. */
+/** New or requested records. */
 struct RecordPush {
   std::vector<ConfigRecord> records;
-  /** The receiver passes on what is new to it. */
+  /** Whether the receiver forwards the records that are new to it. */
   bool rumor = false;
   CompletenessClaim claim;
 
@@ -53,14 +54,14 @@
 /** Value of DigestRequest::group for digests of all groups. */
 constexpr uint32_t kAllGroups = 0x7FU;
 
-/** Digests of the sender's records; the receiver goes one level deeper where its own differ. */
+/** Digests of the sender's records; the receiver compares one level deeper if its own differ. */
 struct DigestRequest {
   CompletenessClaim claim;
-  /** Ask for a DigestReply also where the totals are equal. */
+  /** Requests a DigestReply even if the totals are equal. */
   bool wantsReply = false;
   /** Group of buckets that `digests` describes, or kAllGroups for one digest per group. */
   uint32_t group = kAllGroups;
-  /** Empty in the first, cheap round. */
+  /** Empty in the first round, which compares only the totals. */
   std::vector<uint64_t> digests;
 
   template <class Visitor>
@@ -80,12 +81,13 @@
   }
 };
 
-/** What the sender holds; the receiver pushes what it holds newer and asks for what it lacks. */
+/** Record versions of the sender; the receiver pushes its newer records and requests those that it
+ * lacks. */
 struct DigestReply {
   CompletenessClaim claim;
   /** Whether the sender itself has caught up. */
   bool caughtUp = false;
-  /** Buckets whose whole content is in `versions`; none where the message only announces records.
+  /** Buckets whose complete content is in `versions`; empty if the message only announces records.
    */
   std::vector<uint32_t> buckets;
   std::vector<RecordVersion> versions;
@@ -96,7 +98,7 @@
   }
 };
 
-/** Asks for records by key. */
+/** Requests records by key. */
 struct RecordRequest {
   std::vector<RecordKey> keys;
 
@@ -106,7 +108,7 @@
   }
 };
 
-/** How many nodes of a region (or of the sender's part of it) hold which configuration. */
+/** Number of nodes of a region (or of the sender's subtree) that hold a configuration version. */
 struct CoverageReport {
   RegionId region;
   /** Every change up to this version is effective on `nodesAtVersion` of `nodes`. */
@@ -124,7 +126,7 @@
   }
 };
 
-/** Asks the aggregating node of the region for a CoverageSummary. */
+/** Requests a CoverageSummary from the aggregating node of the region. */
 struct CoverageQuery {
   uint32_t sequence = 0;
 
@@ -134,7 +136,7 @@
   }
 };
 
-/** Answers a CoverageQuery: one report per region that was heard of. */
+/** Answer to a CoverageQuery: one report for each region that has reported. */
 struct CoverageSummary {
   std::vector<CoverageReport> regions;
 
--- a/source/common/packet/packet_format.cc
+++ b/source/common/packet/packet_format.cc
@@ -9,7 +9,7 @@
     return parsePacket(bytes);
   }
   std::string_view rewriteForHost(std::string_view packet, const ForwardToHost& /*decision*/,
-                           std::string& /*buffer*/) const override {
+                                  std::string& /*buffer*/) const override {
     return packet;
   }
   Result<std::string, RefusalError> refusal(std::string_view packet) const override {
--- a/source/common/packet/packet_format.h
+++ b/source/common/packet/packet_format.h
@@ -1,9 +1,9 @@
 /**
- * @file The form of packets on the wire, between the packet path and the sockets.
+ * @file Packet formats on the wire, between the packet path and the sockets.
  *
- * The default is a whole IPv4 packet, sent on unchanged (GUE variant 1). A format may carry a flow
- * token, 32 bits that both ends of a flow reflect in their own packets: it lets any node find a
- * flow's host without flow state (flow/token_director.h).
+ * The default is a complete IPv4 packet, forwarded unchanged (GUE variant 1). A format may carry a
+ * flow token, 32 bits that both ends of a flow echo in their own packets. With it, any node can
+ * determine a flow's host without flow state (flow/token_director.h).
  */
 #pragma once
 
@@ -19,35 +19,36 @@
 
 namespace umberhold {
 
-/** Reads and writes packets of one form. Stateless, never throws on what a packet holds. */
+/** Parses and builds packets of one format. Stateless; never throws, whatever a packet contains. */
 class PacketFormat {
  public:
   virtual ~PacketFormat() = default;
 
-  /** @param bytes one datagram. @return what the packet path needs to know of it. */
+  /** @param bytes one datagram. @return the parsed headers, or the reason to drop it. */
   virtual Result<ParsedPacket, DropReason> parse(std::string_view bytes) const = 0;
 
   /**
-   * @param packet the datagram, without padding.
-   * @param buffer may be written and kept between calls.
+   * Builds the datagram that is sent to the host.
+   * @param packet the received datagram, without padding.
+   * @param buffer storage that may be used for the result; reusable between calls.
    * @return the datagram for the host; it points into packet or buffer.
    */
   virtual std::string_view rewriteForHost(std::string_view packet, const ForwardToHost& decision,
-                                   std::string& buffer) const = 0;
+                                          std::string& buffer) const = 0;
 
-  /** @return the datagram that refuses the packet, for its caller. */
+  /** @return the datagram that is sent to the caller to refuse the packet. */
   virtual Result<std::string, RefusalError> refusal(std::string_view packet) const = 0;
 
   /**
-   * @param acknowledged what the flow's caller acknowledged last.
-   * @return the datagram that ends the flow, for its caller; kNoReset where the flow's protocol has
-   * none.
+   * @param acknowledged the last acknowledgement number of the flow's caller.
+   * @return the datagram that is sent to the caller to terminate the flow; kNoReset if the flow's
+   * protocol has no resets.
    */
   virtual Result<std::string, RefusalError> reset(const FlowKey& key,
                                                   uint32_t acknowledged) const = 0;
 };
 
-/** @return the default format: IPv4 with TCP or UDP. */
+/** @return the default format, IPv4 with TCP or UDP. */
 const PacketFormat& ipPacketFormat();
 
 }  // namespace umberhold
--- a/source/common/packet/packet_observer.h
+++ b/source/common/packet/packet_observer.h
@@ -1,4 +1,4 @@
-/** @file Who is notified what became of each packet: logs and metrics, which decide nothing. */
+/** @file Observer of the outcome of each packet, for logs and metrics. */
 #pragma once
 
 #include <string_view>
@@ -10,17 +10,19 @@
 
 namespace umberhold {
 
-/** Called after the packet was acted on. Must neither block nor throw. */
+/** Called after the packet was processed. Implementations must neither block nor throw. */
 class PacketObserver {
  public:
   virtual ~PacketObserver() = default;
 
-  /** The packet was parsed and decided on; a refusal of an address without a service included. */
+  /** The packet was parsed and a decision was made, which includes the refusal of an address
+   * without a service. */
   virtual void onDecided(TimePoint now, const ParsedPacket& packet, const FlowDecision& decision,
                          std::string_view bytes) = 0;
-  /** The packet was dropped before a decision: it could not be read, or the node wasn't ready. */
+  /** The packet was dropped before a decision: it could not be parsed, or the node was not ready.
+   */
   virtual void onDropped(TimePoint now, DropReason reason, std::string_view bytes) = 0;
-  /** A flow was ended although it sent no packet. */
+  /** A flow was reset without a packet of its caller. */
   virtual void onReset(TimePoint now, const ResetFlow& decision) = 0;
 };
 
--- a/source/common/packet/packet_output.h
+++ b/source/common/packet/packet_output.h
@@ -1,4 +1,4 @@
-/** @file Where packets leave a node. */
+/** @file Interface for sending packets. */
 #pragma once
 
 #include <string_view>
@@ -7,17 +7,15 @@
 
 namespace umberhold {
 
-/** Where packets leave; the bytes are a whole inner IP packet and are only valid during the call.
- */
+/** Sends packets. The bytes are a complete inner IP packet and are valid during the call only. */
 class PacketOutput {
  public:
   virtual ~PacketOutput() = default;
-  /** Sends the packet to a back end. */
+  /** Sends the packet to a backend host. */
   virtual void sendToHost(const Endpoint& host, std::string_view packet) = 0;
   /** Relays the packet to another node. */
   virtual void sendToNode(const Endpoint& relay, std::string_view packet) = 0;
-  /** Sends an answer of this node (a TCP reset, an ICMP unreachable) to the caller it is addressed
-   * to. */
+  /** Sends a packet that this node built (a TCP reset, an ICMP unreachable) to a caller. */
   virtual void sendToCaller(const Endpoint& caller, std::string_view packet) = 0;
 };
 
--- a/source/common/packet/packet_parser.cc
+++ b/source/common/packet/packet_parser.cc
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr size_t kMinHeaderLength = 20;
-/** The longest IPv4 and TCP headers; the parser never sees more of a packet, so it copies little.
- */
+/** Maximum length of the IPv4 and TCP headers. The parser is given no more than this, to limit
+ * copying. */
 constexpr size_t kMaxHeadersLength = 60 + 60;
 constexpr size_t kUdpHeaderLength = 8;
 constexpr size_t kWordLength = 4;
@@ -48,8 +48,7 @@
   return opens ? PacketPhase::kOpening : PacketPhase::kContinuing;
 }
 
-/** @return whether SYN comes with a flag that ends a connection, which no sender does (RFC 9293).
- */
+/** @return whether SYN is combined with RST or FIN, which no valid sender does (RFC 9293). */
 bool hasInvalidFlags(const Tins::TCP& tcp) {
   const bool ends = tcp.get_flag(Tins::TCP::RST) != 0 || tcp.get_flag(Tins::TCP::FIN) != 0;
   return tcp.get_flag(Tins::TCP::SYN) != 0 && ends;
--- a/source/common/packet/packet_parser.h
+++ b/source/common/packet/packet_parser.h
@@ -1,4 +1,4 @@
-/** @file Reads the headers of an inner IPv4 packet. */
+/** @file Parser for the headers of an inner IPv4 packet. */
 #pragma once
 
 #include <cstddef>
@@ -11,27 +11,28 @@
 
 namespace umberhold {
 
-/** What the packet path needs to know of a packet; lengths in bytes. */
+/** Header fields that the packet path uses; lengths in bytes. */
 struct ParsedPacket {
   FlowKey key;
   PacketPhase phase = PacketPhase::kUnmarked;
   uint8_t timeToLive = 0;
   size_t networkHeaderLength = 0;
   size_t transportHeaderLength = 0;
-  /** Length that the IP header states; what follows in the datagram is padding. */
+  /** Total length from the IP header; further bytes of the datagram are padding. */
   size_t totalLength = 0;
-  /** Flow token that the caller reflects, in formats that have one; 0: none. */
+  /** Flow token echoed by the caller, in formats that have one; 0: none. */
   uint32_t token = 0;
-  /** Sequence numbers of the transport, in formats that tell them. */
+  /** Sequence and acknowledgement numbers of the transport, in formats that parse them. */
   uint32_t sequence = 0;
   uint32_t acknowledged = 0;
-  /** Bytes of data whose sequence number the packet holds; 0 in formats without one. */
+  /** Number of data bytes that start at `sequence`; 0 in formats that do not parse it. */
   uint32_t dataBytes = 0;
 };
 
 /**
- * Parses a packet from caller to service; never throws, whatever the bytes are. Checksums aren't
- * verified: the datagram around the packet has its own, and the back end verifies them.
+ * Parses a packet from caller to service; never throws, whatever the bytes contain. Checksums are
+ * not verified: the outer datagram has its own checksum, and the backend host verifies the inner
+ * ones.
  * @return the headers, or kTruncated, kMalformed, kNotIpv4, kFragment or kUnsupportedProtocol.
  */
 Result<ParsedPacket, DropReason> parsePacket(std::string_view bytes);
--- a/source/common/packet/packet_path.h
+++ b/source/common/packet/packet_path.h
@@ -1,4 +1,4 @@
-/** @file The way of one packet through a node: parse, find the service, decide, act, count. */
+/** @file Processing of a packet in a node: parse, find the service, decide, act, count. */
 #pragma once
 
 #include <array>
@@ -19,9 +19,9 @@
 
 namespace umberhold {
 
-/** What became of the packets so far. Every packet counts once in one of the outcomes. */
+/** Packet counters since the start. Every packet is counted in exactly one of the outcomes. */
 struct PacketCounters {
-  /** Packets that came in, by PacketSource; a packet that was held and released comes in twice. */
+  /** Received packets, by PacketSource; a packet that was held and released is counted twice. */
   std::array<uint64_t, 2> received = {};
   uint64_t forwarded = 0;
   uint64_t relayed = 0;
@@ -29,40 +29,43 @@
   uint64_t held = 0;
   /** By DropReason. */
   std::array<uint64_t, static_cast<size_t>(DropReason::kCount)> dropped = {};
-  /** Refused packets, counted in `refused`, for which no answer could be built. */
+  /** Refusals and resets for which no answer could be built; the refusals are also in `refused`. */
   uint64_t unanswered = 0;
-  /** Packets that waited for a node to become ready; each comes in twice. */
+  /** Packets that were held until the node was ready; each is counted twice in `received`. */
   uint64_t heldUntilReady = 0;
-  /** Flows that were ended although they sent no packet; not counted in `refused`. */
+  /** Flows that were reset without a packet of their caller; not counted in `refused`. */
   uint64_t resetFlows = 0;
 };
 
-/** Takes packets in and sends them on. Not thread safe; never throws on what a packet holds. */
+/** Receives packets and forwards them. Not thread safe; never throws, whatever a packet contains.
+ */
 class PacketPath : public HeldPacketSink {
  public:
-  /** All are borrowed and must outlive the path. */
+  /** All references are borrowed and must outlive this. */
   PacketPath(const ServiceLookup& services, FlowDirector& director, PacketOutput& output,
              const PacketFormat& format = ipPacketFormat());
 
-  /** Until the node is ready every packet is dropped as kNotReady, also one from another node. */
+  /** Until the node is ready, all packets are dropped as kNotReady, including those relayed by
+   * other nodes. */
   void setReady(bool ready) { ready_ = ready; }
-  /** Packets that arrive before releaseHeld() wait for it instead of being dropped. */
+  /** Holds packets that arrive while the node is not ready until releaseHeld(), instead of dropping
+   * them. */
   void holdUntilReady() { holdUntilReady_ = true; }
-  /** Call it once the node is ready: what arrived before goes through the path. */
+  /** Processes the held packets. Must be called once the node is ready. */
   void releaseHeld(TimePoint now);
-  /** Whether callers of an address without a service are refused rather than left in silence. */
+  /** Whether packets to an address without a service are refused instead of dropped. */
   void setRefuseUnknownServices(bool refuse) { refuseUnknownServices_ = refuse; }
 
-  /** @param observer borrowed; must outlive the path. */
+  /** @param observer borrowed; must outlive this. */
   void setObserver(PacketObserver* observer) { observer_ = observer; }
 
   /** @param bytes a packet in the path's format; valid during the call only. */
   void onPacket(TimePoint now, PacketSource source, std::string_view bytes);
 
-  /** Ends a flow that sent no packet. */
+  /** Resets a flow without a packet of its caller. */
   void onReset(TimePoint now, const ResetFlow& decision);
 
-  /** HeldPacketSink: a packet that had to wait goes through the path again. */
+  /** HeldPacketSink: processes a packet again that was held. */
   void release(TimePoint now, std::string bytes, PacketSource source) override;
 
   const PacketCounters& counters() const { return counters_; }
@@ -86,7 +89,7 @@
   PacketOutput& output_;
   const PacketFormat& format_;
   PacketObserver* observer_ = nullptr;
-  /** Puts a packet by, or drops it where it can't be read. */
+  /** Holds a packet until the node is ready, or drops it if it cannot be parsed. */
   void hold(TimePoint now, std::string_view bytes);
 
   HeldPackets held_;
@@ -94,9 +97,9 @@
   bool ready_ = false;
   bool refuseUnknownServices_ = false;
   PacketCounters counters_;
-  /** The relayed packet, whose time to live is lowered; kept to save allocations. */
+  /** The relayed packet with a decremented time to live; a member to avoid allocations. */
   std::string relayBuffer_;
-  /** The packet for a host, in formats that change it. */
+  /** The packet for a host, in formats that rewrite it. */
   std::string hostBuffer_;
 };
 
--- a/source/common/packet/packet_rewriter.cc
+++ b/source/common/packet/packet_rewriter.cc
@@ -21,7 +21,7 @@
   return static_cast<uint16_t>(~word);
 }
 
-/** One's complement sum: a carry out of the word is added back. */
+/** Folds a sum into a 16-bit one's complement sum by adding the carries. */
 uint16_t onesComplementSum(uint32_t sum) {
   sum = (sum & 0xFFFFU) + (sum >> 16U);
   sum = (sum & 0xFFFFU) + (sum >> 16U);
--- a/source/common/packet/packet_rewriter.h
+++ b/source/common/packet/packet_rewriter.h
@@ -1,4 +1,4 @@
-/** @file Changes to packets on their way. */
+/** @file Modification of forwarded packets. */
 #pragma once
 
 #include <cstdint>
@@ -7,9 +7,10 @@
 namespace umberhold {
 
 /**
- * Lowers the time to live by one and corrects the header checksum by RFC 1624, equation 3.
- * @param packet a whole IPv4 packet that parsePacket accepted.
- * @return whether the packet may go on: false, and the packet unchanged, where it was 1 or 0.
+ * Decrements the time to live and updates the header checksum by RFC 1624, equation 3.
+ * @param packet a complete IPv4 packet that parsePacket accepted.
+ * @return whether the packet may be forwarded. If the time to live was 1 or 0, returns false and
+ * leaves the packet unchanged.
  */
 bool decrementTimeToLive(std::span<uint8_t> packet);
 
--- a/source/common/packet/refusal_builder.cc
+++ b/source/common/packet/refusal_builder.cc
@@ -13,7 +13,9 @@
 namespace {
 
 constexpr uint8_t kAnswerTimeToLive = 64;
-/** Bytes after the IP header that an ICMP error quotes at least; they hold the ports. */
+/** Number of quoted bytes after the IP header in an ICMP error (the minimum); they include the
+ * ports.
+ */
 constexpr size_t kQuotedBytes = 8;
 constexpr uint8_t kPortUnreachable = 3;
 constexpr uint32_t kFirstMulticastAddress = 0xE0000000U;
@@ -29,7 +31,7 @@
   return ip;
 }
 
-/** Sequence numbers that the segment takes up: its data, and one each for SYN and FIN. */
+/** Length of the segment in sequence numbers: its data, and one each for SYN and FIN. */
 uint32_t segmentLength(const ParsedPacket& parsed, const Tins::TCP& segment) {
   const size_t headers = parsed.networkHeaderLength + parsed.transportHeaderLength;
   return static_cast<uint32_t>(parsed.totalLength - headers) + segment.get_flag(Tins::TCP::SYN) +
--- a/source/common/packet/request_header.cc
+++ b/source/common/packet/request_header.cc
@@ -28,8 +28,8 @@
 }
 
 bool isPrintable(char character) {
-  return std::isalnum(static_cast<unsigned char>(character)) != 0 || character == '-' || character == '_' ||
-         character == '.' || character == ':' || character == '/';
+  return std::isalnum(static_cast<unsigned char>(character)) != 0 || character == '-' ||
+         character == '_' || character == '.' || character == ':' || character == '/';
 }
 
 }  // namespace
@@ -45,7 +45,7 @@
     const size_t begin = end + kLineEnd.size();
     end = payload.find(kLineEnd, begin);
     if (end == std::string_view::npos || end == begin) {
-      return {};  // The head ends, or its rest is in another packet.
+      return {};  // The headers end, or continue in another packet.
     }
     const std::string_view line = payload.substr(begin, end - begin);
     if (isHeaderLine(line, header)) {
@@ -58,7 +58,8 @@
 std::string printableRequestId(std::string_view id) {
   std::string printable(id.substr(0, kMaxRequestIdLength));
   std::replace_if(
-      printable.begin(), printable.end(), [](char character) { return !isPrintable(character); }, '?');
+      printable.begin(), printable.end(), [](char character) { return !isPrintable(character); },
+      '?');
   return printable;
 }
 
--- a/source/common/packet/request_header.h
+++ b/source/common/packet/request_header.h
@@ -1,8 +1,8 @@
 /**
- * @file The identifier of a request, read from the first bytes of its HTTP/1.1 head.
+ * @file Extraction of a request identifier from the start of an HTTP/1.1 request.
  *
- * For logs only: nothing is decided by it. A request whose head doesn't begin with the payload, or
- * whose header lies beyond the payload's end, is not found.
+ * Used for logs only; no decision depends on it. The identifier is not found if the request does
+ * not start at the beginning of the payload, or if the header is beyond the payload's end.
  */
 #pragma once
 
@@ -11,17 +11,18 @@
 
 namespace umberhold {
 
-/** Longest identifier that is logged; a longer one is cut. */
+/** Maximum length of a logged identifier; longer ones are truncated. */
 constexpr size_t kMaxRequestIdLength = 64;
 
 /**
- * @param payload the packet's data. @param header name of the header, any case; empty: none.
- * @return the header's value as in the payload, or empty.
+ * @param payload the packet's data.
+ * @param header name of the header, case insensitive; empty: disabled.
+ * @return the header's value without surrounding whitespace, or empty. Points into the payload.
  */
 std::string_view findRequestId(std::string_view payload, std::string_view header);
 
-/** @return the identifier as it may stand in a line: cut, and '?' for signs that a line can't have.
- */
+/** @return the identifier in a form that is safe to log: truncated, and with '?' for characters
+ * outside letters, digits and -_.:/ */
 std::string printableRequestId(std::string_view id);
 
 }  // namespace umberhold
--- a/source/common/spread/config_spread.cc
+++ b/source/common/spread/config_spread.cc
@@ -8,17 +8,19 @@
 namespace umberhold {
 namespace {
 
-/** For this long after a difference the comparisons follow each other faster. */
+/** After a difference the comparisons run at a shorter period for this long. */
 constexpr Duration kDifferenceRetention = std::chrono::milliseconds(500);
-/** Peers that must hold the same before a starting node counts as caught up. */
+/** Number of peers with the same total that a starting node needs to count as caught up. */
 constexpr size_t kRequiredMatches = 2;
-/** Keys in one RecordRequest or announcement. */
+/** Maximum number of keys in one RecordRequest or announcement. */
 constexpr size_t kKeysPerMessage = 32;
-/** Share of comparisons that a starting node begins with other starting ones, if there are any. */
+/** Share of the comparisons that a starting node starts with other starting nodes, if there are
+ * any.
+ */
 constexpr double kStartingPeerShare = 0.75;
-/** Content that a settled node tells a starting one in one exchange, bytes. */
+/** Content that a caught-up node summarizes for a starting one in one exchange, bytes. */
 constexpr size_t kStartingPeerBytesPerExchange = 2048;
-/** What the digests of one step of a comparison cost, bytes. */
+/** Approximate size of the digests in one step of a comparison, bytes. */
 constexpr uint64_t kDigestBytes = 400;
 
 }  // namespace
@@ -44,8 +46,8 @@
 }
 
 /**
- * A sender that the view does not hold is of another region, or has just joined this one. A node
- * that starts knows neither members nor contacts and takes any such sender for foreign.
+ * A sender that is not in the view is in another region, or has just joined this one. A starting
+ * node has neither members nor contacts yet and treats any such sender as foreign.
  */
 bool ConfigSpread::isForeign(NodeId sender) const {
   return view_.find(sender) == nullptr && (!caughtUp_ || contacts_.isContact(sender));
@@ -122,7 +124,8 @@
     return;
   }
   if (rumor || fetched || foreign) {
-    // What a contact brought from another region has left that region's own contacts already.
+    // A record from another region's contact has already been sent by that region's own contacts to
+    // all other regions.
     rumors_[record.key] = !foreign;
   }
 }
@@ -149,7 +152,7 @@
   sendToOtherRegions(forOtherRegions);
 }
 
-/** Each record crosses to each region through some of this region's contacts, not through all. */
+/** Each record is sent to each other region by some of this region's contacts, not by all. */
 void ConfigSpread::sendToOtherRegions(const std::vector<RecordKey>& keys) {
   if (keys.empty() || !contacts_.isContact(ownRegion(), view_.self())) {
     return;
@@ -244,15 +247,16 @@
 }
 
 /**
- * A long comparison with a node that starts begins only within the budget. Nodes that have caught
- * up, and so may serve old news, are not held back; neither is another region, which has this node
- * alone to turn to; nor does a node hold back that has just started itself and serves no packets.
+ * Limits long comparisons with starting nodes to the transfer budget. Exempt are caught-up peers,
+ * which may be serving stale configuration; other regions, for which this node may be the only
+ * source; and this node itself while it is starting, since it serves no packets yet.
  */
 bool ConfigSpread::isTransferAllowed(TimePoint now, const DigestRequest& request, NodeId sender) {
   const bool isLong = !store_.changesSince(request.claim.total);
   const bool peerStarts = request.wantsReply;
   const bool isUnlimited = !caughtUp_ && isStarting(now);
-  return !isLong || !peerStarts || isUnlimited || isForeign(sender) || transferBudget_.hasTokens(now);
+  return !isLong || !peerStarts || isUnlimited || isForeign(sender) ||
+         transferBudget_.hasTokens(now);
 }
 
 bool ConfigSpread::isPeerStarting(NodeId peer) const {
@@ -265,9 +269,10 @@
   return now - *startedAt_ < options_.startTime;
 }
 
-/** What goes to another region, without limit, must not take the budget of this one's members. */
+/** Transfers to other regions are unlimited, so they are not charged to the budget for this
+ * region's members. */
 void ConfigSpread::chargeTransfer(TimePoint now, NodeId peer, uint64_t recordBytesBefore,
-                                 uint64_t otherBytes) {
+                                  uint64_t otherBytes) {
   if (isForeign(peer)) {
     return;
   }
@@ -288,11 +293,12 @@
     foreignSource_ = from;
   } else {
     regionDifference_ = now;
-    nextDigest_ = std::min(nextDigest_, now + period(regionDifference_, now, options_.digestPeriod));
+    nextDigest_ =
+        std::min(nextDigest_, now + period(regionDifference_, now, options_.digestPeriod));
   }
 }
 
-/** @return the time until the next comparison: less while the last ones differed. */
+/** @return the time until the next comparison, which is shorter after a recent difference. */
 Duration ConfigSpread::period(const std::optional<TimePoint>& difference, TimePoint now,
                               Duration usual) {
   if (!difference || now - *difference >= kDifferenceRetention) {
@@ -304,7 +310,7 @@
 void ConfigSpread::compareWithPeer(TimePoint now) {
   const Duration usual = caughtUp_ ? options_.digestPeriod : options_.healingPeriod;
   const Duration wait = period(regionDifference_, now, usual);
-  // Jitter of an eighth to either side keeps nodes that started together apart.
+  // Jitter of one eighth to either side desynchronizes nodes that started together.
   const auto jitter = Duration(
       static_cast<Duration::rep>(random_.below(static_cast<uint64_t>(wait.count()) / 4 + 1)));
   nextDigest_ = now + wait - wait / 8 + jitter;
@@ -314,9 +320,9 @@
 }
 
 /**
- * Nodes that start turn to others themselves, so a settled node leaves them alone. In the rush of
- * many starts most of the bytes have to come from the other starting nodes: settled ones may spend
- * little.
+ * Starting nodes initiate their own comparisons, so a caught-up node does not pick them. If many
+ * nodes start at once, most of the bytes have to come from other starting nodes, because the budget
+ * of caught-up nodes is small.
  */
 std::optional<Peer> ConfigSpread::pickForComparison(TimePoint now) {
   if (caughtUp_) {
@@ -335,11 +341,12 @@
   const Duration wait = period(foreignDifference_, now, usual);
   nextContacts_ = now + wait;
   if (!caughtUp_ && foreignSource_ != Endpoint{} && peers_.caughtUpPeerCount() == 0) {
-    // The first nodes of a region fetch everything from the node that turned to them.
+    // The first nodes of a region fetch everything from the foreign node that contacted them.
     exchange_.begin(foreignSource_, claim(), true);
     return;
   }
-  // A contact that starts has its own region to fetch from; others would feed it without limit.
+  // A starting contact fetches from its own region, because transfers from other regions are not
+  // limited.
   const bool fetchesFromOwnRegion = !caughtUp_ && peers_.caughtUpPeerCount() > 0;
   if (fetchesFromOwnRegion || !contacts_.isContact(ownRegion(), view_.self())) {
     return;
@@ -369,7 +376,7 @@
   }
 }
 
-/** A claim counts where this node holds the claimed total now or held it a short while ago. */
+/** A claim is confirmed if this node has the claimed total now or had it recently. */
 void ConfigSpread::applyClaim(const CompletenessClaim& received) {
   if (received.version <= inForceVersion_) {
     return;
--- a/source/common/spread/config_spread.h
+++ b/source/common/spread/config_spread.h
@@ -1,10 +1,10 @@
 /**
- * @file Brings every configuration record to every node and keeps it there.
+ * @file Distribution of all configuration records to all nodes.
  *
- * New records travel as rumors (push by fan-out, as in Demers et al., 1987); comparisons of digests
- * heal what the rumors missed, feed starting nodes, and join regions through their contacts. A
- * claim travels with both: who has the same total as a node effective at a version has every change
- * up to that version.
+ * New records are disseminated as rumors (push with a fan-out, as in Demers et al., 1987).
+ * Anti-entropy by comparison of digests repairs what the rumors missed, transfers the records to
+ * starting nodes, and connects regions through their contacts. Both carry a completeness claim: a
+ * node with the same total as a node at an effective version holds every change up to that version.
  */
 #pragma once
 
@@ -25,31 +25,33 @@
 
 namespace umberhold {
 
-/** One node's part in the spread. No I/O; not thread safe. */
+/** Configuration distribution of one node. No I/O; not thread safe. */
 class ConfigSpread {
  public:
-  /** All references are borrowed and must outlive this; the store's records change only through
-   * this. */
+  /** All references are borrowed and must outlive this. Only this object changes the records of the
+   * store. */
   ConfigSpread(const SpreadOptions& options, const MembershipView& view, RecordStore& store,
                RandomSource& random, MessageSink& sink);
 
   /**
-   * Takes records that this node read from the store. A list must be handed in whole, and watched
-   * changes in order: the highest version handed in is taken as complete once setStoreListed() was
-   * called.
+   * Publishes records that this node read from the store. A list must be passed as a whole, and
+   * watched changes in order: once setStoreListed() was called, this node counts as complete up to
+   * the highest version passed.
    */
   void publish(TimePoint now, const std::vector<ConfigRecord>& records);
   /**
-   * Takes one record that this node knows to be in the store, without having read what else is new
-   * there: it is effective and spreads at once, but completes no version.
+   * Publishes one record that is known to be in the store, while other new records there may not
+   * have been read yet: it is effective and disseminated at once, but does not make its version
+   * complete.
    */
   void publishUnconfirmed(const ConfigRecord& record);
-  /** This node has listed the store and handed everything in: it needs no peer to be caught up. */
+  /** Marks that this node has listed the store and published everything: it is caught up without
+   * any peer. */
   void setStoreListed();
-  /** Publishes changed region contacts; for elected readers. */
+  /** Publishes changed region contacts. Called by elected readers only. */
   void setMachineList(TimePoint now, const std::vector<ContactCandidate>& machines);
 
-  /** Runs what is due; call at least every 50 ms. */
+  /** Sends rumors, retries and comparisons that are due; call at least every 50 ms. */
   void tick(TimePoint now);
   void handle(TimePoint now, const Endpoint& from, NodeId sender, const RecordPush& push);
   void handle(TimePoint now, const Endpoint& from, NodeId sender, const RecordFragment& fragment);
@@ -57,7 +59,8 @@
   void handle(TimePoint now, const Endpoint& from, NodeId sender, const DigestReply& reply);
   void handle(TimePoint now, const Endpoint& from, NodeId sender, const RecordRequest& request);
 
-  /** @return whether this node once held what its peers, or the store, held; it stays true. */
+  /** @return whether this node has at some time held the same records as its peers, or the store.
+   * Remains true afterwards. */
   bool caughtUp() const { return caughtUp_; }
   /** @return the store version up to which every change is effective on this node. */
   uint64_t effectiveVersion() const { return inForceVersion_; }
@@ -72,14 +75,15 @@
   void compareWithPeer(TimePoint now);
   void compareWithContacts(TimePoint now);
   std::optional<Peer> pickForComparison(TimePoint now);
-  /** @return whether the member is known to have not caught up yet. */
+  /** @return whether the peer has not caught up yet, as far as known. */
   bool isPeerStarting(NodeId peer) const;
-  /** @return whether this node began less than SpreadOptions::startTime ago. */
+  /** @return whether this node started less than SpreadOptions::startTime ago. */
   bool isStarting(TimePoint now);
   void sendToOtherRegions(const std::vector<RecordKey>& keys);
   bool isTransferAllowed(TimePoint now, const DigestRequest& request, NodeId sender);
   void chargeTransfer(TimePoint now, NodeId peer, uint64_t recordBytesBefore, uint64_t otherBytes);
-  /** @return how many times its budget a node may spend where members are few for the records. */
+  /** @return the factor by which a node may exceed its budget if the region has few members
+   * relative to the size of the records. */
   double budgetFactor();
   void recordDifference(TimePoint now, const Endpoint& from, NodeId sender);
   Duration period(const std::optional<TimePoint>& difference, TimePoint now, Duration usual);
@@ -101,21 +105,21 @@
   RecordFetcher fetcher_;
   DigestExchange exchange_;
 
-  /** New records to pass on; true for those that also go to other regions. */
+  /** New records to be sent as rumors; true for those that are also sent to other regions. */
   std::map<RecordKey, bool> rumors_;
-  /** The claim of the highest version that this node cannot yet confirm. */
+  /** The claim with the highest version that this node cannot confirm yet. */
   CompletenessClaim pendingClaim_;
   uint64_t inForceVersion_ = 0;
   uint64_t publishedVersion_ = 0;
   bool storeListed_ = false;
   bool caughtUp_ = false;
-  /** Caught-up peers that held the same total. */
+  /** Peers that have caught up and reported the same total. */
   std::set<NodeId> matches_;
   uint64_t matchedTotal_ = 0;
-  /** When a comparison within the region, and with another region, last differed. */
+  /** Time of the last differing comparison within the region and with another region. */
   std::optional<TimePoint> regionDifference_;
   std::optional<TimePoint> foreignDifference_;
-  /** Node of another region that this node last differed with. */
+  /** Node of another region in the last differing comparison. */
   Endpoint foreignSource_;
   std::optional<TimePoint> startedAt_;
   TimePoint nextDigest_;
--- a/source/common/spread/contact_book.cc
+++ b/source/common/spread/contact_book.cc
@@ -23,7 +23,8 @@
   return {};
 }
 
-/** Keeps contacts that are listed unchanged, then fills up in the order of the list. */
+/** Keeps contacts whose entry in the list is unchanged, then adds nodes in the order of the list.
+ */
 RegionContacts choose(const RegionContacts& known, const std::vector<RegionContact>& listed) {
   RegionContacts chosen;
   for (const RegionContact& contact : known.contacts) {
@@ -94,7 +95,7 @@
 }
 
 bool ContactBook::isForwarder(RegionId own, NodeId contact, const RecordKey& key, RegionId region,
-                          size_t forwarders) const {
+                              size_t forwarders) const {
   const auto found = contacts_.find(own);
   if (found == contacts_.end()) {
     return false;
--- a/source/common/spread/contact_book.h
+++ b/source/common/spread/contact_book.h
@@ -1,4 +1,4 @@
-/** @file Which nodes stand in for which region, as the records say. */
+/** @file The contact nodes of each region, from the configuration records. */
 #pragma once
 
 #include <map>
@@ -13,16 +13,16 @@
 
 namespace umberhold {
 
-/** Nodes that serve as contacts of one region. */
+/** Number of nodes that serve as contacts of one region. */
 constexpr size_t kContactsPerRegion = 3;
 
-/** A machine of the platform's list that may become a contact. */
+/** A machine of the platform's list that can be selected as a contact. */
 struct ContactCandidate {
   std::string region;
   RegionContact node;
 };
 
-/** Contacts by region; add it to the store as an observer. */
+/** Contacts by region; must be added to the store as an observer. */
 class ContactBook : public RecordObserver {
  public:
   void onRecordApplied(const ConfigRecord& record) override;
@@ -31,30 +31,31 @@
   bool isContact(RegionId region, NodeId node) const;
   /** @return whether the node is a contact of any region. */
   bool isContact(NodeId node) const;
-  /** @return one random contact of each region but this. */
+  /** @return one random contact of each region other than `own`. */
   std::vector<RegionContact> pickOthers(RegionId own, RandomSource& random) const;
-  /** @return a random contact of the region, if it has any. */
+  /** @return a random contact of the region, or std::nullopt if it has none. */
   std::optional<RegionContact> pickOf(RegionId region, RandomSource& random) const;
-  /** @return all regions with contacts but this. */
+  /** @return all regions with contacts other than `own`. */
   std::vector<RegionId> otherRegions(RegionId own) const;
-  /** @return up to `count` of them, in random order. */
+  /** @return up to `count` of the other regions, in random order. */
   std::vector<RegionId> pickRegions(RegionId own, size_t count, RandomSource& random) const;
   /**
-   * @return whether the contact is one of the `carriers` that bring the object to the region: the
-   * best of its region's contacts by rendezvous hashing over object and region.
+   * @return whether the contact is one of the `forwarders` that send the object to the region:
+   * those of its region's contacts with the highest scores in rendezvous hashing over object and
+   * region.
    */
   bool isForwarder(RegionId own, NodeId contact, const RecordKey& key, RegionId region,
-               size_t forwarders) const;
+                   size_t forwarders) const;
 
  private:
   std::map<RegionId, std::vector<RegionContact>> contacts_;
 };
 
 /**
- * Compares the effective contacts with a machine list: listed ones stay, others are replaced.
- * @return records to publish, for the regions whose contacts change. Their versions count on from
- * the known record's; two readers may pick the same version, and the store then settles on one
- * content.
+ * Compares the effective contacts with a machine list: listed ones remain, others are replaced.
+ * @return records to publish, for the regions whose contacts change. Their versions continue from
+ * the known record's version; two readers may pick the same version, in which case all record
+ * stores keep the same one of the two contents.
  */
 std::vector<ConfigRecord> contactRecordsFor(const RecordStore& store,
                                             const std::vector<ContactCandidate>& machines);
--- a/source/common/spread/coverage.cc
+++ b/source/common/spread/coverage.cc
@@ -8,17 +8,17 @@
 namespace umberhold {
 namespace {
 
-/** Reports older than this many report periods are no longer counted. */
+/** Number of report periods after which a child's report expires. */
 constexpr int kReportPeriodsKept = 3;
-/** Children, and nodes that took this one for their parent a short while ago. */
+/** Maximum number of stored reports: those of children, and of nodes whose parent was this node
+ * until recently. */
 constexpr size_t kMaxReports = 4 * kCoverageFanIn;
 
 bool isCounted(const Member& member) {
   return member.state == MemberState::kAlive || member.state == MemberState::kSuspect;
 }
 
-/** Adds a part of the tree; what is effective there at an older version does not count for a newer
- * one. */
+/** Adds the report of a subtree. Nodes at an older version do not count for a newer one. */
 void add(CoverageReport& sum, const CoverageReport& part) {
   if (part.version > sum.version) {
     sum.nodesAtVersion = 0;
@@ -161,7 +161,7 @@
                       const CoverageReport& report) {
   refreshTree();
   if (report.region == region_) {
-    // Kept also where this node's view does not know the sender as a child yet.
+    // Stored even if the sender is not a child in this node's view yet.
     if (reports_.size() < kMaxReports) {
       reports_[sender] = ChildReport{report, now};
     }
--- a/source/common/spread/coverage.h
+++ b/source/common/spread/coverage.h
@@ -1,10 +1,10 @@
 /**
- * @file On how many nodes of each region the configuration is effective.
+ * @file Aggregation of the number of nodes per region on which a configuration is effective.
  *
- * The members of a region, by rising id, form a tree of kCoverageFanIn children a node. Each node
- * reports the sum of its part to its parent: soon after it changes, and once in a while. The first
- * member is the root; roots tell other regions through the contacts. Whoever wants to know asks its
- * root, so that nothing is spent on telling everybody.
+ * The members of a region, in ascending order of ids, form a tree with kCoverageFanIn children per
+ * node. Each node reports the sum of its subtree to its parent, soon after a change and
+ * periodically. The first member is the root; roots report to other regions through the contacts.
+ * Nodes query the root of their region on demand, which saves sending the summary to all nodes.
  */
 #pragma once
 
@@ -21,27 +21,27 @@
 
 namespace umberhold {
 
-/** Children of one node in the tree. */
+/** Maximum number of children of one node in the tree. */
 constexpr size_t kCoverageFanIn = 8;
 
-/** Periods of the coverage reports. */
+/** Intervals of the coverage reports. */
 struct CoverageOptions {
-  /** A changed sum is reported at most this often. */
+  /** Minimum interval between two reports of a changed sum. */
   Duration reportGap = std::chrono::seconds(1);
-  /** The same from a region's root to the other regions. */
+  /** The same for reports from a region's root to other regions. */
   Duration regionReportGap = std::chrono::seconds(3);
-  /** After a change, a node waits this long per level below it, so that its children report first.
-   */
+  /** Delay of a report after a change, per tree level below the node, so that its children report
+   * first. */
   Duration aggregationDelay = std::chrono::milliseconds(250);
-  /** An unchanged sum is reported again this often. */
+  /** Interval at which an unchanged sum is reported again. */
   Duration reportPeriod = std::chrono::seconds(5);
-  /** How often an interested node asks the root. */
+  /** Interval of the queries to the root. */
   Duration queryPeriod = std::chrono::seconds(1);
-  /** For how long a call of refresh() keeps this node interested. */
+  /** Time for which a node continues to query the root after a call of refresh(). */
   Duration queryDuration = std::chrono::seconds(30);
 };
 
-/** One node's part in the sums. No I/O; not thread safe. */
+/** Coverage aggregation of one node. No I/O; not thread safe. */
 class Coverage {
  public:
   /** All references are borrowed and must outlive this. */
@@ -54,11 +54,11 @@
   void handle(TimePoint now, const Endpoint& from, NodeId sender, const CoverageQuery& query);
   void handle(TimePoint now, const Endpoint& from, NodeId sender, const CoverageSummary& summary);
 
-  /** Begins (or goes on) to ask the root for the summary. */
+  /** Starts or extends the periodic queries of the root for the summary. */
   void refresh(TimePoint now) { queryUntil_ = now + options_.queryDuration; }
-  /** @return the last known sums, one per region; empty before the first answer. */
+  /** @return the last received sums, one per region; empty before the first answer. */
   const std::vector<CoverageReport>& summary() const { return summary_; }
-  /** @return when summary() was received. */
+  /** @return the time at which summary() was received. */
   TimePoint summaryAt() const { return summaryAt_; }
 
  private:
@@ -82,21 +82,21 @@
 
   std::optional<uint64_t> revision_;
   RegionId region_;
-  /** Empty for the root itself, and for a node that is not counted. */
+  /** Empty for the root, and for a node that is not counted. */
   std::optional<Member> parent_;
   std::optional<Member> root_;
   bool isRoot_ = false;
   std::vector<NodeId> children_;
-  /** Levels of the tree below this node. */
+  /** Number of tree levels below this node. */
   int height_ = 0;
 
   uint64_t inForceVersion_ = 0;
   std::map<NodeId, ChildReport> reports_;
-  /** Kept by the root. */
+  /** Latest reports of other regions; only on the root. */
   std::map<RegionId, ChildReport> otherRegions_;
   CoverageReport lastSent_;
   TimePoint lastSentAt_;
-  /** When the sum first differed from what was sent. */
+  /** Time at which the sum first differed from the last report. */
   std::optional<TimePoint> changedAt_;
   TimePoint queryUntil_;
   TimePoint nextQuery_;
--- a/source/common/spread/digest_exchange.cc
+++ b/source/common/spread/digest_exchange.cc
@@ -10,12 +10,13 @@
 namespace umberhold {
 namespace {
 
-/** Changes that a peer may be behind to get just these instead of a comparison. */
+/** A peer that lacks at most this many recent changes is sent them directly, without a further
+ * comparison. */
 constexpr size_t kMaxPushedChanges = 16;
-/** Encoded size of a RecordVersion beyond its name. */
+/** Approximate encoded size of a RecordVersion without its name, bytes. */
 constexpr size_t kVersionOverhead = 14;
 
-/** @return about how many bytes they take in a message. */
+/** @return the approximate encoded size, bytes. */
 size_t sizeOf(const std::vector<RecordVersion>& versions) {
   size_t size = 0;
   for (const RecordVersion& version : versions) {
@@ -73,7 +74,7 @@
 }
 
 std::vector<uint32_t> DigestExchange::limitBytes(std::vector<uint32_t> buckets,
-                                                  size_t byteLimit) const {
+                                                 size_t byteLimit) const {
   size_t bytes = 0;
   size_t count = 0;
   while (count < buckets.size() && (count == 0 || bytes < byteLimit)) {
@@ -108,7 +109,8 @@
   }
 }
 
-/** A bucket too long for one datagram: no part is the whole content, so each only announces. */
+/** Sends a bucket that is too large for one datagram. No datagram holds its complete content, so
+ * each one only announces records. */
 void DigestExchange::announce(const Endpoint& to, const std::vector<RecordVersion>& versions,
                               const CompletenessClaim& own, bool caughtUp) {
   DigestReply reply{own, caughtUp, {}, {}};
@@ -154,7 +156,7 @@
   for (const RecordVersion& record : store_.versionsIn(bucket)) {
     const auto known = peerVersions.find(record.key);
     const uint64_t version = known == peerVersions.end() ? 0 : known->second;
-    // Versions of contacts are counted by several readers: equal ones may differ in content.
+    // Several readers assign versions to contact records, so equal versions may differ in content.
     const bool mayDiffer = record.key.kind == ObjectKind::kRegionContacts;
     if (record.version > version || (mayDiffer && record.version == version)) {
       keys.push_back(record.key);
--- a/source/common/spread/digest_exchange.h
+++ b/source/common/spread/digest_exchange.h
@@ -1,8 +1,10 @@
 /**
- * @file Comparison of two stores, level by level: total, groups of buckets, buckets, records.
+ * @file Anti-entropy comparison of two stores, level by level: total, groups of buckets, buckets,
+ * records.
  *
- * Stateless and bounded: one exchange reconciles at most a few buckets, and whoever still differs
- * begins another. So the begin rate alone is the flow control of a node that fetches everything.
+ * Stateless and bounded: one exchange reconciles at most a few buckets, and nodes that still differ
+ * start another one. The rate at which exchanges are started is therefore the only flow control of
+ * a node that fetches all records.
  */
 #pragma once
 
@@ -14,15 +16,16 @@
 
 namespace umberhold {
 
-/** What a digest message has shown. */
+/** Result of a digest comparison. */
 enum class DigestOutcome : uint8_t { kEqual, kPeerIsBehind, kDiffers };
 
-/** Buckets that one exchange reconciles at most. */
+/** Maximum number of buckets that one exchange reconciles. */
 constexpr size_t kBucketsPerExchange = 16;
-/** Content of the buckets that one exchange reconciles, bytes: a bucket more is begun below it. */
+/** Content of the buckets that one exchange reconciles, bytes; another bucket is added as long as
+ * the content is below it. */
 constexpr size_t kBytesPerExchange = 4096;
 
-/** Answers digest messages. */
+/** Starts comparisons and answers digest messages. */
 class DigestExchange {
  public:
   DigestExchange(const RecordStore& store, RecordSender& sender, RandomSource& random,
@@ -30,20 +33,20 @@
       : store_(store), sender_(sender), random_(random), sink_(sink) {}
 
   void begin(const Endpoint& to, const CompletenessClaim& claim, bool wantsReply);
-  /** Goes one level deeper where the digests differ; equal totals are left to the caller.
-   * @param byteLimit for the content of the buckets that the peer gets; one bucket at least.
+  /** Compares one level deeper if the digests differ; sends nothing if the totals are equal.
+   * @param byteLimit for the content of the summarized buckets; at least one bucket is sent.
    */
   DigestOutcome onRequest(const Endpoint& from, const DigestRequest& request,
                           const CompletenessClaim& own, bool caughtUp, size_t byteLimit);
-  /** Takes the whole content of the sender's buckets: pushes what is newer here, if `mayPush`;
-   * @return what is newer there. */
+  /** Processes the complete content of the sender's buckets: if `mayPush`, pushes the records that
+   * are newer in this store. @return the versions that are newer at the sender. */
   std::vector<RecordVersion> onSummary(const Endpoint& from, const DigestReply& reply,
                                        const CompletenessClaim& own, bool mayPush);
 
  private:
   std::vector<uint32_t> pickDiffering(const std::vector<uint64_t>& own,
                                       const std::vector<uint64_t>& other, size_t limit);
-  /** @return the first buckets whose content stays within the limit, the first one in any case. */
+  /** @return the first buckets up to the limit on their content, at least one. */
   std::vector<uint32_t> limitBytes(std::vector<uint32_t> buckets, size_t byteLimit) const;
   void sendSummaries(const Endpoint& to, const std::vector<uint32_t>& buckets,
                      const CompletenessClaim& own, bool caughtUp);
--- a/source/common/spread/peer_picker.cc
+++ b/source/common/spread/peer_picker.cc
@@ -52,7 +52,7 @@
 std::vector<Peer> PeerPicker::pick(size_t count) {
   refresh();
   const size_t wanted = std::min(count, peers_.size());
-  // The first places of a Fisher-Yates shuffle.
+  // A partial Fisher-Yates shuffle.
   for (size_t place = 0; place < wanted; ++place) {
     std::swap(peers_[place], peers_[place + random_.below(peers_.size() - place)]);
   }
--- a/source/common/spread/peer_picker.h
+++ b/source/common/spread/peer_picker.h
@@ -1,4 +1,4 @@
-/** @file Random peers out of a membership view, without a walk over the view each time. */
+/** @file Random selection of peers, without iterating over the membership view each time. */
 #pragma once
 
 #include <optional>
@@ -15,20 +15,21 @@
   Endpoint control;
 };
 
-/** Caches the usable peers of one revision of the view. */
+/** Caches the usable peers of the current revision of the view. */
 class PeerPicker {
  public:
   PeerPicker(const MembershipView& view, RandomSource& random) : view_(view), random_(random) {}
 
-  /** @return a random member that is neither dead, suspect nor this node. */
+  /** @return a random member that is not dead, suspect or this node; std::nullopt if there is none.
+   */
   std::optional<Peer> pick();
-  /** @return a random one of those that have caught up; of all where there is none. */
+  /** @return a random peer that has caught up, or any peer if there is none. */
   std::optional<Peer> pickCaughtUp();
-  /** @return a random one of those that start, if any does. */
+  /** @return a random peer that is starting, or std::nullopt if there is none. */
   std::optional<Peer> pickStarting();
-  /** @return up to `count` different ones. */
+  /** @return up to `count` distinct random peers. */
   std::vector<Peer> pick(size_t count);
-  /** @return how many other members serve as a source: they have caught up once. */
+  /** @return the number of other members that have caught up, suspect ones included. */
   size_t caughtUpPeerCount();
 
  private:
--- a/source/common/spread/record_fetcher.cc
+++ b/source/common/spread/record_fetcher.cc
@@ -7,14 +7,14 @@
 namespace umberhold {
 namespace {
 
-/** Beyond these the comparisons of digests bring what is missing. */
+/** Maximum number of concurrent fetches; further records are obtained by digest comparison. */
 constexpr size_t kMaxFetches = 256;
 constexpr int kMaxAttempts = 4;
 
 }  // namespace
 
 void RecordFetcher::onAnnouncement(TimePoint now, const Endpoint& from,
-                              const std::vector<RecordVersion>& newer) {
+                                   const std::vector<RecordVersion>& newer) {
   RecordRequest request;
   for (const RecordVersion& record : newer) {
     const auto known = fetches_.find(record.key);
--- a/source/common/spread/record_fetcher.h
+++ b/source/common/spread/record_fetcher.h
@@ -1,4 +1,4 @@
-/** @file Announced records that this node is fetching, so that each is asked for once at a time. */
+/** @file Fetches of announced records, with at most one outstanding request per record. */
 #pragma once
 
 #include <map>
@@ -11,16 +11,16 @@
 
 namespace umberhold {
 
-/** Fetches announced records, and turns to another announcer where no answer comes. */
+/** Fetches announced records; after a timeout it retries with the latest announcer. */
 class RecordFetcher {
  public:
   RecordFetcher(Duration timeout, MessageSink& sink) : timeout_(timeout), sink_(sink) {}
 
-  /** Takes an announcement of records that are newer than this node's. */
+  /** Processes an announcement of records that are newer than this node's. */
   void onAnnouncement(TimePoint now, const Endpoint& from, const std::vector<RecordVersion>& newer);
-  /** @return whether the record was being fetched; it no longer is. */
+  /** Ends the fetch of a record that has arrived; @return whether it was being fetched. */
   bool onArrival(const RecordKey& key, uint64_t version);
-  /** Asks again where an answer is overdue: another announcer where there was one. */
+  /** Repeats requests that have timed out, to the latest announcer. */
   void tick(TimePoint now);
 
  private:
--- a/source/common/spread/record_sender.cc
+++ b/source/common/spread/record_sender.cc
@@ -8,9 +8,9 @@
 namespace umberhold {
 namespace {
 
-/** Answer to one request at most; the next comparison brings the rest. */
+/** Maximum size of the answer to one request; the next comparison transfers the rest. */
 constexpr size_t kMaxAnswerBytes = 32768;
-/** Encoded size of a record beyond its name and payload. */
+/** Approximate encoded size of a record without its name and payload, bytes. */
 constexpr size_t kRecordOverhead = 20;
 constexpr size_t kMaxFragments = 64;
 constexpr size_t kMaxPartials = 8;
--- a/source/common/spread/record_sender.h
+++ b/source/common/spread/record_sender.h
@@ -1,4 +1,4 @@
-/** @file Packs records into datagrams, and puts the pieces of large ones together again. */
+/** @file Packing of records into datagrams, and reassembly of fragmented records. */
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,8 @@
 
 namespace umberhold {
 
-/** Room for records in one datagram, below the 1,400 bytes that every path carries. */
+/** Maximum size of the records in one datagram; it leaves room for headers below the 1,400 bytes
+ * that every path carries. */
 constexpr size_t kDatagramRecordBytes = 1150;
 
 /** Sends records in as few datagrams as they need. */
@@ -20,10 +21,10 @@
  public:
   RecordSender(const RecordStore& store, MessageSink& sink) : store_(store), sink_(sink) {}
 
-  /** Sends the records of these keys that the store holds, up to a bound on the bytes. */
+  /** Sends the records with these keys that the store holds, up to a limit on the total size. */
   void send(const Endpoint& to, const std::vector<RecordKey>& keys, bool rumor,
             const CompletenessClaim& claim);
-  /** @return bytes of records sent so far. */
+  /** @return the total size of all records sent so far, bytes. */
   uint64_t bytesSent() const { return bytesSent_; }
 
  private:
@@ -34,10 +35,11 @@
   uint64_t bytesSent_ = 0;
 };
 
-/** Collects the fragments of large records; the oldest incomplete one gives way. */
+/** Reassembles fragmented records. If there are too many incomplete ones, the oldest is discarded.
+ */
 class RecordAssembler {
  public:
-  /** @return the whole record once its last missing fragment has come. */
+  /** @return the complete record if this was its last missing fragment. */
   std::optional<ConfigRecord> add(const RecordFragment& fragment);
 
  private:
--- a/source/common/spread/record_store.cc
+++ b/source/common/spread/record_store.cc
@@ -9,7 +9,7 @@
 namespace umberhold {
 namespace {
 
-/** Changes whose effect on the total is remembered. */
+/** Number of recent changes for which the previous total is kept. */
 constexpr size_t kRememberedChanges = 32;
 
 uint64_t hashOf(const RecordKey& key) {
@@ -24,7 +24,7 @@
   return mixHash(hashBytes(payload), deleted ? 1 : 0);
 }
 
-/** Of two different contents under one version every node keeps the same. */
+/** Compares versions; if they are equal, content hashes, so that all nodes keep the same record. */
 bool isNewer(const ConfigRecord& record, const RecordView& known) {
   if (record.version != known.version) {
     return record.version > known.version;
--- a/source/common/spread/record_store.h
+++ b/source/common/spread/record_store.h
@@ -1,4 +1,4 @@
-/** @file Every configuration record that a node holds: the newest version of each object. */
+/** @file A node's configuration records: the newest version of each object. */
 #pragma once
 
 #include <array>
@@ -15,19 +15,20 @@
 
 namespace umberhold {
 
-/** Buckets of the digest, in groups, so that each list of digests fits into one datagram. */
+/** The digest has buckets that are arranged in groups, so that each list of digests fits into one
+ * datagram. */
 constexpr uint32_t kDigestGroups = 32;
 constexpr uint32_t kBucketsPerGroup = 32;
 constexpr uint32_t kDigestBuckets = kDigestGroups * kBucketsPerGroup;
 
-/** Is notified of every record that became the newest of its object. */
+/** Notified of every record that became the newest of its object. */
 class RecordObserver {
  public:
   virtual ~RecordObserver() = default;
   virtual void onRecordApplied(const ConfigRecord& record) = 0;
 };
 
-/** A record without a copy of its bytes; valid until the next change of the store. */
+/** A view of a record, without a copy of its bytes; valid until the next change of the store. */
 struct RecordView {
   ObjectKind kind = ObjectKind::kService;
   std::string_view name;
@@ -37,11 +38,11 @@
 };
 
 /**
- * Records by key; never goes back to an older version.
+ * Records by key; the version of an object never decreases.
  *
- * Deletions stay as tombstones. The newest kMaxTombstones of them (by version) are kept, the same
- * ones on every node; an object deleted longer ago than that could come back from a node that was
- * cut off while all of these deletions happened and that kept running.
+ * Deletions are kept as tombstones. All nodes retain the same kMaxTombstones newest ones (by
+ * version). An object with an older deletion could reappear only from a node that was partitioned
+ * while all of these deletions happened and that kept running.
  */
 class RecordStore {
  public:
@@ -49,13 +50,12 @@
 
   void addObserver(RecordObserver* observer) { observers_.push_back(observer); }
 
-  /** Takes a record; @return whether it was newer than what was known, and the observers were
-   * called.
-   */
+  /** Applies a record if it is newer than the known one. @return whether it was applied; if so, the
+   * observers were called. */
   bool apply(const ConfigRecord& record);
 
   std::optional<ConfigRecord> find(const RecordKey& key) const;
-  /** @return the version held of that object, 0 for none. */
+  /** @return the version of the object's record, 0 if there is none. */
   uint64_t versionOf(const RecordKey& key) const;
   /** Visits every record, tombstones included. */
   template <class Visitor>
@@ -69,29 +69,30 @@
 
   /** @return the number of records, tombstones included. */
   size_t size() const { return size_; }
-  /** @return names and payloads of all records, bytes. */
+  /** @return the total size of the names and payloads of all records, bytes. */
   size_t bytes() const { return bytes_; }
   size_t tombstones() const { return tombstones_.size(); }
-  /** @return the highest store version held; region contacts don't count: they have versions of
-   * their own. */
+  /** @return the highest store version of a record. Region contacts are excluded, because they have
+   * a separate version sequence. */
   uint64_t highestVersion() const { return highestVersion_; }
 
-  /** @return a digest of all records: equal where two stores hold the same. */
+  /** @return a digest of all records, which is equal for stores with the same records. */
   uint64_t total() const { return total_; }
   /** @return one digest per group. */
   std::vector<uint64_t> groupDigests() const;
   /** @return one digest per bucket of the group. */
   std::vector<uint64_t> bucketDigests(uint32_t group) const;
-  /** @return keys and versions in one bucket. */
+  /** @return the keys and versions of the records in one bucket. */
   std::vector<RecordVersion> versionsIn(uint32_t bucket) const;
-  /** @return names and payloads in one bucket, bytes. */
+  /** @return the total size of the names and payloads in one bucket, bytes. */
   size_t bytesIn(uint32_t bucket) const;
-  /** @return keys of the records applied since the store's total was this, oldest first; nothing
-   * where that is too long ago. */
+  /** @return the keys of the records applied since the store had the given total, oldest first;
+   * std::nullopt if that is too long ago, or the store never had it. */
   std::optional<std::vector<RecordKey>> changesSince(uint64_t total) const;
 
  private:
-  /** Name and payload lie in one allocation: there are tens of thousands of entries. */
+  /** Name and payload share one allocation to save memory: there are tens of thousands of entries.
+   */
   struct Entry {
     uint64_t keyHash = 0;
     uint64_t version = 0;
@@ -104,7 +105,7 @@
     RecordView view() const;
   };
   using Bucket = std::vector<Entry>;
-  /** Version and key hash: an order that is the same on every node. */
+  /** Version and key hash, an order that is the same on all nodes. */
   using TombstoneOrder = std::pair<uint64_t, uint64_t>;
   struct Change {
     uint64_t totalBefore = 0;
@@ -130,7 +131,7 @@
   size_t bytes_ = 0;
 };
 
-/** @return the bucket that an object belongs to, on every node. */
+/** @return the bucket of an object, which is the same on all nodes. */
 uint32_t digestBucketOf(const RecordKey& key);
 
 }  // namespace umberhold
--- a/source/common/spread/spread_options.h
+++ b/source/common/spread/spread_options.h
@@ -1,4 +1,4 @@
-/** @file Periods and sizes of the configuration spread. */
+/** @file Periods and limits of configuration distribution. */
 #pragma once
 
 #include <cstddef>
@@ -8,36 +8,39 @@
 
 namespace umberhold {
 
-/** Defaults fit regions of 2 to 2,000 members; see docs/decisions on the spread. */
+/** The defaults fit regions of 2 to 2,000 members; see docs/decisions on the spread. */
 struct SpreadOptions {
-  /** Random members that a new record is pushed to, or announced to. */
+  /** Number of random members that a new record is pushed or announced to. */
   size_t fanout = 4;
-  /** Records up to this size are pushed whole; larger ones are announced and fetched. */
+  /** Records up to this payload size are pushed; larger ones are announced and fetched. */
   size_t maxPushBytes = 0;
-  /** How long a fetch of an announced record may take before another announcer is asked. */
+  /** Time after which a fetch of an announced record is retried. */
   Duration fetchTimeout = std::chrono::milliseconds(100);
-  /** How often the total is compared with a random member's. */
+  /** Interval of the comparisons with a random member. */
   Duration digestPeriod = std::chrono::seconds(1);
   /** The same while the last comparison differed. */
   Duration healingPeriod = std::chrono::milliseconds(200);
-  /** The same while this node has not caught up, and the last comparison differed. */
+  /** The same while the last comparison differed and this node has not caught up. */
   Duration transferPeriod = std::chrono::milliseconds(20);
-  /** How often a contact compares with contacts of other regions, and with how many of them. */
+  /** Interval of a contact's comparisons with contacts of other regions, and the number of regions
+   * compared with each time. */
   Duration contactPeriod = std::chrono::seconds(2);
   size_t contactsCompared = 2;
-  /** How many contacts of a region carry one change to one other region. */
+  /** Number of contacts of a region that send one change to one other region. */
   size_t forwarders = 2;
-  /** Changes handed in at once beyond which nothing is pushed: the comparisons carry it. */
+  /** If more changes than this are published at once, none is sent as a rumor; the comparisons
+   * transfer them. */
   size_t rumorLimit = 64;
   /**
-   * What a node that has caught up spends on feeding nodes that start; without budget it leaves
-   * their comparisons unanswered and they turn to other members. Nodes that start feed each other
-   * without limit during startTime, for which the limits of control traffic leave a node out.
+   * Budget of a caught-up node for transfers to starting nodes. Once it is exhausted, the node does
+   * not answer their comparisons, and they compare with other members. Starting nodes transfer to
+   * each other without limit during startTime, for which a node is exempt from the limits of
+   * control traffic.
    */
   ByteBudgetOptions transferBudget{800, 1024};
   Duration startTime = std::chrono::seconds(30);
-  /** The settled members of a region together may spend a copy of all records in this time, also
-   * where that is more than the budget of each. */
+  /** Time in which the caught-up members of a region together may transfer one copy of all records,
+   * even if this exceeds the budget of each. */
   Duration fullCopyTime = std::chrono::seconds(3);
 };
 
--- a/source/common/wire/codec.cc
+++ b/source/common/wire/codec.cc
@@ -14,9 +14,9 @@
 using wire_internal::FieldReader;
 using wire_internal::FieldWriter;
 
-/** First chunk of the memory that parsing takes; most messages need no second. */
+/** Size of the first memory chunk for parsing; enough for most messages. */
 constexpr size_t kZoneChunkBytes = 2048;
-/** Space reserved for an encoded message: most fit a datagram. */
+/** Initially reserved size of an encoded message. */
 constexpr size_t kTypicalMessageBytes = 256;
 
 Result<std::string, EncodeError> finish(std::string output, const FieldWriter& writer) {
@@ -53,7 +53,7 @@
   return value;
 }
 
-/** Objects that operators create are held by every node: they are kept and sent compressed. */
+/** Objects are stored and sent compressed, because every node holds all of them. */
 template <class Struct>
 Result<std::string, EncodeError> encodeObject(const Struct& value,
                                               CompressionEffort effort = CompressionEffort::kBest) {
--- a/source/common/wire/codec.h
+++ b/source/common/wire/codec.h
@@ -1,11 +1,11 @@
 /**
- * @file Messages and configuration objects as msgpack.
+ * @file Encoding of messages and configuration objects as msgpack.
  *
- * A struct is the array of its fields in the order of visitFields; a message is
+ * A struct is encoded as the array of its fields in the order of visitFields; a message as
  * [number, fields...], where the number is the index in MessageBody. A decoder ignores fields that
- * a newer version has added at the end of a struct and refuses a struct with fewer fields than it
- * knows. To add another object: two functions in codec.cc over encodeStruct and decodeStruct.
- * Services and policies are compressed where that makes them shorter (wire/payload_compression.h).
+ * a newer version has appended to a struct and rejects a struct with missing fields. To add an
+ * object type, add two functions to codec.cc that use encodeStruct and decodeStruct. Services and
+ * policies are compressed if that makes them shorter (wire/payload_compression.h).
  */
 #pragma once
 
@@ -21,9 +21,9 @@
 
 namespace umberhold {
 
-/** @return the message's bytes. */
+/** @return the encoded message. */
 Result<std::string, EncodeError> encode(const Message& message);
-/** Decodes bytes of any origin. Memory is bounded by a small multiple of the input's size. */
+/** Decodes untrusted bytes. Memory use is bounded by a small multiple of the input's size. */
 Result<Message, DecodeError> decode(std::string_view bytes);
 
 /** Encodes a service as the payload of a ConfigRecord of kind kService. */
@@ -38,15 +38,15 @@
 Result<std::string, EncodeError> encodeRegionContacts(const RegionContacts& contacts);
 Result<RegionContacts, DecodeError> decodeRegionContacts(std::string_view payload);
 
-/** Encodes a reader's answer to a peer, compressed where that makes it shorter. */
+/** Encodes a reader's answer to a peer, compressed if that makes it shorter. */
 Result<std::string, EncodeError> encodePeerChanges(const PeerChanges& changes);
 Result<PeerChanges, DecodeError> decodePeerChanges(std::string_view bytes);
 
-/** Encodes a part of a reader's hosts, compressed where that makes it shorter. */
+/** Encodes a part of a reader's snapshot of hosts, compressed if that makes it shorter. */
 Result<std::string, EncodeError> encodeHostCopyPart(const HostCopyPart& part);
 Result<HostCopyPart, DecodeError> decodeHostCopyPart(std::string_view bytes);
 
-/** Encodes what a node tells its reader of hosts; a few bytes for each. */
+/** Encodes a node's report on hosts to its reader; a few bytes per host. */
 Result<std::string, EncodeError> encodeHostReport(const HostReport& report);
 Result<HostReport, DecodeError> decodeHostReport(std::string_view bytes);
 
--- a/source/common/wire/codec_error.h
+++ b/source/common/wire/codec_error.h
@@ -1,4 +1,4 @@
-/** @file Why a message could not be encoded or decoded. */
+/** @file Errors of encoding and decoding. */
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace umberhold {
 
-/** Why encoding failed. */
+/** Reason of an encoding failure. */
 enum class EncodeErrorCode : uint8_t {
   /** An enum field holds a value outside its range. */
   kInvalidEnum,
@@ -22,25 +22,26 @@
   bool operator==(const EncodeError&) const = default;
 };
 
-/** Why decoding failed. */
+/** Reason of a decoding failure. */
 enum class DecodeErrorCode : uint8_t {
   /** The input ends within a value. */
   kTruncated,
-  /** The input is no msgpack, or uses forms that messages never use (maps, extensions). */
+  /** The input is not valid msgpack, or contains types that messages never use (maps, extensions).
+   */
   kMalformed,
-  /** A field has another type than the message says. */
+  /** A field does not have the type that the message defines. */
   kWrongType,
-  /** An integer does not fit its field. */
+  /** An integer does not fit into its field. */
   kOutOfRange,
-  /** An enum has no such value. */
+  /** The value is not defined for the enum. */
   kInvalidEnum,
   /** A struct ends before its last field. */
   kMissingField,
-  /** A list claims more elements than allowed or than the input could hold. */
+  /** A list declares more elements than allowed or than the input can contain. */
   kTooManyElements,
-  /** Structs nest deeper than any message does. */
+  /** The nesting is deeper than that of any message. */
   kTooDeep,
-  /** Bytes follow the message. */
+  /** The message is followed by further bytes. */
   kTrailingBytes,
   /** The message number is unknown. */
   kUnknownMessage,
@@ -52,15 +53,15 @@
 /** A decoding failure. */
 struct DecodeError {
   DecodeErrorCode code = DecodeErrorCode::kMalformed;
-  /** Index of the failing field in its struct, or of the element in its list; 0 where there is
-   * none. */
+  /** Index of the invalid field in its struct, or of the element in its list; 0 if there is none.
+   */
   uint32_t field = 0;
   bool operator==(const DecodeError&) const = default;
 };
 
-/** Longest encoded message or object, bytes. */
+/** Maximum size of an encoded message or object, bytes. */
 constexpr size_t kMaxEncodedBytes = 1U << 20U;
-/** Longest list in a message or object. */
+/** Maximum length of a list in a message or object. */
 constexpr size_t kMaxElements = 1U << 16U;
 
 /** @return the snake_case label of a code. */
--- a/source/common/wire/enum_range.h
+++ b/source/common/wire/enum_range.h
@@ -1,5 +1,5 @@
 /**
- * @file Which values of each enum may arrive from the wire.
+ * @file Valid values of each enum in decoded input.
  *
  * Every enum that is a field of a message or of a configuration object has an overload of isValid
  * here; the codec does not compile without it.
--- a/source/common/wire/envelope.cc
+++ b/source/common/wire/envelope.cc
@@ -1,4 +1,4 @@
-/** @file Sealing and opening of datagrams. */
+/** @file Creation and authentication of datagrams. */
 #include "common/wire/envelope.h"
 
 #include "common/base/constant_time.h"
@@ -10,22 +10,22 @@
 
 using wire_internal::StringStream;
 
-/** Fields before the tag, and with it. */
+/** Number of fields, the tag included. */
 constexpr uint32_t kEnvelopeFields = 7;
-/** The tag's msgpack header: bin 8 and its length. */
+/** Msgpack header of the tag: bin 8 and its length. */
 constexpr std::string_view kTagHeader("\xC4\x10", 2);
 constexpr size_t kTagFieldBytes = kTagHeader.size() + kTagBytes;
-/** Memory for the parsed header. */
+/** Size of the first memory chunk for the parsed header. */
 constexpr size_t kZoneChunkBytes = 512;
 
-/** Positions of the fields. */
+/** Indices of the fields. */
 enum Field : uint8_t { kVersion, kKeyId, kSender, kIncarnation, kSequence, kBody, kTag };
 
 bool isUnsigned(const msgpack::object& object, uint64_t limit) {
   return object.type == msgpack::type::POSITIVE_INTEGER && object.via.u64 <= limit;
 }
 
-/** Whether the objects are those of an envelope, in the one form that seal() writes. */
+/** @return whether the object is an envelope in exactly the encoding that seal() writes. */
 bool hasEnvelopeFields(const msgpack::object& object, std::string_view datagram) {
   if (object.type != msgpack::type::ARRAY || object.via.array.size != kEnvelopeFields) {
     return false;
--- a/source/common/wire/envelope.h
+++ b/source/common/wire/envelope.h
@@ -1,11 +1,11 @@
 /**
- * @file The authenticated datagram that carries one message between nodes.
+ * @file Authenticated datagrams that carry one message each between nodes.
  *
- * msgpack [version, key id, sender, incarnation, sequence, body, tag]; the tag is HMAC-SHA256 cut
- * to 16 bytes over everything before it. Contents are authenticated, not hidden. The receiver is
- * not part of what is authenticated (a proxy may stand between), so a datagram caught on its way to
- * one node may be shown once to another; every message is harmless when it is repeated, late or
- * misdelivered.
+ * Format: msgpack [version, key id, sender, incarnation, sequence, body, tag]. The tag is
+ * HMAC-SHA256 over all preceding bytes, truncated to 16 bytes. Contents are authenticated, not
+ * encrypted. The receiver is not authenticated (a proxy may be in between), so an intercepted
+ * datagram can be replayed once to another node; all messages are harmless if they are duplicated,
+ * delayed or misdelivered.
  */
 #pragma once
 
@@ -21,14 +21,16 @@
 
 namespace umberhold {
 
-/** Version of the envelope's form. */
+/** Version of the envelope's format. */
 constexpr uint8_t kEnvelopeVersion = 1;
-/** Longest datagram between nodes, bytes; larger ones would be fragmented on usual links. */
+/** Maximum size of a datagram between nodes, bytes; larger ones would be fragmented on common
+ * links.
+ */
 constexpr size_t kMaxDatagramBytes = 1400;
-/** Most that the envelope adds to a body, bytes. */
+/** Maximum overhead of the envelope, bytes. */
 constexpr size_t kMaxEnvelopeOverhead = 64;
 
-/** Why a datagram was not taken. */
+/** Reason for which a datagram was rejected. */
 enum class OpenError : uint8_t {
   kMalformed,
   kUnsupportedVersion,
@@ -42,21 +44,21 @@
 /** @return the snake_case label of an error. */
 std::string_view toString(OpenError error);
 
-/** An authenticated datagram; the body refers to the datagram's bytes. */
+/** The content of an authenticated datagram; the body points into the datagram. */
 struct OpenedEnvelope {
   NodeId sender;
-  /** Start of the sender's process, Unix milliseconds. */
+  /** Start time of the sender's process, Unix milliseconds. */
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
   std::string_view body;
 };
 
-/** Seals the messages of one process. Not thread safe. */
+/** Creates the authenticated datagrams of one process. Not thread safe. */
 class EnvelopeSealer {
  public:
-  /** @param keys borrowed; @param incarnation start of this process, Unix milliseconds. */
+  /** @param keys borrowed. @param incarnation start time of this process, Unix milliseconds. */
   EnvelopeSealer(KeyRing& keys, NodeId self, uint64_t incarnation);
-  /** @return the datagram of the body, which is the next one in order. */
+  /** @return a datagram with the body and the next sequence number. */
   std::string seal(std::string_view body);
 
  private:
@@ -66,13 +68,13 @@
   uint64_t sequence_ = 0;
 };
 
-/** Opens datagrams, counts those refused. Not thread safe. */
+/** Authenticates received datagrams and counts rejected ones. Not thread safe. */
 class EnvelopeOpener {
  public:
   explicit EnvelopeOpener(KeyRing& keys);
-  /** @return the envelope, once only for each datagram of a sender. */
+  /** @return the envelope; a duplicate of an accepted datagram is rejected. */
   Result<OpenedEnvelope, OpenError> open(std::string_view datagram);
-  /** @return how many datagrams were refused for the reason. */
+  /** @return the number of datagrams rejected for the reason. */
   uint64_t refused(OpenError reason) const { return refused_[static_cast<size_t>(reason)]; }
 
  private:
--- a/source/common/wire/field_reader.cc
+++ b/source/common/wire/field_reader.cc
@@ -6,7 +6,7 @@
 namespace umberhold::wire_internal {
 namespace {
 
-/** Arrays within arrays; the deepest message has five. */
+/** Maximum nesting of arrays; the deepest message has five levels. */
 constexpr size_t kMaxDepth = 8;
 
 bool referToInput(msgpack::type::object_type, size_t, void*) {
--- a/source/common/wire/field_reader.h
+++ b/source/common/wire/field_reader.h
@@ -1,4 +1,5 @@
-/** @file Reads structs with visitFields from msgpack. Slow header: for .cc files of wire/ only. */
+/** @file Decoding of structs with visitFields from msgpack. This header is slow to compile: include
+ * it only in .cc files of wire/. */
 #pragma once
 
 #include <concepts>
@@ -18,12 +19,13 @@
 namespace umberhold::wire_internal {
 
 /**
- * Parses the bytes into objects of the zone; strings refer to the bytes.
- * A list may not claim more elements than there are bytes, so memory follows the input's size.
+ * Parses the bytes into objects allocated in the zone; strings point into the bytes.
+ * A list may not declare more elements than there are bytes, so memory use is proportional to the
+ * input's size.
  */
 Result<msgpack::object, DecodeError> parse(std::string_view bytes, msgpack::zone& zone);
 
-/** Fills structs from parsed objects; remembers the first failure. */
+/** Fills structs from parsed objects; keeps the first error. */
 class FieldReader {
  public:
   /** Called by visitFields: reads one struct from the current array. */
@@ -41,7 +43,7 @@
 
   /**
    * Reads a struct from an array object.
-   * @param skip leading elements that are no fields.
+   * @param skip number of leading elements that are not fields.
    */
   template <class Struct>
   bool readStruct(const msgpack::object& object, Struct& output, uint32_t skip = 0) {
@@ -167,10 +169,10 @@
 
   msgpack::object_array current_{};
   uint32_t skip_ = 0;
-  /** Fields at the end of the next struct that may be missing: they keep their defaults. */
+  /** Number of trailing fields of the next struct that may be missing; they keep their defaults. */
   uint32_t optional_ = 0;
   std::optional<DecodeError> error_;
-  /** Whether error_.field is already the innermost one. */
+  /** Whether error_.field is already set to the innermost field. */
   bool located_ = false;
 };
 
--- a/source/common/wire/field_writer.h
+++ b/source/common/wire/field_writer.h
@@ -1,4 +1,5 @@
-/** @file Writes structs with visitFields as msgpack. Slow header: for .cc files of wire/ only. */
+/** @file Encoding of structs with visitFields as msgpack. This header is slow to compile: include
+ * it only in .cc files of wire/. */
 #pragma once
 
 #include <concepts>
@@ -13,7 +14,7 @@
 
 namespace umberhold::wire_internal {
 
-/** A type that is written as its one integer, not as a struct. */
+/** A type that is encoded as a single integer instead of a struct. */
 template <class Type>
 concept Identifier = requires {
   typename Type::Representation;
@@ -29,7 +30,7 @@
   std::string& text_;
 };
 
-/** Visits fields and appends them to a string; remembers the first failure. */
+/** Visits fields and appends them to a string; keeps the first error. */
 class FieldWriter {
  public:
   explicit FieldWriter(std::string& output) : stream_(output), packer_(stream_) {}
@@ -45,7 +46,7 @@
     (write(fields), ...);
   }
 
-  /** Lets the next struct begin with a number. */
+  /** Prepends a number to the fields of the next struct. */
   void setPrefix(uint32_t prefix) {
     prefix_ = prefix;
     prefixLength_ = 1;
--- a/source/common/wire/key_ring.cc
+++ b/source/common/wire/key_ring.cc
@@ -1,4 +1,4 @@
-/** @file HMAC-SHA256 by POCO. */
+/** @file HMAC-SHA256 with POCO. */
 #include "common/wire/key_ring.h"
 
 #include <Poco/HMACEngine.h>
@@ -11,7 +11,7 @@
 namespace umberhold {
 namespace {
 
-/** POCO's SHA2Engine lacks the two constants that its HMACEngine asks for. */
+/** Adds the two constants that POCO's HMACEngine requires and its SHA2Engine lacks. */
 class Sha256Engine : public Poco::SHA2Engine {
  public:
   enum { BLOCK_SIZE = 64, DIGEST_SIZE = 32 };
--- a/source/common/wire/key_ring.h
+++ b/source/common/wire/key_ring.h
@@ -1,8 +1,8 @@
 /**
- * @file The keys that node messages are authenticated with.
+ * @file Authentication keys of messages between nodes.
  *
- * Rotation without interruption: give every node the new key besides the old one, then let the new
- * one sign, then take the old one away.
+ * Rotation without interruption: add the new key to all nodes, then switch signing to it, then
+ * remove the old key.
  */
 #pragma once
 
@@ -23,22 +23,24 @@
   std::string secret;
 };
 
-/** Shortest secret, bytes. */
+/** Minimum length of a secret, bytes. */
 constexpr size_t kMinSecretBytes = 16;
-/** Length of a message's authentication tag, bytes: HMAC-SHA256 cut to 128 bits (RFC 2104, section
- * 5). */
+/** Length of a message's authentication tag, bytes: HMAC-SHA256 truncated to 128 bits (RFC 2104,
+ * section 5). */
 constexpr size_t kTagBytes = 16;
 
-/** Why keys form no ring. */
+/** Reason for which keys are not a valid ring. */
 enum class KeyRingError : uint8_t { kNoKeys, kDuplicateId, kSecretTooShort, kSigningKeyMissing };
 
 /** @return the snake_case label of an error. */
 std::string_view toString(KeyRingError error);
 
-/** Keys by id, one of which signs. Not thread safe: the engines keep state. */
+/** Keys by id, one of which is used for signing. Not thread safe, because the HMAC engines are
+ * stateful. */
 class KeyRing {
  public:
-  /** @param keys the accepted keys; @param signingId the key that signs, one of them. */
+  /** @param keys the accepted keys. @param signingId id of the signing key, which must be one of
+   * them. */
   static Result<KeyRing, KeyRingError> create(const std::vector<AuthenticationKey>& keys,
                                               uint32_t signingId);
   KeyRing(KeyRing&&) noexcept;
@@ -46,11 +48,11 @@
   ~KeyRing();
 
   uint32_t signingId() const;
-  /** @return the ids of the accepted keys, in order. */
+  /** @return the ids of the accepted keys, in ascending order. */
   std::vector<uint32_t> ids() const;
-  /** @return whether the ring has the key. */
+  /** @return whether the ring contains the key. */
   bool contains(uint32_t keyId) const;
-  /** @return the tag (kTagBytes) of the bytes under a key of the ring. */
+  /** @return the tag (kTagBytes) of the bytes with a key that the ring contains. */
   std::string tagOf(uint32_t keyId, std::string_view bytes);
 
  private:
--- a/source/common/wire/key_rotation.h
+++ b/source/common/wire/key_rotation.h
@@ -1,9 +1,9 @@
 /**
- * @file Which changes of a running node's keys are taken.
+ * @file Validation of key changes of a running node.
  *
- * Keys are rotated in three steps, each brought to every node before the next begins: add the new
- * key, let it sign, remove the old one. A node refuses what would skip a step, because its
- * neighbours would refuse its messages, or it theirs.
+ * Keys are rotated in three steps, each completed on all nodes before the next begins: add the new
+ * key, use it for signing, remove the old one. A node rejects a change that would skip a step,
+ * because other nodes would reject its messages, or it theirs.
  */
 #pragma once
 
@@ -16,28 +16,29 @@
 
 namespace umberhold {
 
-/** The keys of a node, as its settings say. */
+/** The keys of a node from its settings. */
 struct KeySettings {
   /** Accepted keys. */
   std::vector<AuthenticationKey> keys;
-  /** Key that signs, one of them. */
+  /** Id of the signing key, one of the accepted keys. */
   uint32_t signingKey = 0;
 };
 
-/** Why a change of keys is not taken. */
+/** Reason for which a change of keys is rejected. */
 enum class KeyRotationError : uint8_t {
-  /** An id that is in use has another secret: an id belongs to one secret for good. */
+  /** The secret of an id in use differs; the secret of an id must never change. */
   kSecretChanged,
-  /** The key that would sign is new on this node, so others may not accept it yet. */
+  /** The new signing key is not yet known on this node, so other nodes may not accept it either. */
   kSigningKeyNotAdded,
-  /** The key that signed so far would go at once, so others may still sign with it. */
+  /** The current signing key would be removed, although other nodes may still sign with it. */
   kSigningKeyRemoved,
 };
 
 /** @return the snake_case label of an error. */
 std::string_view toString(KeyRotationError error);
 
-/** Both form a ring (KeyRing::create). @return whether the step from one to the other is taken. */
+/** Checks a change of keys. Both settings must form valid rings (KeyRing::create). @return Ok if
+ * the change is valid. */
 Result<Ok, KeyRotationError> checkRotation(const KeySettings& current, const KeySettings& next);
 
 }  // namespace umberhold
--- a/source/common/wire/message.h
+++ b/source/common/wire/message.h
@@ -1,9 +1,10 @@
 /**
- * @file Every message that nodes exchange, as one variant.
+ * @file The messages between nodes, as one variant.
  *
- * Each subsystem defines its messages as plain structs in <subsystem>/messages.h; a struct lists
- * its fields in visitFields, which is all that wire/codec.h needs. To add a message: define the
- * struct, add it at the END of MessageBody (the index in the variant is its number on the wire).
+ * The messages of each subsystem are plain structs in messages/<subsystem>_messages.h; a struct
+ * lists its fields in visitFields, which is all that wire/codec.h needs. To add a message, define
+ * the struct and append it to the END of MessageBody (the index in the variant is its number on the
+ * wire).
  */
 #pragma once
 
@@ -16,7 +17,7 @@
 
 namespace umberhold {
 
-/** The messages, by subsystem; the order is part of the protocol, so new ones go to the end. */
+/** The message types. Their order is part of the protocol, so new ones must be appended. */
 using MessageBody = std::variant<
     // membership
     Ping, PingAck, PingRequest, JoinRequest, JoinReply,
--- a/source/common/wire/message_sink.h
+++ b/source/common/wire/message_sink.h
@@ -1,4 +1,4 @@
-/** @file Where decision logic leaves the messages that it wants sent to other nodes. */
+/** @file Interface through which decision logic sends messages to other nodes. */
 #pragma once
 
 #include "common/base/endpoint.h"
@@ -7,17 +7,17 @@
 
 struct Message;
 
-/** What a message is for; control bytes are counted and budgeted by this. */
+/** Purpose of a message; control traffic is counted and budgeted by class. */
 enum class TrafficClass : unsigned char { kMembership, kSpread, kShard, kLoad, kAdmin, kCount };
 
 /**
- * Takes messages to send. The binder encodes, authenticates and sends them as datagrams; a message
- * may be lost, repeated or overtaken, and whoever needs more asks again.
+ * Accepts messages to send. The implementation encodes, authenticates and sends them as datagrams;
+ * messages may be lost, duplicated or reordered, and a sender that needs an answer must retry.
  */
 class MessageSink {
  public:
   virtual ~MessageSink() = default;
-  /** @param to control endpoint of the receiver; @param message taken over by the sink. */
+  /** @param to control endpoint of the receiver. @param message is moved into the sink. */
   virtual void send(const Endpoint& to, Message message) = 0;
 };
 
--- a/source/common/wire/payload_compression.cc
+++ b/source/common/wire/payload_compression.cc
@@ -13,13 +13,13 @@
 /** Number of kDictionary in the payload. */
 constexpr char kDictionaryNumber = '\x01';
 constexpr size_t kHeaderBytes = 2;
-/** Negative for raw deflate; a window of 8 KiB covers nearly every object and keeps memory small.
- */
+/** Negative for raw deflate; a window of 8 KiB covers nearly every object and limits memory use. */
 constexpr int kWindowBits = -13;
 constexpr int kMemoryLevel = 6;
 constexpr size_t kChunkBytes = 4096;
 
-/** A service of two hosts as msgpack, the frequent values last. See the note on the file. */
+/** A service with two hosts as msgpack, with frequent values last. It must never change; see the
+ * header. */
 constexpr char kDictionaryBytes[] =
     "function weigh(host)\n  return function admit(service)\n"
     "\x99\xA9service-0\xA8region-0\xCE\xC6\x00\x00\x00\xCD\x1F\x90\x11\xA0\xCE\x00\x01\x51\x80"
@@ -34,12 +34,12 @@
 }
 
 void setInput(z_stream& stream, std::string_view input) {
-  // zlib does not write to its input; the field lacks a const for history's sake.
+  // zlib does not write to its input, although the field is not const.
   stream.next_in = const_cast<Bytef*>(bytesOf(input));
   stream.avail_in = static_cast<uInt>(input.size());
 }
 
-/** Ends a stream of inflate at the end of its scope. */
+/** Owns an inflate stream. */
 struct Inflation {
   z_stream stream{};
   bool ready = false;
@@ -54,7 +54,7 @@
   Inflation& operator=(const Inflation&) = delete;
 };
 
-/** The same for deflate. */
+/** Owns a deflate stream. */
 struct Deflation {
   z_stream stream{};
   bool ready = false;
--- a/source/common/wire/payload_compression.h
+++ b/source/common/wire/payload_compression.h
@@ -1,11 +1,10 @@
 /**
- * @file Compression of configuration objects, which are held by every node and travel to every
- * node.
+ * @file Compression of configuration objects, which are sent to and stored by every node.
  *
- * Raw deflate (RFC 1951) against a fixed dictionary that looks like a short service. A compressed
- * payload begins with a byte that no msgpack value begins with, and the number of the dictionary,
- * so that plain payloads stay readable. The dictionary of a number must never change: nodes of
- * different versions read each other's payloads.
+ * Raw deflate (RFC 1951) with a fixed dictionary that resembles a short service. A compressed
+ * payload begins with a byte that no msgpack value begins with, followed by the number of the
+ * dictionary, so uncompressed payloads remain decodable. The dictionary of a number must never
+ * change, because nodes of different versions decode each other's payloads.
  */
 #pragma once
 
@@ -18,24 +17,25 @@
 
 namespace umberhold {
 
-/** Payloads below this stay plain, bytes: they would gain little. */
+/** Minimum size of a payload to be compressed, bytes; smaller ones would gain little. */
 constexpr size_t kMinCompressedBytes = 96;
 
-/** How much processor time a few bytes are worth. */
+/** Trade-off between processor time and size. */
 enum class CompressionEffort : uint8_t {
-  /** For what is made again at each change and sent to a few nodes nearby. */
+  /** For data that is encoded anew after each change and sent to a few nearby nodes. */
   kFast,
-  /** For what is held and sent by every node. */
+  /** For data that every node stores and sends. */
   kBest,
 };
 
-/** @return the payload compressed, or as it is where that is not shorter. */
+/** @return the compressed payload, or the payload itself if compression does not make it shorter.
+ */
 std::string compressPayload(std::string payload,
                             CompressionEffort effort = CompressionEffort::kBest);
-/** @return whether the bytes are what compressPayload() makes of a longer payload. */
+/** @return whether the bytes have the marker of a compressed payload. */
 bool isCompressedPayload(std::string_view bytes);
-/** Inverse for bytes of any origin; what is not compressed comes back as it is. The result has
- * kMaxEncodedBytes at most. */
+/** Decompresses untrusted bytes; uncompressed ones are returned unchanged. @return at most
+ * kMaxEncodedBytes of payload, or an error. */
 Result<std::string, DecodeError> decompressPayload(std::string_view bytes);
 
 }  // namespace umberhold
--- a/source/common/wire/replay_guard.cc
+++ b/source/common/wire/replay_guard.cc
@@ -1,4 +1,4 @@
-/** @file The sliding windows of the replay guard. */
+/** @file Sliding windows of the replay guard. */
 #include "common/wire/replay_guard.h"
 
 #include <algorithm>
@@ -13,7 +13,8 @@
   known.lastReceived = ++datagramCount_;
   if (sequence > known.highest) {
     const uint64_t advance = sequence - known.highest;
-    known.received = advance < kReplayWindow ? known.received << advance : std::bitset<kReplayWindow>{};
+    known.received =
+        advance < kReplayWindow ? known.received << advance : std::bitset<kReplayWindow>{};
     known.received.set(0);
     known.highest = sequence;
     return ReplayVerdict::kFresh;
--- a/source/common/wire/replay_guard.h
+++ b/source/common/wire/replay_guard.h
@@ -1,5 +1,4 @@
-/** @file Refuses datagrams that were already taken, after the sliding window of RFC 4303,
- * section 3.4.3. */
+/** @file Replay protection with the sliding window of RFC 4303, section 3.4.3. */
 #pragma once
 
 #include <bitset>
@@ -10,24 +9,25 @@
 
 namespace umberhold {
 
-/** How far a datagram may be overtaken by later ones of its sender and still be taken. */
+/** Size of the window: how far a reordered datagram may be behind the newest one of its sender. */
 constexpr uint64_t kReplayWindow = 256;
-/** Senders remembered; beyond them the one unheard for longest is forgotten. */
+/** Maximum number of tracked senders; beyond it the least recently active one is evicted. */
 constexpr size_t kMaxSenders = 4096;
 
-/** What the guard says of a datagram. */
+/** Result of the replay check. */
 enum class ReplayVerdict : uint8_t {
   kFresh,
-  /** This very number was taken before. */
+  /** The sequence number was already received. */
   kRepeated,
-  /** More than kReplayWindow behind the newest, or of an earlier incarnation of the sender. */
+  /** The datagram is behind the window, or from an earlier incarnation of the sender. */
   kTooOld,
 };
 
-/** Remembers per sender which numbers were taken. Ask it only about authenticated datagrams. */
+/** Tracks the received sequence numbers of each sender. Must be used for authenticated datagrams
+ * only. */
 class ReplayGuard {
  public:
-  /** Notes the datagram; @return whether it may be taken. */
+  /** Checks and records a datagram; only kFresh ones may be accepted. */
   ReplayVerdict check(NodeId sender, uint64_t incarnation, uint64_t sequence);
   size_t senders() const { return senders_.size(); }
 
@@ -35,9 +35,9 @@
   struct Sender {
     uint64_t incarnation = 0;
     uint64_t highest = 0;
-    /** Value of datagramCount_ when last heard. */
+    /** Value of datagramCount_ at the last datagram of the sender. */
     uint64_t lastReceived = 0;
-    /** Bit i: number highest - i was taken. */
+    /** Bit i: sequence number highest - i was received. */
     std::bitset<kReplayWindow> received;
   };
 
@@ -45,7 +45,7 @@
   void evictOldest();
 
   std::unordered_map<NodeId, Sender> senders_;
-  /** Counts datagrams; stands for time. */
+  /** Number of datagrams so far, used as a logical clock. */
   uint64_t datagramCount_ = 0;
 };
 
--- a/source/common/wire/traffic_meter.cc
+++ b/source/common/wire/traffic_meter.cc
@@ -1,4 +1,4 @@
-/** @file The counters of control traffic. */
+/** @file Counters of control traffic. */
 #include "common/wire/traffic_meter.h"
 
 #include <type_traits>
--- a/source/common/wire/traffic_meter.h
+++ b/source/common/wire/traffic_meter.h
@@ -1,4 +1,4 @@
-/** @file Counts the bytes that control traffic takes, by purpose. */
+/** @file Byte counters of control traffic, by purpose. */
 #pragma once
 
 #include <array>
@@ -10,10 +10,10 @@
 
 namespace umberhold {
 
-/** IPv4 and UDP headers of a datagram, bytes. */
+/** Size of the IPv4 and UDP headers of a datagram, bytes. */
 constexpr size_t kDatagramHeaderBytes = 28;
 
-/** @return what the message is for. */
+/** @return the traffic class of the message. */
 TrafficClass trafficClassOf(const Message& message);
 /** @return the snake_case label of a class. */
 std::string_view toString(TrafficClass trafficClass);
@@ -21,21 +21,21 @@
 /** Datagrams and bytes in one direction. */
 struct TrafficCount {
   uint64_t datagrams = 0;
-  /** UDP payload plus kDatagramHeaderBytes a datagram. */
+  /** UDP payload plus kDatagramHeaderBytes per datagram. */
   uint64_t bytes = 0;
   bool operator==(const TrafficCount&) const = default;
 };
 
-/** Counters of one process. Not thread safe. */
+/** Traffic counters of one process. Not thread safe. */
 class TrafficMeter {
  public:
   void countSent(TrafficClass trafficClass, size_t payloadBytes);
-  /** Counts under the message's class and under its type. */
+  /** Counts the message by its class and by its type. */
   void countSent(const Message& message, size_t payloadBytes);
   void countReceived(TrafficClass trafficClass, size_t payloadBytes);
   const TrafficCount& sent(TrafficClass trafficClass) const;
   const TrafficCount& received(TrafficClass trafficClass) const;
-  /** @param number of the message type: its index in MessageBody. */
+  /** @param number index of the message type in MessageBody. */
   const TrafficCount& sentOfType(size_t number) const { return sentByType_[number]; }
 
  private:
--- a/test/common/base/endpoint_test.cc
+++ b/test/common/base/endpoint_test.cc
@@ -14,7 +14,7 @@
   CHECK_EQUAL(0x0A010203U, endpoint->address);
 }
 
-TEST(Endpoint, RefusesWhatIsNoEndpoint) {
+TEST(Endpoint, RejectsInvalidText) {
   for (const char* text : {"", "10.1.2.3", "10.1.2:80", "10.1.2.3.4:80", "10.1.2.256:80",
                            "10.1.2.3:0", "10.1.2.3:65536", "a.b.c.d:1", "10.1.2.3:80x"}) {
     CHECK_FALSE(parseEndpoint(text).has_value());
--- a/test/common/log/line_budget_test.cc
+++ b/test/common/log/line_budget_test.cc
@@ -1,4 +1,4 @@
-/** @file Budgets of log lines. */
+/** @file Tests of the rate limits for log lines. */
 #include "common/log/line_budget.h"
 
 #include <CppUTest/TestHarness.h>
@@ -23,20 +23,20 @@
 
 TEST_GROUP(LineBudget){};
 
-TEST(LineBudget, AdmitsABurstAndThenItsRate) {
+TEST(LineBudget, AdmitsBurstThenRate) {
   LineBudget budget(kRates);
   LONGS_EQUAL(20, admitted(budget, kStart, LineKind::kPlacement, 50));
   LONGS_EQUAL(10, admitted(budget, kStart + seconds(1), LineKind::kPlacement, 50));
   LONGS_EQUAL(20, admitted(budget, kStart + seconds(100), LineKind::kPlacement, 50));
 }
 
-TEST(LineBudget, AFloodOfOneKindLeavesTheOthersTheirOwn) {
+TEST(LineBudget, FloodOfOneKindDoesNotAffectOtherKinds) {
   LineBudget budget(kRates);
   admitted(budget, kStart, LineKind::kPlacement, 100000);
   LONGS_EQUAL(100, admitted(budget, kStart, LineKind::kFailure, 100));
 }
 
-TEST(LineBudget, TellsOfSuppressedLinesOnce) {
+TEST(LineBudget, ReportsSuppressedLinesOnce) {
   LineBudget budget(kRates);
   admitted(budget, kStart, LineKind::kRequest, 12);
   LONGS_EQUAL(7, budget.takeSuppressed(LineKind::kRequest));
@@ -45,7 +45,7 @@
   LONGS_EQUAL(0, budget.suppressed(LineKind::kPlacement));
 }
 
-TEST(LineBudget, ATimeThatStandsStillOrRunsBackwardsGivesNoTokens) {
+TEST(LineBudget, NonIncreasingTimeAddsNoTokens) {
   LineBudget budget(kRates);
   LONGS_EQUAL(1, admitted(budget, kStart, LineKind::kStateChange, 5));
   LONGS_EQUAL(0, admitted(budget, kStart - seconds(10), LineKind::kStateChange, 5));
--- a/test/common/log/line_output_test.cc
+++ b/test/common/log/line_output_test.cc
@@ -1,4 +1,4 @@
-/** @file Lines to pipes that are read, full, or closed. */
+/** @file Tests of line output to pipes that are read, full, or closed. */
 #include "common/log/line_output.h"
 
 #include <fcntl.h>
@@ -23,7 +23,7 @@
     ::close(ends[0]);
     ::close(ends[1]);
   }
-  /** @return what the pipe holds now, at most. */
+  /** @return the current content of the pipe. */
   std::string readAll() {
     ::fcntl(ends[0], F_SETFL, O_NONBLOCK);
     std::string text;
@@ -36,7 +36,7 @@
   }
 };
 
-TEST(LineOutput, WritesLinesInOrderOnceFlushed) {
+TEST(LineOutput, WritesLinesInOrderOnFlush) {
   LineOutput output(ends[1]);
   output.append("event=one");
   output.append("event=two");
@@ -46,8 +46,8 @@
   STRCMP_EQUAL("event=one\nevent=two\n", readAll().c_str());
 }
 
-/** The descriptor stays a blocking one: a write that waited would hang this test. */
-TEST(LineOutput, NeverWaitsForAPipeThatNobodyReadsAndCountsWhatItLoses) {
+/** The descriptor stays in blocking mode: a write that blocked would hang this test. */
+TEST(LineOutput, DoesNotBlockOnUnreadPipeAndCountsDroppedLines) {
   constexpr size_t kBuffer = 10000;
   constexpr int kLines = 20000;
   LineOutput output(ends[1], kBuffer);
@@ -60,7 +60,7 @@
   CHECK_TRUE(full.dropped > 0);
   LONGS_EQUAL(kLines, full.accepted + full.dropped);
   LONGS_EQUAL(0, ::fcntl(ends[1], F_GETFL) & O_NONBLOCK);
-  // Once somebody reads, everything that was taken comes, in whole lines.
+  // Once the pipe is read, all accepted lines arrive in full.
   size_t bytes = 0;
   while (output.hasPending()) {
     bytes += readAll().size();
@@ -70,7 +70,7 @@
   LONGS_EQUAL(full.accepted * (line.size() + 1), bytes);
 }
 
-TEST(LineOutput, OutlivesAReaderThatWentAway) {
+TEST(LineOutput, ContinuesAfterReaderClosedPipe) {
   LineOutput output(ends[1], 1000);
   ::close(ends[0]);
   for (int index = 0; index < 100; ++index) {
