--- a/test/common/membership/failure_detector_test.cc
+++ b/test/common/membership/failure_detector_test.cc
@@ -1,4 +1,4 @@
-/** @file Tests of joining, detection, leaving and healing. */
+/** @file Tests of joining, failure detection, leaving and recovery from partitions. */
 #include <set>
 
 #include "test/common/membership/region.h"
@@ -16,7 +16,7 @@
 
 constexpr uint32_t kNodes = 12;
 
-/** Collects every state that one member went through in one view. */
+/** Records every state that one member has had in one view. */
 struct StateRecorder : MembershipObserver {
   explicit StateRecorder(uint32_t watchedId) : watched{watchedId} {}
   void onMemberChanged(const Member& member) override {
@@ -34,12 +34,12 @@
   Region region{7};
 };
 
-TEST(FailureDetector, EveryNodeLearnsOfEveryOther) {
+TEST(FailureDetector, AllNodesDiscoverEachOther) {
   region.startAll(kNodes);
   CHECK_TRUE(region.viewsAreCorrect());
 }
 
-TEST(FailureDetector, LearnsManyMembersPageByPage) {
+TEST(FailureDetector, FetchesMemberListInPages) {
   constexpr uint32_t kMany = 100;
   region.startAll(kMany);
   FailureDetector& late = region.start(kMany + 1);
@@ -50,21 +50,21 @@
   CHECK_EQUAL(kMany + 1, known);
 }
 
-TEST(FailureDetector, CrashedNodeIsDeadEverywhereWithinSeconds) {
+TEST(FailureDetector, CrashedNodeIsDeadInAllViewsWithinTenSeconds) {
   region.startAll(kNodes);
   region.crash(5);
   region.run(seconds(10));
   CHECK_TRUE(region.viewsAreCorrect());
 }
 
-TEST(FailureDetector, TwoNodesNoticeEachOthersCrash) {
+TEST(FailureDetector, DetectsCrashInRegionOfTwoNodes) {
   region.startAll(2);
   region.crash(2);
   region.run(seconds(6));
   CHECK_TRUE(region.allSee(2, MemberState::kDead));
 }
 
-TEST(FailureDetector, RestartUnderTheSameAddressReplacesTheOldProcess) {
+TEST(FailureDetector, RestartAtSameAddressReplacesOldProcess) {
   region.startAll(kNodes);
   region.crash(5);
   region.run(seconds(10));
@@ -74,7 +74,7 @@
   CHECK_EQUAL(2, region.nodes.at(3).detector->find(NodeId{5})->incarnation);
 }
 
-TEST(FailureDetector, RestartWithAClockThatIsBehindRisesAboveItsPast) {
+TEST(FailureDetector, RestartWithLowerIncarnationRaisesItAboveThePreviousOne) {
   region.startAll(kNodes);
   region.crash(5);
   region.run(seconds(10));
@@ -83,7 +83,7 @@
   CHECK_TRUE(region.viewsAreCorrect());
 }
 
-TEST(FailureDetector, PausedNodeReturnsAndDeclaresNobodyDead) {
+TEST(FailureDetector, ResumedNodeRejoinsAndDeclaresNoMemberDead) {
   region.startAll(kNodes);
   StateRecorder recorder(8);
   region.nodes.at(3).detector->addObserver(&recorder);
@@ -97,7 +97,7 @@
   CHECK_EQUAL(0, recorder.seen.count(MemberState::kDead));
 }
 
-TEST(FailureDetector, ShortPauseIsOnlySuspected) {
+TEST(FailureDetector, ShortPauseCausesNoDeath) {
   region.startAll(kNodes);
   StateRecorder recorder(5);
   region.nodes.at(3).detector->addObserver(&recorder);
@@ -113,15 +113,15 @@
   region.startAll(kNodes);
   MemberGossip falseClaim;
   falseClaim.updates.push_back({NodeId{5}, 1, MemberState::kDead});
-  region.nodes.at(3).detector->handle(region.network.now(),
-                                      Region::memberOf(4, 1).controlEndpoint(), NodeId{4}, falseClaim);
+  region.nodes.at(3).detector->handle(
+      region.network.now(), Region::memberOf(4, 1).controlEndpoint(), NodeId{4}, falseClaim);
   CHECK_TRUE(region.stateIn(3, 5) == MemberState::kDead);
   region.run(seconds(5));
   CHECK_TRUE(region.viewsAreCorrect());
   CHECK_TRUE(region.nodes.at(3).detector->find(NodeId{5})->incarnation > 1);
 }
 
-TEST(FailureDetector, DeathClaimOfADeadSenderIsVerifiedFirst) {
+TEST(FailureDetector, VerifiesDeathReportedByDeadSender) {
   region.startAll(kNodes);
   region.crash(5);
   region.run(seconds(10));
@@ -134,7 +134,7 @@
   CHECK_TRUE(region.viewsAreCorrect());
 }
 
-TEST(FailureDetector, OldGossipDoesNotResurrectTheDead) {
+TEST(FailureDetector, StaleGossipDoesNotReviveDeadMember) {
   region.startAll(kNodes);
   region.crash(5);
   region.run(seconds(10));
@@ -150,7 +150,7 @@
   CHECK_TRUE(region.stateIn(3, 5) == MemberState::kDead);
 }
 
-TEST(FailureDetector, PlannedLeaveSpreadsAtOnceAndIsNeverSuspect) {
+TEST(FailureDetector, PlannedLeaveIsDisseminatedWithoutSuspicion) {
   region.startAll(kNodes);
   StateRecorder recorder(5);
   region.nodes.at(3).detector->addObserver(&recorder);
@@ -164,7 +164,7 @@
   CHECK_EQUAL(0, recorder.seen.count(MemberState::kSuspect));
 }
 
-TEST(FailureDetector, CutOffNodeDoesNotDeclareTheRegionDead) {
+TEST(FailureDetector, IsolatedNodeDeclaresNoMemberDead) {
   constexpr uint32_t kMany = 40;
   region.startAll(kMany);
   region.network.faults.isCut = [](NodeId from, NodeId to) {
@@ -179,7 +179,7 @@
   CHECK_TRUE(region.stateIn(3, 5) == MemberState::kDead);
 }
 
-TEST(FailureDetector, SidesOfAPartitionMeetAgainAfterItHeals) {
+TEST(FailureDetector, ViewsConvergeAfterPartitionHeals) {
   region.startAll(kNodes);
   region.network.faults.isCut = [](NodeId from, NodeId to) {
     return (from.value % Region::kZones == 0) != (to.value % Region::kZones == 0);
@@ -193,7 +193,7 @@
   CHECK_TRUE(region.viewsAreCorrect());
 }
 
-TEST(FailureDetector, SidesMeetAgainWithoutTheSeed) {
+TEST(FailureDetector, ViewsConvergeAfterPartitionHealsWithoutSeed) {
   region.startAll(kNodes);
   region.crash(1);
   region.network.faults.isCut = [](NodeId from, NodeId to) {
@@ -206,7 +206,7 @@
   CHECK_TRUE(region.viewsAreCorrect());
 }
 
-TEST(FailureDetector, SidesThatForgotEachOtherMeetThroughTheSeed) {
+TEST(FailureDetector, ViewsConvergeThroughSeedAfterDeadMembersWereRemoved) {
   region.startAll(kNodes);
   region.network.faults.isCut = [](NodeId from, NodeId to) {
     return (from.value % Region::kZones == 0) != (to.value % Region::kZones == 0);
@@ -218,7 +218,7 @@
   CHECK_TRUE(region.viewsAreCorrect());
 }
 
-TEST(FailureDetector, LossAloneKillsNobody) {
+TEST(FailureDetector, PacketLossCausesNoDeaths) {
   region.startAll(kNodes);
   StateRecorder recorder(5);
   region.nodes.at(3).detector->addObserver(&recorder);
--- a/test/common/membership/region.h
+++ b/test/common/membership/region.h
@@ -13,13 +13,13 @@
 
 namespace umberhold {
 
-/** Whether a handle() overload of Handler takes the message. */
+/** Whether Handler has a handle() overload for the message. */
 template <class Handler, class Body>
 concept Handles = requires(Handler& handler, const Body& body) {
   handler.handle(TimePoint{}, Endpoint{}, NodeId{}, body);
 };
 
-/** One region in simulated time; zones 0, 1, 2 in turn. */
+/** One region in simulated time; nodes are assigned to zones 0, 1 and 2 in turn. */
 class Region {
  public:
   static constexpr uint32_t kZones = 3;
@@ -48,7 +48,7 @@
     return member;
   }
 
-  /** Starts a process of that id; node 1 is everybody's seed. */
+  /** Starts a process with that id; node 1 is the seed of all nodes. */
   FailureDetector& start(uint32_t id, uint64_t incarnation = 1) {
     Node& node = nodes[id];
     node.self = memberOf(id, incarnation);
@@ -72,7 +72,7 @@
     node.detector->start(network.now(), {memberOf(1, 1).controlEndpoint()});
     return *node.detector;
   }
-  /** Starts nodes 1 to count and lets them become alive. */
+  /** Starts nodes 1 to count and runs until they are alive. */
   void startAll(uint32_t count) {
     for (uint32_t id = 1; id <= count; ++id) {
       start(id);
@@ -102,12 +102,12 @@
       }
     }
   }
-  /** @return the state of a member in another's view; kDead also for one that is unknown there. */
+  /** @return the state of a member in the view of `viewer`; kDead also if it is unknown there. */
   MemberState stateIn(uint32_t viewer, uint32_t id) const {
     const Member* member = nodes.at(viewer).detector->find(NodeId{id});
     return member == nullptr ? MemberState::kDead : member->state;
   }
-  /** @return whether every running node sees the member in that state. */
+  /** @return whether the member has that state in the views of all running nodes. */
   bool allSee(uint32_t id, MemberState state) const {
     for (const auto& [viewer, node] : nodes) {
       if (node.running && stateIn(viewer, id) != state) {
@@ -116,7 +116,7 @@
     }
     return true;
   }
-  /** @return whether every running node sees every running node alive and every other dead. */
+  /** @return whether in the views of all running nodes exactly the running nodes are alive. */
   bool viewsAreCorrect() const {
     for (const auto& [id, node] : nodes) {
       if (!allSee(id, node.running ? MemberState::kAlive : MemberState::kDead)) {
--- a/test/common/packet/packet_parser_test.cc
+++ b/test/common/packet/packet_parser_test.cc
@@ -1,4 +1,4 @@
-/** @file Tests of the packet parser and of the changes to packets. */
+/** @file Tests of the packet parser and of packet modification. */
 #include "common/packet/packet_parser.h"
 
 #include <rapidcheck.h>
@@ -38,7 +38,7 @@
 
 TEST_GROUP(PacketParser){};
 
-TEST(PacketParser, RefusesWhatIsNoWholePacket) {
+TEST(PacketParser, RejectsInvalidPackets) {
   const std::string tcp = tcpSample(kSyn);
   const std::string udp = udpSample("hello");
   checkDropped(DropReason::kTruncated, "");
@@ -62,7 +62,7 @@
   checkDropped(DropReason::kUnsupportedProtocol, withByte(tcp, 9, 1));
 }
 
-TEST(PacketParser, ReadsKeyPhaseAndLengths) {
+TEST(PacketParser, ParsesKeyPhaseAndLengths) {
   const std::string packet = tcpSample(kAck, "data", 9) + "padding";
   const auto parsed = parsePacket(packet);
   CHECK(isOk(parsed));
@@ -77,7 +77,7 @@
   CHECK_EQUAL(44U, valueOf(parsed).totalLength);
 }
 
-TEST(PacketParser, TellsThePhasesApart) {
+TEST(PacketParser, DistinguishesPhases) {
   CHECK(valueOf(parsePacket(tcpSample(kSyn))).phase == PacketPhase::kOpening);
   CHECK(valueOf(parsePacket(tcpSample(kSyn | kAck))).phase == PacketPhase::kContinuing);
   CHECK(valueOf(parsePacket(tcpSample(kAck))).phase == PacketPhase::kContinuing);
@@ -86,7 +86,7 @@
   CHECK(valueOf(parsePacket(udpSample("x"))).phase == PacketPhase::kUnmarked);
 }
 
-// rapidcheck keeps statics for the rest of the process, which the leak detector takes for leaks.
+// rapidcheck keeps static objects until the process ends, which the leak detector reports as leaks.
 TEST_GROUP(PacketProperty){void setup()
                                override{MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
 }
@@ -112,7 +112,7 @@
   }));
 }
 
-TEST(PacketProperty, ChecksumStaysRightWhileTheTimeToLiveFalls) {
+TEST(PacketProperty, ChecksumStaysValidWhenTimeToLiveIsDecremented) {
   CHECK(rc::check([](const std::string& data) {
     std::string packet = tcpSample(kAck, data, 255);
     for (int timeToLive = 254; timeToLive >= 1; --timeToLive) {
--- a/test/common/packet/packet_path_test.cc
+++ b/test/common/packet/packet_path_test.cc
@@ -1,4 +1,4 @@
-/** @file Tests of the packet path and of its answers to callers. */
+/** @file Tests of the packet path and of the answers to callers. */
 #include "common/packet/packet_path.h"
 
 #include <tins/icmp.h>
@@ -93,7 +93,7 @@
   CHECK(director.packets.empty());
 }
 
-TEST(PacketPath, HoldsWhatArrivesBeforeItIsReadyWhereItIsToldTo) {
+TEST(PacketPath, HoldsPacketsUntilReadyIfConfigured) {
   path.setReady(false);
   path.holdUntilReady();
   path.onPacket(kNow, PacketSource::kFabric, tcpSample(kSyn));
@@ -109,7 +109,7 @@
   CHECK_EQUAL(0U, dropped(DropReason::kNotReady));
 }
 
-TEST(PacketPath, NeverAsksTheDirectorAboutUnknownOrForeignServices) {
+TEST(PacketPath, DropsPacketsOfUnknownOrForeignServicesWithoutDirector) {
   path.onPacket(kNow, PacketSource::kFabric, udpSample("to the same port by another protocol"));
   CHECK_EQUAL(1U, dropped(DropReason::kUnknownService));
   services.home = false;
@@ -121,7 +121,7 @@
   CHECK_EQUAL(0U, sent());
 }
 
-TEST(PacketPath, ForwardsTheUnchangedPacketWithoutPadding) {
+TEST(PacketPath, ForwardsPacketUnchangedWithoutPadding) {
   const std::string packet = tcpSample(kAck, "data");
   path.onPacket(kNow, PacketSource::kPeer, packet + "padding");
   CHECK_EQUAL(1U, output.hosts.size());
@@ -131,7 +131,7 @@
   CHECK(director.packets[0].service == ServiceId{5});
 }
 
-TEST(PacketPath, RelayLowersTheTimeToLiveAndEndsLoops) {
+TEST(PacketPath, RelayDecrementsTimeToLiveAndStopsLoops) {
   director.decision = RelayToNode{NodeId{3}, kNode};
   path.onPacket(kNow, PacketSource::kFabric, tcpSample(kAck, "data", 2));
   CHECK_EQUAL(1U, output.nodes.size());
@@ -144,7 +144,7 @@
   CHECK_EQUAL(1U, path.counters().relayed);
 }
 
-TEST(PacketPath, RefusesOpeningPacketByResetThatAcknowledgesIt) {
+TEST(PacketPath, RefusesOpeningPacketWithAcknowledgingReset) {
   director.decision = RefuseFlow{};
   path.onPacket(kNow, PacketSource::kFabric, tcpSample(kSyn));
   CHECK_EQUAL(1U, output.callers.size());
@@ -161,7 +161,7 @@
   CHECK_EQUAL(0U, output.hosts.size());
 }
 
-TEST(PacketPath, RefusesLaterPacketByResetWithItsAcknowledgementNumber) {
+TEST(PacketPath, RefusesLaterPacketWithResetAtItsAcknowledgementNumber) {
   const auto answer = buildRefusal(tcpSample(kAck, "data"));
   CHECK(isOk(answer));
   const Tins::IP packet = parsed(valueOf(answer));
@@ -177,7 +177,7 @@
   CHECK_EQUAL(1U, path.counters().unanswered);
 }
 
-TEST(PacketPath, RefusesDatagramByPortUnreachableThatQuotesIt) {
+TEST(PacketPath, RefusesDatagramWithQuotingPortUnreachable) {
   const std::string datagram = udpSample("a longer payload");
   const auto answer = buildRefusal(datagram);
   CHECK(isOk(answer));
@@ -190,7 +190,7 @@
   CHECK(hasValidChecksum(bytes));
 }
 
-TEST(PacketPath, DatagramFromNoSingleHostGetsNoAnswer) {
+TEST(PacketPath, DoesNotAnswerDatagramFromMulticastAddress) {
   std::string datagram = udpSample("x");
   datagram[12] = static_cast<char>(0xE0);  // 224.1.2.3
   const auto answer = buildRefusal(datagram);
@@ -198,7 +198,7 @@
   CHECK(errorOf(answer) == RefusalError::kNoUnicastSource);
 }
 
-TEST(PacketPath, EndsAFlowOfADeadHostByAResetThatItsCallerTakes) {
+TEST(PacketPath, ResetsFlowOfDeadHostAtAcknowledgedSequenceNumber) {
   FlowKey key;
   key.caller = {0x0A000001, 40000};
   key.service = {kSampleService, kSampleServicePort};
@@ -218,7 +218,7 @@
   CHECK_EQUAL(1U, path.counters().unanswered);
 }
 
-TEST(PacketPath, ReleasedPacketIsDecidedAgain) {
+TEST(PacketPath, ReleasedPacketIsProcessedAgain) {
   director.decision = HoldPacket{};
   path.onPacket(kNow, PacketSource::kFabric, tcpSample(kSyn));
   CHECK_EQUAL(1U, path.counters().held);
--- a/test/common/packet/packet_samples.h
+++ b/test/common/packet/packet_samples.h
@@ -1,4 +1,4 @@
-/** @file Packets for the tests, built by libtins. */
+/** @file Test packets, built with libtins. */
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 inline constexpr uint16_t kSampleCallerPort = 40000;
 inline constexpr uint16_t kSampleServicePort = 443;
 
-/** TCP flags as in the header's last byte. */
+/** TCP flags, as in byte 13 of the header. */
 inline constexpr uint8_t kFin = 0x01;
 inline constexpr uint8_t kSyn = 0x02;
 inline constexpr uint8_t kRst = 0x04;
@@ -21,7 +21,7 @@
 std::string tcpSample(uint8_t flags, const std::string& data = "", uint8_t timeToLive = 64);
 /** @return a UDP packet. */
 std::string udpSample(const std::string& data);
-/** @return whether the IPv4 header's checksum is right. */
+/** @return whether the IPv4 header's checksum is valid. */
 bool hasValidChecksum(const std::string& packet);
 
 }  // namespace umberhold
--- a/test/common/spread/config_spread_test.cc
+++ b/test/common/spread/config_spread_test.cc
@@ -1,4 +1,4 @@
-/** @file Tests of the configuration spread and of coverage. */
+/** @file Tests of configuration distribution and of coverage. */
 #include "test/common/spread/spread_region.h"
 
 // After the library headers: it replaces operator new by a macro.
@@ -20,7 +20,7 @@
   SpreadRegion region{11};
 };
 
-TEST(ConfigSpread, ChangeIsInForceEverywhereWithinASecondAndAHalf) {
+TEST(ConfigSpread, ChangeIsEffectiveOnAllNodesWithin1500Milliseconds) {
   region.startAll(kNodes);
   region.publish(1, SpreadRegion::recordOf("dispatch", 5));
   region.run(milliseconds(1500));
@@ -30,7 +30,7 @@
   }
 }
 
-TEST(ConfigSpread, LossOnlyDelaysAChange) {
+TEST(ConfigSpread, ChangeReachesAllNodesDespitePacketLoss) {
   region.startAll(kNodes);
   region.network.faults.loss = 0.2;
   region.publish(1, SpreadRegion::recordOf("dispatch", 5));
@@ -38,7 +38,7 @@
   CHECK_EQUAL(kNodes, region.countEqual(1));
 }
 
-TEST(ConfigSpread, NodeIsNotCaughtUpBeforeItHoldsWhatPeersHold) {
+TEST(ConfigSpread, NodeIsCaughtUpOnlyOnceItHoldsAllRecordsOfItsPeers) {
   region.startAll(3);
   for (uint64_t version = 1; version <= 300; ++version) {
     region.publish(1, SpreadRegion::recordOf("s" + std::to_string(version), version));
@@ -54,7 +54,7 @@
   CHECK_EQUAL(region.control(1).store.total(), late.store.total());
 }
 
-TEST(ConfigSpread, OnePeerOfSeveralDoesNotProveThatANodeHasCaughtUp) {
+TEST(ConfigSpread, NodeNeedsTwoMatchingPeersToBeCaughtUp) {
   region.startAll(4);
   ControlNode& late = region.start(5);
   const DigestReply agreement{{late.store.total(), 0}, true, {}, {}};
@@ -74,7 +74,7 @@
   CHECK_TRUE(late.spread.caughtUp());
 }
 
-TEST(ConfigSpread, SummaryOfABucketIsAnsweredWithWhatIsNewerHere) {
+TEST(ConfigSpread, AnswersBucketSummaryWithNewerRecords) {
   region.startAll(1);
   region.publish(1, SpreadRegion::recordOf("dispatch", 5));
   const RecordKey key{ObjectKind::kService, "dispatch"};
@@ -95,7 +95,7 @@
   CHECK_EQUAL(2, pushed);
 }
 
-TEST(ConfigSpread, NobodyIsCaughtUpBeforeAReaderHasListedTheStore) {
+TEST(ConfigSpread, NoNodeIsCaughtUpBeforeAReaderHasListedTheStore) {
   for (uint32_t id = 1; id <= 3; ++id) {
     region.start(id);
   }
@@ -110,7 +110,7 @@
   }
 }
 
-TEST(ConfigSpread, ChangeIsNotInForceWhereAnEarlierOneIsMissing) {
+TEST(ConfigSpread, VersionIsNotEffectiveWhileAnEarlierChangeIsMissing) {
   region.startAll(2);
   region.network.faults.isCut = [](NodeId, NodeId) { return true; };
   region.publish(1, SpreadRegion::recordOf("a", 5));
@@ -126,7 +126,7 @@
   CHECK_EQUAL(6, second.spread.effectiveVersion());
 }
 
-TEST(ConfigSpread, RecordOfManyDatagramsArrivesWhole) {
+TEST(ConfigSpread, FragmentedRecordIsReassembled) {
   region.startAll(kNodes);
   region.network.faults.loss = 0.05;
   region.publish(1, SpreadRegion::recordOf("mapstore", 5, 9000));
@@ -136,7 +136,7 @@
              SpreadRegion::recordOf("mapstore", 5, 9000));
 }
 
-TEST(ConfigSpread, OldNewsOfAPausedReaderChangesNothing) {
+TEST(ConfigSpread, StaleRecordFromReaderIsIgnored) {
   region.startAll(kNodes);
   region.publish(1, SpreadRegion::recordOf("dispatch", 9));
   region.run(seconds(2));
@@ -147,7 +147,7 @@
   }
 }
 
-TEST(ConfigSpread, ContactsCarryChangesToAnotherRegion) {
+TEST(ConfigSpread, ContactsSendChangesToAnotherRegion) {
   region.startAll(4);
   for (uint32_t index = 0; index < 4; ++index) {
     region.start(SpreadRegion::kOtherRegion + index);
@@ -169,7 +169,7 @@
   CHECK_EQUAL(6, region.control(SpreadRegion::kOtherRegion + 3).spread.effectiveVersion());
 }
 
-TEST(ConfigSpread, DeadContactDelaysAChangeToAnotherRegionOnlyBriefly) {
+TEST(ConfigSpread, ChangeReachesAnotherRegionDespiteAnUnresponsiveContact) {
   constexpr uint32_t kRegionNodes = 5;
   region.startAll(kRegionNodes);
   std::vector<ContactCandidate> machines;
@@ -182,7 +182,7 @@
   region.run(seconds(15));
   const RecordKey key{ObjectKind::kService, "dispatch"};
   for (uint64_t version = 6; version <= 20; ++version) {
-    // Node 1 reads the store; another contact has just died.
+    // Node 1 reads the store; another contact does not respond.
     region.pause(2, true);
     region.publish(1, SpreadRegion::recordOf("dispatch", version));
     region.run(milliseconds(2900));
@@ -192,7 +192,7 @@
   }
 }
 
-TEST(ConfigSpread, NodeWithoutTransferBudgetLeavesLongComparisonsToOthers) {
+TEST(ConfigSpread, NodeWithoutTransferBudgetIgnoresLongComparisons) {
   SpreadOptions options;
   options.transferBudget = {0, 1000};
   options.fullCopyTime = std::chrono::hours(24);
@@ -215,8 +215,8 @@
     request.keys.push_back(record.key);
   }
   request.keys.resize(4);
-  const DigestRequest ofStartingNode{{12345, 0}, true, kAllGroups, {}};
-  const DigestRequest ofSettledNode{{12345, 0}, false, kAllGroups, {}};
+  const DigestRequest fromStartingNode{{12345, 0}, true, kAllGroups, {}};
+  const DigestRequest fromCaughtUpNode{{12345, 0}, false, kAllGroups, {}};
   const auto ask = [&](const auto& message) {
     answers = 0;
     node.spread.handle(network.now(), late.controlEndpoint(), late.id, message);
@@ -224,14 +224,15 @@
     return answers;
   };
   CHECK_TRUE(ask(request) > 0);
-  CHECK_TRUE(ask(ofStartingNode) > 0);  // Not caught up itself: nodes that start are not held back.
+  CHECK_TRUE(ask(fromStartingNode) >
+             0);  // Not caught up itself, so starting nodes are not limited.
   node.spread.setStoreListed();
-  CHECK_EQUAL(0, ask(ofStartingNode));
-  CHECK_TRUE(ask(ofSettledNode) > 0);
+  CHECK_EQUAL(0, ask(fromStartingNode));
+  CHECK_TRUE(ask(fromCaughtUpNode) > 0);
   CHECK_TRUE(ask(request) > 0);
 }
 
-TEST(ConfigSpread, ListedContactsStayAndGoneOnesAreReplaced) {
+TEST(ConfigSpread, KeepsListedContactsAndReplacesUnlistedOnes) {
   region.startAll(1);
   std::vector<ContactCandidate> machines;
   for (uint32_t id = 1; id <= 5; ++id) {
@@ -249,7 +250,7 @@
   CHECK_EQUAL(0, contactRecordsFor(region.control(1).store, machines).size());
 }
 
-TEST(ConfigSpread, CoverageNamesTheSlowestNode) {
+TEST(ConfigSpread, CoverageReportsSlowestNode) {
   region.startAll(kNodes);
   region.network.faults.isCut = [](NodeId from, NodeId to) {
     return from == NodeId{7} || to == NodeId{7};
@@ -268,7 +269,7 @@
   CHECK_EQUAL(kNodes, region.control(3).coverage.summary().front().nodesAtVersion);
 }
 
-TEST(ConfigSpread, TwoOfThreeContactsCarryAnObjectToARegionAndEachTakesItsShare) {
+TEST(ConfigSpread, TwoOfThreeContactsForwardEachObjectWithBalancedLoad) {
   constexpr uint32_t kObjects = 300;
   std::vector<ContactCandidate> machines;
   for (uint32_t id = 1; id <= kContactsPerRegion; ++id) {
@@ -300,7 +301,7 @@
   CHECK_TRUE(contacts.pickRegions(hobart, 2, random).front() == addis);
 }
 
-TEST(ConfigSpread, NodeThatStartsLongKeepsToItsTransferBudget) {
+TEST(ConfigSpread, TransferBudgetAppliesAfterStartTime) {
   SpreadOptions options;
   options.transferBudget = {0, 1};
   options.fullCopyTime = std::chrono::hours(24);
@@ -322,20 +323,20 @@
     node.spread.publish(network.now(),
                         {SpreadRegion::recordOf("s" + std::to_string(version), version)});
   }
-  const DigestRequest ofStartingNode{{12345, 0}, true, kAllGroups, {}};
+  const DigestRequest fromStartingNode{{12345, 0}, true, kAllGroups, {}};
   const auto answersNow = [&] {
     answers = 0;
-    node.spread.handle(network.now(), late.controlEndpoint(), late.id, ofStartingNode);
+    node.spread.handle(network.now(), late.controlEndpoint(), late.id, fromStartingNode);
     network.advanceTo(network.now() + seconds(1));
     return answers;
   };
   CHECK_EQUAL(1, answersNow());
-  CHECK_EQUAL(1, answersNow());  // Already over its budget, but it has just started.
+  CHECK_EQUAL(1, answersNow());  // The budget is exhausted, but the node has just started.
   network.advanceTo(network.now() + options.startTime);
   CHECK_EQUAL(0, answersNow());
 }
 
-TEST(ConfigSpread, TwoNodesFetchManySmallBucketsFromTheOnlySettledOneWithinTheirStart) {
+TEST(ConfigSpread, TwoNodesFetchManySmallBucketsFromOneCaughtUpNodeWithinStartTime) {
   constexpr uint32_t kRecords = 1235;
   region.start(1);
   for (uint32_t version = 1; version <= kRecords; ++version) {
@@ -351,7 +352,7 @@
   CHECK_EQUAL(3, region.countEqual(1));
 }
 
-TEST(ConfigSpread, WhatAnotherRegionFetchesLeavesTheBudgetForOwnStartingNodes) {
+TEST(ConfigSpread, TransfersToAnotherRegionAreNotChargedToTheBudget) {
   SpreadOptions options;
   options.transferBudget = {0, 1000};
   options.fullCopyTime = std::chrono::hours(24);
@@ -384,11 +385,11 @@
     return answers;
   };
   CHECK_TRUE(ask(foreign, request) > 0);
-  const DigestRequest ofStartingNode{{12345, 0}, true, kAllGroups, {}};
-  CHECK_TRUE(ask(late, ofStartingNode) > 0);
+  const DigestRequest fromStartingNode{{12345, 0}, true, kAllGroups, {}};
+  CHECK_TRUE(ask(late, fromStartingNode) > 0);
 }
 
-TEST(ConfigSpread, ContactThatStartsFetchesFromItsOwnRegionOnly) {
+TEST(ConfigSpread, StartingContactFetchesFromItsOwnRegion) {
   region.startAll(4);
   for (uint32_t index = 0; index < 4; ++index) {
     region.start(SpreadRegion::kOtherRegion + index);
--- a/test/common/spread/record_store_test.cc
+++ b/test/common/spread/record_store_test.cc
@@ -1,4 +1,4 @@
-/** @file Tests of the record store's rules. */
+/** @file Tests of the record store. */
 #include "common/spread/record_store.h"
 
 #include <string>
@@ -47,7 +47,7 @@
   CHECK_EQUAL(0, store.tombstones());
 }
 
-TEST(RecordStore, DifferentContentsOfOneVersionEndUpTheSame) {
+TEST(RecordStore, ConflictingContentsOfOneVersionConverge) {
   RecordStore other;
   store.apply(recordOf("a", 5, "left"));
   store.apply(recordOf("a", 5, "right"));
@@ -72,7 +72,7 @@
   }
 }
 
-TEST(RecordStore, TellsWhatChangedSinceARecentTotal) {
+TEST(RecordStore, ReturnsChangesSinceARecentTotal) {
   store.apply(recordOf("a", 1));
   const uint64_t before = store.total();
   store.apply(recordOf("b", 2));
@@ -84,7 +84,7 @@
   CHECK_FALSE(store.changesSince(12345).has_value());
 }
 
-TEST(RecordStore, ObserversAreToldOfNewRecordsOnly) {
+TEST(RecordStore, NotifiesObserversOfNewRecordsOnly) {
   CountingObserver observer;
   store.addObserver(&observer);
   store.apply(recordOf("a", 2));
@@ -93,7 +93,7 @@
   CHECK_EQUAL(1, observer.count);
 }
 
-TEST(RecordStore, ContactsDontCountAsStoreVersions) {
+TEST(RecordStore, HighestVersionExcludesRegionContacts) {
   store.apply(ConfigRecord{{ObjectKind::kRegionContacts, "hobart"}, 900, false, "x"});
   store.apply(recordOf("a", 5));
   CHECK_EQUAL(5, store.highestVersion());
--- a/test/common/spread/spread_property.cc
+++ b/test/common/spread/spread_property.cc
@@ -1,7 +1,7 @@
 /**
- * @file Stateful property of membership and spread together, against the store's history as the
- * oracle: no object ever goes back, nobody states more than it holds, and after healing all
- * converge.
+ * @file Stateful property test of membership and configuration distribution, with the store's
+ * history as the oracle: no object reverts to an older version, no node claims a version that it
+ * does not hold completely, and all nodes converge once faults end.
  */
 #include <algorithm>
 #include <cstdio>
@@ -24,7 +24,7 @@
 constexpr uint32_t kReaders = 2;
 constexpr uint32_t kKeys = 4;
 
-/** What may happen; `subject` chooses the node, key or zone. */
+/** Kind of command; `subject` selects the node, key or zone. */
 enum class Action : uint8_t {
   kChange,
   kDelete,
@@ -60,7 +60,7 @@
                       });
 }
 
-/** Notes a record that went back in one process. */
+/** Detects a record that reverted to an older version within one process. */
 struct MonotonicityObserver : RecordObserver {
   void onRecordApplied(const ConfigRecord& record) override {
     uint64_t& version = versions[record.key];
@@ -71,7 +71,7 @@
   bool regressed = false;
 };
 
-/** The regions' system under test and the store's history. */
+/** The region under test and the history of the store. */
 class World {
  public:
   explicit World(uint64_t seed) : region_(seed) {
@@ -119,7 +119,7 @@
     }
     region_.run(std::chrono::milliseconds(command.milliseconds));
   }
-  /** Ends every fault and lets the readers and the rest catch up. */
+  /** Ends all faults and runs until readers and other nodes can have caught up. */
   void heal() {
     region_.network.faults = NetworkFaults{};
     for (uint32_t id = 1; id <= kNodes; ++id) {
@@ -136,12 +136,13 @@
     return std::none_of(observers_.begin(), observers_.end(),
                         [](const auto& observer) { return observer->regressed; });
   }
-  /** @return whether every node holds every change up to the version that it says is effective. */
+  /** @return whether every node holds every change up to its effective version. */
   bool claimsHold() {
     for (auto& [id, node] : region_.nodes) {
-      const uint64_t inForce = node.control->spread.effectiveVersion();
+      const uint64_t effective = node.control->spread.effectiveVersion();
       for (const ConfigRecord& event : history_) {
-        if (event.version <= inForce && node.control->store.versionOf(event.key) < event.version) {
+        if (event.version <= effective &&
+            node.control->store.versionOf(event.key) < event.version) {
           return false;
         }
       }
@@ -188,14 +189,14 @@
     }
     history_.push_back(std::move(record));
   }
-  /** The reader hands in what it has not yet read, in order. */
+  /** The reader publishes the changes that it has not read yet, in order. */
   void read(uint32_t reader) {
     if (!region_.nodes.at(reader).paused) {
       publish(reader, cursors_[reader], history_.size());
       cursors_[reader] = history_.size();
     }
   }
-  /** The reader hands in once more what it has read before. */
+  /** The reader publishes a change again that it has read before. */
   void repeatOld(uint32_t reader, uint32_t choice) {
     if (cursors_[reader] > 0 && !region_.nodes.at(reader).paused) {
       const size_t first = choice % cursors_[reader];
@@ -219,7 +220,7 @@
       region_.pause(id, paused);
     }
   }
-  /** Readers are elected again when they crash; that is not modelled here. */
+  /** Readers do not crash, because their re-election is not modelled here. */
   void crash(uint32_t id) {
     if (id > kReaders && region_.nodes.at(id).running) {
       region_.crash(id);
@@ -243,7 +244,7 @@
 
 TEST_GROUP_BASE(SpreadProperty, test::WithoutLeakDetection){};
 
-TEST(SpreadProperty, NothingGoesBackAndAllConvergeAfterHealing) {
+TEST(SpreadProperty, VersionsNeverDecreaseAndNodesConvergeAfterHealing) {
   const bool holds = rc::check([] {
     World world(*rc::gen::arbitrary<uint64_t>());
     const auto commands = *rc::gen::container<std::vector<Command>>(anyCommand());
--- a/test/common/spread/spread_region.h
+++ b/test/common/spread/spread_region.h
@@ -10,11 +10,11 @@
 
 namespace umberhold {
 
-/** Nodes of one or more regions; node 1 of each region is its seed. */
+/** Nodes of one or two regions; the first node of each region is its seed. */
 class SpreadRegion {
  public:
   static constexpr uint32_t kZones = 3;
-  /** Ids of the second region's nodes begin here. */
+  /** Lowest node id of the second region. */
   static constexpr uint32_t kOtherRegion = 1000;
   static constexpr Duration kTick = std::chrono::milliseconds(10);
 
@@ -95,7 +95,7 @@
       }
     }
   }
-  /** @return how many running nodes hold exactly the same records as the given one. */
+  /** @return the number of running nodes that hold exactly the same records as the given one. */
   size_t countEqual(uint32_t id) const {
     const uint64_t total = nodes.at(id).control->store.total();
     size_t equal = 0;
--- a/test/common/wire/codec_test.cc
+++ b/test/common/wire/codec_test.cc
@@ -1,4 +1,4 @@
-/** @file Tests of the codec: round trips, and inputs that no honest peer sends. */
+/** @file Tests of the codec: round trips and malformed input. */
 #include "common/wire/codec.h"
 
 #include <rapidcheck.h>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/** Fills any struct with visitFields with random content. */
+/** Fills structs that have visitFields with random content. */
 class RandomFiller {
  public:
   template <class... Fields>
@@ -89,10 +89,10 @@
 
 TEST_GROUP(Codec){};
 
-/** Without leak detection: rapidcheck keeps state of its own between the cases of a property. */
+/** Without leak detection, because rapidcheck keeps state between the cases of a property. */
 TEST_GROUP_BASE(CodecProperties, test::WithoutLeakDetection){};
 
-TEST(CodecProperties, EveryMessageSurvivesARoundTrip) {
+TEST(CodecProperties, MessagesRoundTrip) {
   CHECK(rc::check("decode(encode(message)) encodes to the same bytes", [] {
     const Message message = randomMessage();
     const auto bytes = encode(message);
@@ -104,7 +104,7 @@
   }));
 }
 
-TEST(CodecProperties, EveryServiceSurvivesARoundTrip) {
+TEST(CodecProperties, ServicesRoundTrip) {
   CHECK(rc::check("decodeService(encodeService(service)) == service", [] {
     Service service;
     RandomFiller filler;
@@ -117,7 +117,7 @@
   }));
 }
 
-TEST(CodecProperties, EveryAnswerToAPeerSurvivesARoundTrip) {
+TEST(CodecProperties, PeerChangesRoundTrip) {
   CHECK(rc::check("decodePeerChanges(encodePeerChanges(changes)) == changes", [] {
     PeerChanges changes;
     RandomFiller filler;
@@ -132,7 +132,7 @@
   }));
 }
 
-TEST(CodecProperties, EveryPartOfACopyOfHostsSurvivesARoundTrip) {
+TEST(CodecProperties, HostCopyPartsRoundTrip) {
   CHECK(rc::check("decodeHostCopyPart(encodeHostCopyPart(part)) == part", [] {
     HostCopyPart part;
     RandomFiller filler;
@@ -145,7 +145,7 @@
   }));
 }
 
-TEST(Codec, HostsOfNodesThatTellNoBirthAreRead) {
+TEST(Codec, DecodesPeerChangesWithoutOptionalFields) {
   PeerChanges changes;
   HostEvent event;
   event.host.name = "i-1";
@@ -154,14 +154,15 @@
   changes.events.push_back(event);
   const auto encoded = encodePeerChanges(changes);
   std::string earlier = valueOf(encoded);
-  // The host is an array of 12, the last of them its birth, 0; behind it the event goes on.
+  // The host is an array of 12 elements, the last of which is its start time, 0; the remaining
+  // fields of the event follow.
   const size_t header = earlier.find("\x9C\xA3i-1");
   const size_t birth = earlier.find(std::string("\x00\x05\x04\xC2", 4));
   CHECK_TRUE(header != std::string::npos && birth != std::string::npos);
   earlier[header] = '\x9B';
   earlier.erase(birth, 1);
-  // The answer is an array of 15, the last of them its speeds, an empty list, and an offer of no
-  // copy, its progress and its gaps.
+  // The answer is an array of 15 elements, the last four of which are the speeds (an empty list),
+  // the snapshot offer (none), the progress and the gaps.
   const std::string optional("\x90\x92\x00\x00\x00\x90", 6);
   CHECK_EQUAL('\x9F', earlier.front());
   CHECK_TRUE(earlier.substr(earlier.size() - optional.size()) == optional);
@@ -170,13 +171,13 @@
   const auto decoded = decodePeerChanges(earlier);
   CHECK_TRUE(isOk(decoded));
   CHECK_TRUE(valueOf(decoded) == changes);
-  // One field more may not be missing.
+  // The field before the optional ones is required.
   earlier[header] = '\x9A';
   earlier.erase(birth - 1, 1);
   CHECK_FALSE(isOk(decodePeerChanges(earlier)));
 }
 
-TEST(CodecProperties, EveryTruncatedMessageIsRefused) {
+TEST(CodecProperties, RejectsTruncatedMessages) {
   CHECK(rc::check("no prefix of a message decodes", [] {
     const std::string bytes = valueOf(encode(randomMessage()));
     const size_t length = *rc::gen::inRange<size_t>(0, bytes.size());
@@ -184,7 +185,7 @@
   }));
 }
 
-TEST(CodecProperties, RandomBytesAndFlippedBitsNeverHarm) {
+TEST(CodecProperties, RejectsOrDecodesRandomAndCorruptedBytes) {
   CHECK(rc::check("a corrupted message is refused or decodes to something encodable", [] {
     std::string bytes = valueOf(encode(randomMessage()));
     const size_t position = *rc::gen::inRange<size_t>(0, bytes.size());
@@ -198,18 +199,18 @@
   }));
 }
 
-TEST(Codec, LengthClaimsBeyondTheInputAreRefused) {
+TEST(Codec, RejectsDeclaredLengthsBeyondTheInput) {
   CHECK(failureOf(bytesOf({0xDD, 0xFF, 0xFF, 0xFF, 0xFF})) == DecodeErrorCode::kTooManyElements);
   CHECK(failureOf(bytesOf({0xDD, 0x00, 0x00, 0xFF, 0xFF, 0x00})) ==
         DecodeErrorCode::kTooManyElements);
   CHECK(failureOf(bytesOf({0x91, 0xDB, 0x7F, 0xFF, 0xFF, 0xFF})) == DecodeErrorCode::kTruncated);
 }
 
-TEST(Codec, NestingBeyondEveryMessageIsRefused) {
+TEST(Codec, RejectsExcessiveNesting) {
   CHECK(failureOf(std::string(1000, '\x91')) == DecodeErrorCode::kTooDeep);
 }
 
-TEST(Codec, FormsThatMessagesNeverUseAreRefused) {
+TEST(Codec, RejectsTypesThatMessagesNeverUse) {
   CHECK(failureOf("") == DecodeErrorCode::kTruncated);
   CHECK(failureOf(bytesOf({0x81, 0x00, 0x00})) == DecodeErrorCode::kMalformed);
   CHECK(failureOf(bytesOf({0xC1})) == DecodeErrorCode::kMalformed);
@@ -219,14 +220,14 @@
   CHECK(failureOf(bytesOf({0x91, 0xC0})) == DecodeErrorCode::kWrongType);
 }
 
-TEST(Codec, TrailingBytesAreRefused) {
+TEST(Codec, RejectsTrailingBytes) {
   const std::string bytes = valueOf(encode(Message{SnapshotAck{}}));
   CHECK(failureOf(bytes + '\0') == DecodeErrorCode::kTrailingBytes);
 }
 
 /** SnapshotAck is [number, [service, index], purpose, attempt, next]: 0x95, number, 0x92, five 0.
  */
-TEST(Codec, NamesTheFieldThatIsWrong) {
+TEST(Codec, ReportsIndexOfInvalidField) {
   const std::string bytes = valueOf(encode(Message{SnapshotAck{}}));
   CHECK_EQUAL(8U, bytes.size());
   std::string wrongType = bytes;
@@ -234,7 +235,7 @@
   CHECK(errorOf(decode(wrongType)) == (DecodeError{DecodeErrorCode::kWrongType, 4}));
 }
 
-TEST(Codec, IntegersThatDoNotFitAreRefused) {
+TEST(Codec, RejectsIntegersOutOfRange) {
   const std::string bytes = valueOf(encode(Message{SnapshotAck{}}));
   std::string tooWide = bytes;
   tooWide.replace(4, 1, bytesOf({0xCE, 0x00, 0x01, 0x00, 0x00}));
@@ -244,7 +245,7 @@
   CHECK(failureOf(negative) == DecodeErrorCode::kOutOfRange);
 }
 
-TEST(Codec, EnumValuesOutOfRangeAreRefusedBothWays) {
+TEST(Codec, RejectsInvalidEnumValuesInBothDirections) {
   Service service;
   service.protocol = static_cast<TransportProtocol>(7);
   CHECK(errorOf(encodeService(service)).code == EncodeErrorCode::kInvalidEnum);
@@ -254,7 +255,7 @@
   CHECK(errorOf(decodeService(bytes)) == (DecodeError{DecodeErrorCode::kInvalidEnum, 4}));
 }
 
-TEST(Codec, FieldsOfANewerVersionAreIgnoredAndMissingOnesAreNot) {
+TEST(Codec, IgnoresAppendedFieldsAndRejectsMissingOnes) {
   std::string newer = valueOf(encodePolicy(Policy{"drain", "x"}));
   newer[0] = '\x93';
   newer += '\x2A';
--- a/test/common/wire/envelope_test.cc
+++ b/test/common/wire/envelope_test.cc
@@ -1,4 +1,4 @@
-/** @file Tests of the envelope: forged, replayed and late datagrams, rotation of keys. */
+/** @file Tests of the envelope: forged, replayed and late datagrams, key rotation. */
 #include "common/wire/envelope.h"
 
 #include <rapidcheck.h>
@@ -46,13 +46,13 @@
 };
 
 /** RFC 4231, test case 1: the key is twenty bytes 0x0b, the data "Hi There". */
-TEST(Envelope, TagIsTheStandardsHmac) {
+TEST(Envelope, TagMatchesRfc4231TestCase) {
   KeyRing ring = ringOf({{1, std::string(20, '\x0b')}}, 1);
   CHECK(hexOf(ring.tagOf(1, "Hi There")) == "b0344c61d8db38535ca8afceaf0bf12b");
   CHECK(hexOf(ring.tagOf(1, "Hi There")) == "b0344c61d8db38535ca8afceaf0bf12b");
 }
 
-TEST(Envelope, OpensWhatWasSealed) {
+TEST(Envelope, OpensSealedDatagram) {
   const std::string datagram = sealer.seal("body");
   const auto opened = opener.open(datagram);
   CHECK(isOk(opened));
@@ -62,7 +62,7 @@
   CHECK(datagram.size() <= 4 + kMaxEnvelopeOverhead);
 }
 
-TEST(Envelope, EveryChangedByteIsRefused) {
+TEST(Envelope, RejectsDatagramWithAnyByteChanged) {
   const std::string datagram = sealer.seal("body");
   for (size_t position = 0; position < datagram.size(); ++position) {
     std::string forged = datagram;
@@ -72,7 +72,7 @@
   CHECK(isOk(opener.open(datagram)));
 }
 
-TEST(Envelope, CutAndRandomDatagramsAreRefused) {
+TEST(Envelope, RejectsTruncatedAndRandomDatagrams) {
   const std::string datagram = sealer.seal("body");
   for (size_t length = 0; length < datagram.size(); ++length) {
     CHECK(refuses(std::string_view(datagram).substr(0, length), OpenError::kMalformed));
@@ -83,7 +83,7 @@
   }));
 }
 
-TEST(Envelope, ReplaysAndLowerIncarnationsAreRefused) {
+TEST(Envelope, RejectsReplaysAndLowerIncarnations) {
   EnvelopeSealer restarted(keys, kSender, kStart + 1);
   const std::string first = sealer.seal("one");
   const std::string second = sealer.seal("two");
@@ -96,7 +96,7 @@
   CHECK_EQUAL(1U, opener.refused(OpenError::kTooOld));
 }
 
-TEST(Envelope, DatagramsBehindTheWindowAreRefused) {
+TEST(Envelope, RejectsDatagramsBehindTheWindow) {
   const std::string late = sealer.seal("late");
   const std::string justInTime = sealer.seal("just in time");
   for (uint64_t count = 0; count < kReplayWindow - 1; ++count) {
@@ -106,7 +106,7 @@
   CHECK(isOk(opener.open(justInTime)));
 }
 
-TEST(Envelope, EachNumberIsTakenOnce) {
+TEST(Envelope, AcceptsEachSequenceNumberOnce) {
   CHECK(rc::check("a guard takes each number of a sender at most once", [] {
     ReplayGuard guard;
     std::vector<bool> taken(600, false);
@@ -119,7 +119,7 @@
   }));
 }
 
-TEST(Envelope, SendersAreBounded) {
+TEST(Envelope, LimitsNumberOfTrackedSenders) {
   ReplayGuard guard;
   for (uint32_t node = 0; node < kMaxSenders + 10; ++node) {
     CHECK(guard.check(NodeId{node}, kStart, 1) == ReplayVerdict::kFresh);
@@ -128,7 +128,7 @@
   CHECK(guard.check(NodeId{kMaxSenders}, kStart, 1) == ReplayVerdict::kRepeated);
 }
 
-TEST(Envelope, KeysRotateWithoutARefusal) {
+TEST(Envelope, KeyRotationRejectsNoDatagram) {
   KeyRing both = ringOf({kOldKey, kNewKey}, 1);
   KeyRing bothSigningNew = ringOf({kOldKey, kNewKey}, 2);
   KeyRing onlyNew = ringOf({kNewKey}, 2);
@@ -141,21 +141,21 @@
   CHECK(errorOf(newOpener.open(sealer.seal("old key"))) == OpenError::kUnknownKey);
 }
 
-TEST(Envelope, AnotherSecretUnderTheSameIdIsRefused) {
+TEST(Envelope, RejectsDifferentSecretWithSameKeyId) {
   KeyRing foreign = ringOf({{1, "some other 16+ byte secret"}}, 1);
   EnvelopeSealer forger(foreign, kSender, kStart + 1);
   CHECK(refuses(forger.seal("body"), OpenError::kBadTag));
   CHECK(isOk(opener.open(sealer.seal("body"))));
 }
 
-TEST(Envelope, RingsThatCannotWorkAreRefused) {
+TEST(Envelope, RejectsInvalidKeyRings) {
   CHECK(errorOf(KeyRing::create({}, 1)) == KeyRingError::kNoKeys);
   CHECK(errorOf(KeyRing::create({{1, "short"}}, 1)) == KeyRingError::kSecretTooShort);
   CHECK(errorOf(KeyRing::create({kOldKey, kOldKey}, 1)) == KeyRingError::kDuplicateId);
   CHECK(errorOf(KeyRing::create({kOldKey}, 2)) == KeyRingError::kSigningKeyMissing);
 }
 
-TEST(Envelope, TrafficIsCountedWithItsHeaders) {
+TEST(Envelope, TrafficMeterIncludesHeaders) {
   TrafficMeter meter;
   meter.countSent(trafficClassOf(Message{Ping{}}), 100);
   meter.countReceived(trafficClassOf(Message{LoadShare{}}), 50);
--- a/test/common/wire/key_rotation_test.cc
+++ b/test/common/wire/key_rotation_test.cc
@@ -1,4 +1,4 @@
-/** @file The steps of a rotation that a running node takes, and those that it refuses. */
+/** @file Tests of the key changes that a running node accepts and rejects. */
 #include "common/wire/key_rotation.h"
 
 #include <string>
@@ -27,7 +27,7 @@
   }
 };
 
-TEST(KeyRotation, TakesTheStepsInOrderAndBack) {
+TEST(KeyRotation, AcceptsStepsInOrderAndTheirReversal) {
   const KeySettings steps[] = {old, added, signing, removed};
   for (size_t step = 1; step < std::size(steps); ++step) {
     CHECK_TRUE(isOk(checkRotation(steps[step - 1], steps[step])));
@@ -37,13 +37,13 @@
   CHECK_TRUE(isOk(checkRotation(added, old)));
 }
 
-TEST(KeyRotation, RefusesToSkipAStep) {
+TEST(KeyRotation, RejectsSkippedSteps) {
   expect(KeyRotationError::kSigningKeyNotAdded, old, signing);
   expect(KeyRotationError::kSigningKeyNotAdded, old, removed);
   expect(KeyRotationError::kSigningKeyRemoved, added, removed);
 }
 
-TEST(KeyRotation, RefusesAnotherSecretUnderAnIdInUse) {
+TEST(KeyRotation, RejectsChangedSecretOfIdInUse) {
   expect(KeyRotationError::kSecretChanged, old, {{makeKey(1, 'x')}, 1});
 }
 
--- a/test/common/wire/payload_compression_test.cc
+++ b/test/common/wire/payload_compression_test.cc
@@ -1,4 +1,4 @@
-/** @file Tests of the compression of objects: round trips, old payloads, bytes of any origin. */
+/** @file Tests of payload compression: round trips, uncompressed payloads, corrupted bytes. */
 #include "common/wire/payload_compression.h"
 
 #include <rapidcheck.h>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/** A service as operators write them. */
+/** @return a typical service. */
 Service serviceOf(uint32_t hosts) {
   Service service;
   service.name = "dispatch";
@@ -40,7 +40,7 @@
 
 TEST_GROUP_BASE(PayloadCompression, test::WithoutLeakDetection){};
 
-TEST(PayloadCompression, AServiceTakesLessThanHalfAndReadsBack) {
+TEST(PayloadCompression, CompressesServiceToLessThanHalf) {
   const Service service = serviceOf(15);
   const std::string packed = valueOf(encodeService(service));
   CHECK(isCompressedPayload(packed));
@@ -49,30 +49,30 @@
   CHECK(valueOf(decodeService(packed)) == service);
 }
 
-TEST(PayloadCompression, LessEffortReadsBackAsWell) {
+TEST(PayloadCompression, FastEffortRoundTrips) {
   const std::string plain(100000, 'x');
   const std::string packed = compressPayload(plain, CompressionEffort::kFast);
   CHECK(packed.size() * 10 < plain.size());
   CHECK(valueOf(decompressPayload(packed)) == plain);
 }
 
-TEST(PayloadCompression, PlainPayloadsStayReadable) {
+TEST(PayloadCompression, DecodesUncompressedPayloads) {
   const Service service = serviceOf(4);
   const std::string plain = valueOf(decompressPayload(valueOf(encodeService(service))));
   CHECK_FALSE(isCompressedPayload(plain));
   CHECK(valueOf(decodeService(plain)) == service);
 }
 
-TEST(PayloadCompression, TheSameObjectHasTheSameBytesEachTime) {
+TEST(PayloadCompression, OutputIsDeterministic) {
   CHECK(valueOf(encodeService(serviceOf(9))) == valueOf(encodeService(serviceOf(9))));
 }
 
-TEST(PayloadCompression, ShortPayloadsStayPlain) {
+TEST(PayloadCompression, ShortPayloadsAreNotCompressed) {
   const std::string text(kMinCompressedBytes - 1, 'a');
   CHECK(compressPayload(text) == text);
 }
 
-TEST(PayloadCompression, CutAndForeignBytesAreRefused) {
+TEST(PayloadCompression, RejectsTruncatedAndInvalidBytes) {
   const std::string packed = valueOf(encodeService(serviceOf(15)));
   CHECK(failureOf(packed.substr(0, 1)) == DecodeErrorCode::kTruncated);
   CHECK(failureOf(packed.substr(0, packed.size() / 2)) == DecodeErrorCode::kTruncated);
@@ -82,13 +82,13 @@
   CHECK(failureOf(unknownDictionary) == DecodeErrorCode::kMalformed);
 }
 
-TEST(PayloadCompression, AnExpansionBeyondTheLongestObjectIsRefused) {
+TEST(PayloadCompression, RejectsOutputBeyondMaximumSize) {
   const std::string packed = compressPayload(std::string(kMaxEncodedBytes + 1, 'a'));
   CHECK(packed.size() < kMaxEncodedBytes / 100);
   CHECK(failureOf(packed) == DecodeErrorCode::kTooLong);
 }
 
-TEST(PayloadCompression, EveryPayloadReadsBack) {
+TEST(PayloadCompression, PayloadsRoundTrip) {
   CHECK(rc::check("expandPayload(compressPayload(text)) == text", [] {
     const auto piece = *rc::gen::arbitrary<std::string>();
     std::string text = "\x99";
@@ -102,7 +102,7 @@
   }));
 }
 
-TEST(PayloadCompression, ChangedBytesNeverHarm) {
+TEST(PayloadCompression, RejectsOrDecodesChangedBytes) {
   CHECK(rc::check("a changed payload is refused or decodes to something encodable", [] {
     std::string packed = valueOf(encodeService(serviceOf(15)));
     const size_t position = *rc::gen::inRange<size_t>(0, packed.size());
