--- a/source/common/base/strong_id.h
+++ b/source/common/base/strong_id.h
@@ -33,7 +33,7 @@
 using RegionId = StrongId<struct RegionIdTag, uint32_t>;
 /** A service: xxHash64 of its name (see base/hash.h, serviceIdOf). */
 using ServiceId = StrongId<struct ServiceIdTag, uint64_t>;
-/** A back-end host of a service: xxHash64 of service and host name (see base/hash.h, hostIdOf). */
+/** A backend host of a service: xxHash64 of service and host name (see base/hash.h, hostIdOf). */
 using HostId = StrongId<struct HostIdTag, uint64_t>;
 /** A flow: xxHash64 of its 5-tuple (see flow/flow_key.h). */
 using FlowHash = StrongId<struct FlowHashTag, uint64_t>;
--- a/source/common/messages/peer_messages.h
+++ b/source/common/messages/peer_messages.h
@@ -48,7 +48,7 @@
 
   bool operator==(const HostObservation&) const = default;
 
-  /** Fields at the end that nodes of an earlier release leave out. */
+  /** Number of trailing fields that nodes of an earlier release do not send. */
   static constexpr uint32_t kOptionalFields = 1;
 
   template <class Visitor>
@@ -229,7 +229,7 @@
 
   bool offersCopy() const { return copy.parts > 0; }
 
-  /** Fields at the end that nodes of an earlier release leave out. */
+  /** Number of trailing fields that nodes of an earlier release do not send. */
   static constexpr uint32_t kOptionalFields = 4;
 
   template <class Visitor>
--- a/source/common/spread/record_fetcher.h
+++ b/source/common/spread/record_fetcher.h
@@ -28,7 +28,7 @@
     uint64_t version = 0;
     TimePoint askedAt;
     int attempts = 1;
-    /** The latest announcer. */
+    /** The node that announced the record last. */
     Endpoint announcer;
   };
 
--- a/test/common/membership/failure_detector_test.cc
+++ b/test/common/membership/failure_detector_test.cc
@@ -3,7 +3,7 @@
 
 #include "test/common/membership/region.h"
 
-// After the library headers: it replaces operator new by a macro.
+// After the library headers: it replaces operator new with a macro.
 // clang-format off
 #include <CppUTest/TestHarness.h>
 // clang-format on
--- a/test/common/packet/packet_parser_test.cc
+++ b/test/common/packet/packet_parser_test.cc
@@ -50,7 +50,7 @@
   checkDropped(DropReason::kMalformed, withByte(tcp, 0, 0x4F));   // header of 60 bytes
   checkDropped(DropReason::kMalformed, withByte(tcp, 3, 19));     // total length of 19 bytes
   checkDropped(DropReason::kMalformed, withByte(tcp, 3, 0));      // total length of 0
-  checkDropped(DropReason::kMalformed, withByte(tcp, 3, 30));     // cuts the TCP header
+  checkDropped(DropReason::kMalformed, withByte(tcp, 3, 30));     // truncates the TCP header
   checkDropped(DropReason::kMalformed, withByte(tcp, 32, 0x40));  // TCP header of 16 bytes
   checkDropped(DropReason::kMalformed, withByte(tcp, 32, 0xF0));  // TCP header of 60 bytes
   checkDropped(DropReason::kMalformed, withByte(udp, 25, 7));     // UDP length below its header
--- a/test/common/spread/config_spread_test.cc
+++ b/test/common/spread/config_spread_test.cc
@@ -1,7 +1,7 @@
 /** @file Tests of configuration distribution and of coverage. */
 #include "test/common/spread/spread_region.h"
 
-// After the library headers: it replaces operator new by a macro.
+// After the library headers: it replaces operator new with a macro.
 // clang-format off
 #include <CppUTest/TestHarness.h>
 // clang-format on
--- a/test/common/spread/spread_property.cc
+++ b/test/common/spread/spread_property.cc
@@ -11,7 +11,7 @@
 
 #include "test/common/spread/spread_region.h"
 
-// After the library headers: it replaces operator new by a macro.
+// After the library headers: it replaces operator new with a macro.
 // clang-format off
 #include "test/support/without_leak_detection.h"
 // clang-format on
--- a/test/common/wire/payload_compression_test.cc
+++ b/test/common/wire/payload_compression_test.cc
@@ -32,8 +32,8 @@
 }
 
 DecodeErrorCode failureOf(std::string_view bytes) {
-  const auto expanded = decompressPayload(bytes);
-  return isOk(expanded) ? DecodeErrorCode::kCount : errorOf(expanded).code;
+  const auto decompressed = decompressPayload(bytes);
+  return isOk(decompressed) ? DecodeErrorCode::kCount : errorOf(decompressed).code;
 }
 
 }  // namespace
@@ -96,9 +96,9 @@
     for (size_t repeat = 0; repeat < repeats; ++repeat) {
       text += piece;
     }
-    const auto expanded = decompressPayload(compressPayload(text));
-    RC_ASSERT(isOk(expanded));
-    RC_ASSERT(valueOf(expanded) == text);
+    const auto decompressed = decompressPayload(compressPayload(text));
+    RC_ASSERT(isOk(decompressed));
+    RC_ASSERT(valueOf(decompressed) == text);
   }));
 }
 
