--- a/source/common/spread/config_spread.cc
+++ b/source/common/spread/config_spread.cc
@@ -14,9 +14,7 @@
 constexpr size_t kRequiredMatches = 2;
 /** Maximum number of keys in one RecordRequest or announcement. */
 constexpr size_t kKeysPerMessage = 32;
-/** Share of the comparisons that a starting node starts with other starting nodes, if there are
- * any.
- */
+/** Share of a starting node's comparisons that are with other starting nodes, if there are any. */
 constexpr double kStartingPeerShare = 0.75;
 /** Content that a caught-up node summarizes for a starting one in one exchange, bytes. */
 constexpr size_t kStartingPeerBytesPerExchange = 2048;
@@ -64,7 +62,7 @@
     }
   }
   if (storeListed_) {
-    inForceVersion_ = std::max(inForceVersion_, publishedVersion_);
+    effectiveVersion_ = std::max(effectiveVersion_, publishedVersion_);
   }
   recheckPendingClaim();
 }
@@ -79,7 +77,7 @@
 void ConfigSpread::setStoreListed() {
   storeListed_ = true;
   caughtUp_ = true;
-  inForceVersion_ = std::max(inForceVersion_, publishedVersion_);
+  effectiveVersion_ = std::max(effectiveVersion_, publishedVersion_);
 }
 
 void ConfigSpread::setMachineList(TimePoint now, const std::vector<ContactCandidate>& machines) {
@@ -204,7 +202,7 @@
     recordDifference(now, from, sender);
   }
   chargeTransfer(now, sender, sentBefore, outcome == DigestOutcome::kDiffers ? kDigestBytes : 0);
-  const bool peerIsBehind = request.claim.version < inForceVersion_;
+  const bool peerIsBehind = request.claim.version < effectiveVersion_;
   if (outcome == DigestOutcome::kEqual && (request.wantsReply || peerIsBehind)) {
     sink_.send(from, Message{DigestReply{claim(), caughtUp_, {}, {}}});
   }
@@ -378,11 +376,11 @@
 
 /** A claim is confirmed if this node has the claimed total now or had it recently. */
 void ConfigSpread::applyClaim(const CompletenessClaim& received) {
-  if (received.version <= inForceVersion_) {
+  if (received.version <= effectiveVersion_) {
     return;
   }
   if (store_.changesSince(received.total)) {
-    inForceVersion_ = received.version;
+    effectiveVersion_ = received.version;
   } else if (received.version >= pendingClaim_.version) {
     pendingClaim_ = received;
   }
@@ -390,8 +388,8 @@
 }
 
 void ConfigSpread::recheckPendingClaim() {
-  if (pendingClaim_.version > inForceVersion_ && store_.changesSince(pendingClaim_.total)) {
-    inForceVersion_ = pendingClaim_.version;
+  if (pendingClaim_.version > effectiveVersion_ && store_.changesSince(pendingClaim_.total)) {
+    effectiveVersion_ = pendingClaim_.version;
   }
 }
 
--- a/source/common/spread/config_spread.h
+++ b/source/common/spread/config_spread.h
@@ -63,7 +63,7 @@
    * Remains true afterwards. */
   bool caughtUp() const { return caughtUp_; }
   /** @return the store version up to which every change is effective on this node. */
-  uint64_t effectiveVersion() const { return inForceVersion_; }
+  uint64_t effectiveVersion() const { return effectiveVersion_; }
   const ContactBook& contacts() const { return contacts_; }
 
  private:
@@ -90,7 +90,7 @@
   void recordMatch(NodeId peer);
   bool isForeign(NodeId sender) const;
   RegionId ownRegion() const;
-  CompletenessClaim claim() const { return {store_.total(), inForceVersion_}; }
+  CompletenessClaim claim() const { return {store_.total(), effectiveVersion_}; }
 
   SpreadOptions options_;
   const MembershipView& view_;
@@ -109,7 +109,7 @@
   std::map<RecordKey, bool> rumors_;
   /** The claim with the highest version that this node cannot confirm yet. */
   CompletenessClaim pendingClaim_;
-  uint64_t inForceVersion_ = 0;
+  uint64_t effectiveVersion_ = 0;
   uint64_t publishedVersion_ = 0;
   bool storeListed_ = false;
   bool caughtUp_ = false;
--- a/source/common/spread/coverage.cc
+++ b/source/common/spread/coverage.cc
@@ -93,7 +93,7 @@
 CoverageReport Coverage::ownSum(TimePoint now) {
   const Duration lifetime = options_.reportPeriod * kReportPeriodsKept;
   std::erase_if(reports_, [&](const auto& entry) { return now - entry.second.at > lifetime; });
-  CoverageReport sum{region_, inForceVersion_, 1, 1, view_.self(), inForceVersion_};
+  CoverageReport sum{region_, effectiveVersion_, 1, 1, view_.self(), effectiveVersion_};
   for (const auto& [sender, report] : reports_) {
     if (isChild(sender)) {
       add(sum, report.report);
@@ -103,7 +103,7 @@
 }
 
 void Coverage::tick(TimePoint now, uint64_t effectiveVersion) {
-  inForceVersion_ = effectiveVersion;
+  effectiveVersion_ = effectiveVersion;
   refreshTree();
   report(now);
   if (now < queryUntil_ && now >= nextQuery_) {
--- a/source/common/spread/coverage.h
+++ b/source/common/spread/coverage.h
@@ -90,7 +90,7 @@
   /** Number of tree levels below this node. */
   int height_ = 0;
 
-  uint64_t inForceVersion_ = 0;
+  uint64_t effectiveVersion_ = 0;
   std::map<NodeId, ChildReport> reports_;
   /** Latest reports of other regions; only on the root. */
   std::map<RegionId, ChildReport> otherRegions_;
