--- a/source/common/wire/envelope.h
+++ b/source/common/wire/envelope.h
@@ -23,9 +23,7 @@
 
 /** Version of the envelope's format. */
 constexpr uint8_t kEnvelopeVersion = 1;
-/** Maximum size of a datagram between nodes, bytes; larger ones would be fragmented on common
- * links.
- */
+/** Maximum size of a datagram between nodes, bytes; larger ones are fragmented on common links. */
 constexpr size_t kMaxDatagramBytes = 1400;
 /** Maximum overhead of the envelope, bytes. */
 constexpr size_t kMaxEnvelopeOverhead = 64;
