--- a/source/common/log/structured_log.cc
+++ b/source/common/log/structured_log.cc
@@ -34,7 +34,7 @@
                                const char* /*baseFilename*/, int /*line*/,
                                const google::LogMessageTime& time, const char* message,
                                size_t length) {
-  // glog calls one sink at a time.
+  // glog serializes calls to its sinks, so no lock is needed.
   if (time.timestamp() != second_) {
     second_ = time.timestamp();
     secondText_ = textOf(second_);
@@ -46,13 +46,13 @@
   text_.append(fraction.data(), static_cast<size_t>(digits));
   text_.append("level=").append(levelOf(severity)).append(" ").append(message, length);
   output_.append(text_);
-  if (atOnce_) {
+  if (flushEachLine_) {
     output_.flush();
   }
 }
 
 StructuredLog::StructuredLog(const char* program, int descriptor)
-    : output_(descriptor), immediate_(output_, true), gathered_(output_, false) {
+    : output_(descriptor), immediate_(output_, true), buffered_(output_, false) {
   google::InitGoogleLogging(program);
   for (int severity = 0; severity < google::NUM_SEVERITIES; ++severity) {
     google::SetLogDestination(severity, "");
--- a/source/common/spread/contact_book.cc
+++ b/source/common/spread/contact_book.cc
@@ -23,7 +23,8 @@
   return {};
 }
 
-/** Keeps contacts that are listed unchanged, then fills up in the order of the list. */
+/** Keeps contacts whose entry in the list is unchanged, then adds nodes in the order of the list.
+ */
 RegionContacts choose(const RegionContacts& known, const std::vector<RegionContact>& listed) {
   RegionContacts chosen;
   for (const RegionContact& contact : known.contacts) {
@@ -93,8 +94,8 @@
   return regions;
 }
 
-bool ContactBook::carries(RegionId own, NodeId contact, const RecordKey& key, RegionId region,
-                          size_t carriers) const {
+bool ContactBook::isForwarder(RegionId own, NodeId contact, const RecordKey& key, RegionId region,
+                              size_t forwarders) const {
   const auto found = contacts_.find(own);
   if (found == contacts_.end()) {
     return false;
@@ -104,7 +105,7 @@
   const auto better = std::count_if(
       found->second.begin(), found->second.end(),
       [&](const RegionContact& other) { return mixHash(target, other.id.value) > ownScore; });
-  return static_cast<size_t>(better) < carriers;
+  return static_cast<size_t>(better) < forwarders;
 }
 
 std::vector<ConfigRecord> contactRecordsFor(const RecordStore& store,
--- a/source/common/spread/coverage.cc
+++ b/source/common/spread/coverage.cc
@@ -8,17 +8,17 @@
 namespace umberhold {
 namespace {
 
-/** Reports older than this many report periods are no longer counted. */
-constexpr int kReportLifetimes = 3;
-/** Children, and nodes that took this one for their parent a short while ago. */
+/** Number of report periods after which a child's report expires. */
+constexpr int kReportPeriodsKept = 3;
+/** Maximum number of stored reports: those of children, and of nodes whose parent was this node
+ * until recently. */
 constexpr size_t kMaxReports = 4 * kCoverageFanIn;
 
 bool isCounted(const Member& member) {
   return member.state == MemberState::kAlive || member.state == MemberState::kSuspect;
 }
 
-/** Adds a part of the tree; what is effective there at an older version does not count for a newer
- * one. */
+/** Adds the report of a subtree. Nodes at an older version do not count for a newer one. */
 void add(CoverageReport& sum, const CoverageReport& part) {
   if (part.version > sum.version) {
     sum.nodesAtVersion = 0;
@@ -91,9 +91,9 @@
 }
 
 CoverageReport Coverage::ownSum(TimePoint now) {
-  const Duration lifetime = options_.reportPeriod * kReportLifetimes;
+  const Duration lifetime = options_.reportPeriod * kReportPeriodsKept;
   std::erase_if(reports_, [&](const auto& entry) { return now - entry.second.at > lifetime; });
-  CoverageReport sum{region_, inForceVersion_, 1, 1, view_.self(), inForceVersion_};
+  CoverageReport sum{region_, effectiveVersion_, 1, 1, view_.self(), effectiveVersion_};
   for (const auto& [sender, report] : reports_) {
     if (isChild(sender)) {
       add(sum, report.report);
@@ -102,11 +102,11 @@
   return sum;
 }
 
-void Coverage::tick(TimePoint now, uint64_t inForceVersion) {
-  inForceVersion_ = inForceVersion;
+void Coverage::tick(TimePoint now, uint64_t effectiveVersion) {
+  effectiveVersion_ = effectiveVersion;
   refreshTree();
   report(now);
-  if (now < interestedUntil_ && now >= nextQuery_) {
+  if (now < queryUntil_ && now >= nextQuery_) {
     askRoot(now);
   }
 }
@@ -123,8 +123,8 @@
   } else if (!changedAt_) {
     changedAt_ = now;
   }
-  const bool gathered = changedAt_ && now - *changedAt_ >= options_.gatherTime * height_;
-  if (!gathered && waited < options_.reportPeriod) {
+  const bool aggregated = changedAt_ && now - *changedAt_ >= options_.aggregationDelay * height_;
+  if (!aggregated && waited < options_.reportPeriod) {
     return;
   }
   changedAt_.reset();
@@ -151,8 +151,8 @@
 
 std::vector<CoverageReport> Coverage::allRegions(TimePoint now) {
   std::vector<CoverageReport> regions{ownSum(now)};
-  for (const auto& [region, heard] : otherRegions_) {
-    regions.push_back(heard.report);
+  for (const auto& [region, received] : otherRegions_) {
+    regions.push_back(received.report);
   }
   return regions;
 }
@@ -161,7 +161,7 @@
                       const CoverageReport& report) {
   refreshTree();
   if (report.region == region_) {
-    // Kept also where this node's view does not know the sender as a child yet.
+    // Stored even if the sender is not a child in this node's view yet.
     if (reports_.size() < kMaxReports) {
       reports_[sender] = ChildReport{report, now};
     }
--- a/source/common/spread/digest_exchange.cc
+++ b/source/common/spread/digest_exchange.cc
@@ -10,12 +10,13 @@
 namespace umberhold {
 namespace {
 
-/** Changes that a peer may be behind to get just these instead of a comparison. */
-constexpr size_t kMaxDirectChanges = 16;
-/** Encoded size of a RecordVersion beyond its name. */
+/** A peer that lacks at most this many recent changes is sent them directly, without a further
+ * comparison. */
+constexpr size_t kMaxPushedChanges = 16;
+/** Approximate encoded size of a RecordVersion without its name, bytes. */
 constexpr size_t kVersionOverhead = 14;
 
-/** @return about how many bytes they take in a message. */
+/** @return the approximate encoded size, bytes. */
 size_t sizeOf(const std::vector<RecordVersion>& versions) {
   size_t size = 0;
   for (const RecordVersion& version : versions) {
@@ -37,7 +38,7 @@
   if (changes && changes->empty()) {
     return DigestOutcome::kEqual;
   }
-  if (changes && changes->size() <= kMaxDirectChanges) {
+  if (changes && changes->size() <= kMaxPushedChanges) {
     sender_.send(from, *changes, false, claim);
     return DigestOutcome::kPeerIsBehind;
   }
@@ -53,7 +54,7 @@
     for (uint32_t& bucket : buckets) {
       bucket += request.group * kBucketsPerGroup;
     }
-    sendSummaries(from, withinBytes(std::move(buckets), byteLimit), claim, caughtUp);
+    sendSummaries(from, limitBytes(std::move(buckets), byteLimit), claim, caughtUp);
   }
   return DigestOutcome::kDiffers;
 }
@@ -72,8 +73,8 @@
   return differing;
 }
 
-std::vector<uint32_t> DigestExchange::withinBytes(std::vector<uint32_t> buckets,
-                                                  size_t byteLimit) const {
+std::vector<uint32_t> DigestExchange::limitBytes(std::vector<uint32_t> buckets,
+                                                 size_t byteLimit) const {
   size_t bytes = 0;
   size_t count = 0;
   while (count < buckets.size() && (count == 0 || bytes < byteLimit)) {
@@ -108,7 +109,8 @@
   }
 }
 
-/** A bucket too long for one datagram: no part is the whole content, so each only announces. */
+/** Sends a bucket that is too large for one datagram. No datagram holds its complete content, so
+ * each one only announces records. */
 void DigestExchange::announce(const Endpoint& to, const std::vector<RecordVersion>& versions,
                               const CompletenessClaim& own, bool caughtUp) {
   DigestReply reply{own, caughtUp, {}, {}};
@@ -146,15 +148,15 @@
 
 void DigestExchange::pushNewer(const Endpoint& to, uint32_t bucket, const DigestReply& reply,
                                const CompletenessClaim& own) {
-  std::map<RecordKey, uint64_t> theirs;
+  std::map<RecordKey, uint64_t> peerVersions;
   for (const RecordVersion& record : reply.versions) {
-    theirs[record.key] = record.version;
+    peerVersions[record.key] = record.version;
   }
   std::vector<RecordKey> keys;
   for (const RecordVersion& record : store_.versionsIn(bucket)) {
-    const auto known = theirs.find(record.key);
-    const uint64_t version = known == theirs.end() ? 0 : known->second;
-    // Versions of contacts are counted by several readers: equal ones may differ in content.
+    const auto known = peerVersions.find(record.key);
+    const uint64_t version = known == peerVersions.end() ? 0 : known->second;
+    // Several readers assign versions to contact records, so equal versions may differ in content.
     const bool mayDiffer = record.key.kind == ObjectKind::kRegionContacts;
     if (record.version > version || (mayDiffer && record.version == version)) {
       keys.push_back(record.key);
--- a/source/common/spread/record_fetcher.cc
+++ b/source/common/spread/record_fetcher.cc
@@ -7,14 +7,14 @@
 namespace umberhold {
 namespace {
 
-/** Beyond these the comparisons of digests bring what is missing. */
+/** Maximum number of concurrent fetches; further records are obtained by digest comparison. */
 constexpr size_t kMaxFetches = 256;
 constexpr int kMaxAttempts = 4;
 
 }  // namespace
 
-void RecordFetcher::announced(TimePoint now, const Endpoint& from,
-                              const std::vector<RecordVersion>& newer) {
+void RecordFetcher::onAnnouncement(TimePoint now, const Endpoint& from,
+                                   const std::vector<RecordVersion>& newer) {
   RecordRequest request;
   for (const RecordVersion& record : newer) {
     const auto known = fetches_.find(record.key);
@@ -30,7 +30,7 @@
   }
 }
 
-bool RecordFetcher::arrived(const RecordKey& key, uint64_t version) {
+bool RecordFetcher::onArrival(const RecordKey& key, uint64_t version) {
   const auto known = fetches_.find(key);
   if (known == fetches_.end() || known->second.version > version) {
     return false;
@@ -42,7 +42,7 @@
 void RecordFetcher::tick(TimePoint now) {
   for (auto fetch = fetches_.begin(); fetch != fetches_.end();) {
     Fetch& state = fetch->second;
-    const bool overdue = now - state.askedAt >= patience_;
+    const bool overdue = now - state.askedAt >= timeout_;
     if (overdue && state.attempts == kMaxAttempts) {
       fetch = fetches_.erase(fetch);
       continue;
--- a/source/common/spread/record_store.cc
+++ b/source/common/spread/record_store.cc
@@ -9,7 +9,7 @@
 namespace umberhold {
 namespace {
 
-/** Changes whose effect on the total is remembered. */
+/** Number of recent changes for which the previous total is kept. */
 constexpr size_t kRememberedChanges = 32;
 
 uint64_t hashOf(const RecordKey& key) {
@@ -24,7 +24,7 @@
   return mixHash(hashBytes(payload), deleted ? 1 : 0);
 }
 
-/** Of two different contents under one version every node keeps the same. */
+/** Compares versions; if they are equal, content hashes, so that all nodes keep the same record. */
 bool isNewer(const ConfigRecord& record, const RecordView& known) {
   if (record.version != known.version) {
     return record.version > known.version;
@@ -65,7 +65,7 @@
   const uint64_t totalBefore = total_;
   replace(known, record, keyHash);
   trimTombstones();
-  noteChange(totalBefore, record.key);
+  rememberChange(totalBefore, record.key);
   if (record.key.kind != ObjectKind::kRegionContacts) {
     highestVersion_ = std::max(highestVersion_, record.version);
   }
@@ -137,7 +137,7 @@
   }
 }
 
-void RecordStore::noteChange(uint64_t totalBefore, const RecordKey& key) {
+void RecordStore::rememberChange(uint64_t totalBefore, const RecordKey& key) {
   changes_.push_back(Change{totalBefore, key});
   if (changes_.size() > kRememberedChanges) {
     changes_.pop_front();
