--- a/bench/reader_load/reader_load_main.cc
+++ b/bench/reader_load/reader_load_main.cc
@@ -62,7 +62,7 @@
 
 /** The lease objects, counting what is asked of them. */
 struct CountingStore {
-  std::array<std::optional<SeenLease>, kReaderSlots> slots;
+  std::array<std::optional<ObservedLease>, kReaderSlots> slots;
   uint64_t version = 0;
   uint64_t reads = 0;
   uint64_t writes = 0;
@@ -148,7 +148,7 @@
       ++store.writes;
       auto& slot = store.slots[write.slot];
       if ((slot ? slot->version : 0) == write.expectedVersion) {
-        slot = SeenLease{++store.version, write.lease};
+        slot = ObservedLease{++store.version, write.lease};
         node.election.onWritten(now_, write, store.version);
       } else {
         node.election.onWriteFailed(now_, write.slot, {StoreErrorCode::kConflict, "", {}});
--- a/source/common/admin/change_attempt.cc
+++ b/source/common/admin/change_attempt.cc
@@ -299,7 +299,7 @@
 }
 
 Duration ChangeAttempt::comeBackAfter() const {
-  return std::max(storeWait_.value_or(Duration{}), context_.limits.backOff.longest);
+  return std::max(storeWait_.value_or(Duration{}), context_.limits.backOff.maxDelay);
 }
 
 }  // namespace umberhold
--- a/source/common/platform/catalog_source.h
+++ b/source/common/platform/catalog_source.h
@@ -20,22 +20,22 @@
 namespace umberhold {
 
 /** An object was deleted. */
-struct ObjectGone {
+struct DeletedObject {
   Collection collection = Collection::kServices;
   std::string name;
 
-  bool operator==(const ObjectGone&) const = default;
+  bool operator==(const DeletedObject&) const = default;
 };
 
 /** One change of the catalogue. Evacuated zones come as a whole. */
-using CatalogChange = std::variant<Service, HostPool, ObjectGone, EvacuatedZones>;
+using CatalogChange = std::variant<Service, HostPool, DeletedObject, EvacuatedZones>;
 
 /** Changes that take effect together. */
 struct CatalogChanges {
   /** Version of the catalogue with them. */
   uint64_t version = 0;
   /** When the reader got them. */
-  TimePoint seenAt{};
+  TimePoint receivedAt{};
   std::vector<CatalogChange> changes;
 };
 
@@ -51,7 +51,7 @@
    * Waits up to `patience` for changes after the version.
    * @return them in order; kTooOld where they are no longer known: list again.
    */
-  virtual Result<CatalogChanges, StoreError> watch(uint64_t since, Duration patience) = 0;
+  virtual Result<CatalogChanges, StoreError> watch(uint64_t since, Duration longPollTimeout) = 0;
 };
 
 }  // namespace umberhold
--- a/source/common/platform/collection_follower.cc
+++ b/source/common/platform/collection_follower.cc
@@ -6,7 +6,7 @@
 
 CollectionFollower::CollectionFollower(FollowerOptions options, RandomSource& random)
     : options_(options),
-      gathering_(options.gatherChanges),
+      gathering_(options.changeBatchDelay),
       backOff_(options.retry, random),
       budget_(options.retryBudget) {}
 
@@ -17,23 +17,23 @@
   if (page_) {
     return *page_;
   }
-  return WatchFrom{watchVersion_, options_.longestWatch};
+  return WatchFrom{watchVersion_, options_.maxWatchDuration};
 }
 
 PageOutcome CollectionFollower::onPage(uint64_t version, const std::string& lastName, bool more) {
   succeed();
-  const bool mayLag = page_ && page_->mayLag;
+  const bool allowStale = page_ && page_->allowStale;
   if (!page_ || page_->after.empty()) {
     listVersion_ = version;
   }
   if (more) {
-    page_ = ReadPage{lastName, mayLag};
+    page_ = ReadPage{lastName, allowStale};
     return PageOutcome::kPartial;
   }
   page_.reset();
   watchVersion_ = listVersion_;
   hasListed_ = true;
-  return mayLag ? PageOutcome::kLaggingListComplete : PageOutcome::kListComplete;
+  return allowStale ? PageOutcome::kLaggingListComplete : PageOutcome::kListComplete;
 }
 
 void CollectionFollower::onWatch(TimePoint now, uint64_t version, bool hadEvents) {
@@ -66,7 +66,7 @@
   }
 }
 
-void CollectionFollower::demandCurrentList() {
+void CollectionFollower::requireCurrentList() {
   if (page_) {
     page_ = ReadPage{"", false};
   }
@@ -87,7 +87,7 @@
 
 void CollectionFollower::startListAnew() {
   // Only the very first list may lag: afterwards a copy exists that must not go back in time.
-  page_ = ReadPage{"", !hasListed_ && page_ && page_->mayLag};
+  page_ = ReadPage{"", !hasListed_ && page_ && page_->allowStale};
 }
 
 }  // namespace umberhold
--- a/source/common/platform/collection_follower.h
+++ b/source/common/platform/collection_follower.h
@@ -26,13 +26,13 @@
   /** Name to go on after; empty for the first page. */
   std::string after;
   /** Whether an answer that lags will do. */
-  bool mayLag = false;
+  bool allowStale = false;
 };
 
 /** Wait for changes. */
 struct WatchFrom {
   uint64_t version = 0;
-  Duration patience{0};
+  Duration longPollTimeout{0};
 };
 
 /** Nothing to ask before then. */
@@ -47,9 +47,9 @@
   /** Bounds how long a watch that was lost in a silence between two probes goes unnoticed. A watch
    * that is asked while the store forgets its history may be lost, too: more of them are no gain.
    */
-  Duration longestWatch = std::chrono::seconds(30);
+  Duration maxWatchDuration = std::chrono::seconds(30);
   /** Wait after changes, so that those that come in a row cost one call. */
-  Duration gatherChanges = std::chrono::milliseconds(250);
+  Duration changeBatchDelay = std::chrono::milliseconds(250);
   /** In its place, where it is shorter, for a while after expectChanges(). */
   Duration gatherExpectedChanges = std::chrono::milliseconds(100);
   Duration expectedChangesLast = std::chrono::seconds(3);
@@ -74,8 +74,8 @@
   CollectionFollower(FollowerOptions options, RandomSource& random);
 
   FollowerAction next(TimePoint now) const;
-  /** In place of FollowerOptions::gatherChanges from the next changes on. */
-  void setGathering(Duration gathering) { gathering_ = gathering; }
+  /** In place of FollowerOptions::changeBatchDelay from the next changes on. */
+  void setChangeBatchDelay(Duration gathering) { gathering_ = gathering; }
 
   /**
    * What is followed is not as it will soon be: after a start or an outage, for instance. Changes
@@ -102,7 +102,7 @@
    * Something is known from elsewhere: the list to come must be current, so that what it lacks is
    * known to be gone.
    */
-  void demandCurrentList();
+  void requireCurrentList();
   /** Calls may succeed again: the next one is made at once. */
   void retryNow() { pausedUntil_ = TimePoint{}; }
   /** A peer gave everything as of the version: there is nothing to list. */
--- a/source/common/platform/first_list.h
+++ b/source/common/platform/first_list.h
@@ -4,7 +4,7 @@
  * A list is the largest answer that the store gives. Hundreds of nodes that start together would
  * fill its link with them (985 lists of 10,000 hosts: 2.4 GB, 20 s of 1,000 Mbit/s), so a first
  * list waits for a peer that may tell the same, for as long as the peer gets on. Where none does,
- * few nodes list first, and ever more later (ReaderRoster::standInStep()). Once asked for, it may
+ * few nodes list first, and ever more later (ReaderRoster::fallbackStep()). Once asked for, it may
  * never be answered: a store that was silent when it was asked stays silent on that connection. A
  * probe that was sent later and answered shows it. Decision logic without I/O.
  */
@@ -22,7 +22,7 @@
 struct FirstListOptions {
   /** How long peers are given, from the start, from the return of a store that was silent, or since
    * a peer last got on; for a node that comes later than others that much longer each step. */
-  Duration patience = std::chrono::milliseconds(500);
+  Duration peerWait = std::chrono::milliseconds(500);
   /**
    * A list that waits longer counts as lost once a later probe is answered. It doubles with each
    * list that is given up, so that one which is only slow to arrive ends in time.
@@ -32,7 +32,7 @@
   Duration retryInSilence = std::chrono::seconds(2);
   /** Peers are given no longer in all, however they get on: half of the shortest time (12 s) in
    * which deployments have to serve again after all machines were lost. */
-  Duration longestPatience = std::chrono::seconds(6);
+  Duration maxPeerWait = std::chrono::seconds(6);
 };
 
 /** One collection's first list. Not thread safe. */
@@ -41,37 +41,37 @@
   FirstList(TimePoint now, FirstListOptions options)
       : options_(options),
         began_(now),
-        opensAt_(now + options.patience),
+        opensAt_(now + options.peerWait),
         lostAfter_(options.lostAfter) {}
 
-  /** Nodes that may take the readers' place before this one: see ReaderRoster::standInStep(). */
-  void setStep(uint32_t step) {
-    opensAt_ += (static_cast<int32_t>(step) - step_) * options_.patience;
+  /** Nodes that may take the readers' place before this one: see ReaderRoster::fallbackStep(). */
+  void setFallbackStep(uint32_t step) {
+    opensAt_ += (static_cast<int32_t>(step) - step_) * options_.peerWait;
     step_ = static_cast<int32_t>(step);
   }
   /** A peer gets what it will pass on. */
   void onPeerProgress(TimePoint now) {
-    const TimePoint latest = began_ + options_.longestPatience;
-    opensAt_ = std::max(opensAt_, std::min(now + patience(), latest));
+    const TimePoint latest = began_ + options_.maxPeerWait;
+    opensAt_ = std::max(opensAt_, std::min(now + peerWait(), latest));
   }
   /** @return when the list may be asked for at the earliest. */
-  TimePoint opensAt() const { return opensAt_; }
+  TimePoint earliestRequestAt() const { return opensAt_; }
   /** @return when it may be asked for while probes go unanswered. @param first time it may be. */
-  TimePoint opensInSilence(TimePoint first) const {
+  TimePoint earliestRequestWhileUnresponsive(TimePoint first) const {
     return lastAskedAt_ ? std::max(first, *lastAskedAt_ + options_.retryInSilence) : first;
   }
   /** The list was asked for. */
-  void onAsked(TimePoint now) {
+  void onRequested(TimePoint now) {
     askedAt_ = now;
     lastAskedAt_ = now;
   }
-  bool isUnderWay() const { return askedAt_.has_value(); }
+  bool isInProgress() const { return askedAt_.has_value(); }
   /** An answer came, or the call failed. */
   void onEnded() { askedAt_.reset(); }
   /** The store was silent and answers again: peers can be given something, too. */
-  void onStoreReturned(TimePoint now) {
+  void onStoreRecovered(TimePoint now) {
     began_ = now;
-    opensAt_ = now + patience();
+    opensAt_ = now + peerWait();
   }
 
   /**
@@ -88,7 +88,7 @@
   }
 
  private:
-  Duration patience() const { return (1 + step_) * options_.patience; }
+  Duration peerWait() const { return (1 + step_) * options_.peerWait; }
 
   const FirstListOptions options_;
   int32_t step_ = 0;
--- a/source/common/platform/host_presence.cc
+++ b/source/common/platform/host_presence.cc
@@ -129,7 +129,7 @@
   return registered;
 }
 
-std::vector<std::string> HostPresence::registeredBeyond(const std::set<std::string>& names) const {
+std::vector<std::string> HostPresence::registeredExcept(const std::set<std::string>& names) const {
   std::vector<std::string> beyond;
   for (const auto& [name, entry] : entries_) {
     if (!entry.removedAt && !names.contains(name)) {
--- a/source/common/platform/host_presence.h
+++ b/source/common/platform/host_presence.h
@@ -94,7 +94,7 @@
   /** @return the registrations that are there. */
   std::vector<HostRegistration> registered() const;
   /** @return the names of registered hosts that the set lacks. */
-  std::vector<std::string> registeredBeyond(const std::set<std::string>& names) const;
+  std::vector<std::string> registeredExcept(const std::set<std::string>& names) const;
   /** @return when settle() has something to do next. */
   std::optional<TimePoint> nextChange() const;
 
--- a/source/common/platform/http_call.h
+++ b/source/common/platform/http_call.h
@@ -38,7 +38,7 @@
   std::string target;
   std::string body;
   /** Time that the server is expected to hold the answer back (long poll). */
-  Duration patience{0};
+  Duration longPollTimeout{0};
   std::vector<HttpHeader> headers{};
 };
 
--- a/source/common/platform/http_exchange.cc
+++ b/source/common/platform/http_exchange.cc
@@ -66,7 +66,7 @@
 
 HttpExchange exchangeOn(Poco::Net::HTTPClientSession& session, const Endpoint& server,
                         const HttpCall& call, const CallLimits& limits, bool keepAlive) {
-  const Duration allowed = limits.answer + call.patience;
+  const Duration allowed = limits.answer + call.longPollTimeout;
   const auto deadline = std::chrono::steady_clock::now() + allowed;
   session.setTimeout(toTimespan(limits.connect), toTimespan(limits.answer), toTimespan(allowed));
   // A session puts its time limits on sockets that it connects itself only.
--- a/source/common/platform/http_platform_store.cc
+++ b/source/common/platform/http_platform_store.cc
@@ -110,11 +110,11 @@
   return decodeChangeAnswer(valueOf(body));
 }
 
-Result<WatchBatch, StoreError> HttpPlatformStore::watch(uint64_t since, Duration patience) {
-  const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(patience).count();
+Result<WatchBatch, StoreError> HttpPlatformStore::watch(uint64_t since, Duration longPollTimeout) {
+  const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(longPollTimeout).count();
   const std::string target = std::string(kBasePath) + "watch?since=" + std::to_string(since) +
                              "&wait_ms=" + std::to_string(milliseconds);
-  auto body = call({"GET", target, "", patience});
+  auto body = call({"GET", target, "", longPollTimeout});
   if (!isOk(body)) {
     return errorOf(body);
   }
--- a/source/common/platform/http_platform_store.h
+++ b/source/common/platform/http_platform_store.h
@@ -24,7 +24,7 @@
   Result<StoredObject, StoreError> get(Collection collection, const std::string& name) override;
   Result<uint64_t, StoreError> put(const StoredObject& object) override;
   Result<uint64_t, StoreError> remove(const StoredObject& object) override;
-  Result<WatchBatch, StoreError> watch(uint64_t since, Duration patience) override;
+  Result<WatchBatch, StoreError> watch(uint64_t since, Duration longPollTimeout) override;
   Result<std::vector<Machine>, StoreError> machines() override;
 
  private:
--- a/source/common/platform/json_field_reader.cc
+++ b/source/common/platform/json_field_reader.cc
@@ -45,7 +45,7 @@
   return array;
 }
 
-void JsonFieldReader::refuseOtherKeys() {
+void JsonFieldReader::rejectUnknownKeys() {
   for (const std::string& key : object_->getNames()) {
     if (asked_.count(key) == 0) {
       fail(ObjectErrorCode::kUnknownKey, key, "is not known");
--- a/source/common/platform/json_field_reader.h
+++ b/source/common/platform/json_field_reader.h
@@ -30,7 +30,7 @@
   /** @return the array, or null where it is absent. */
   Poco::JSON::Array::Ptr optionalArray(const std::string& key);
   /** Reports the first key that nothing asked for. */
-  void refuseOtherKeys();
+  void rejectUnknownKeys();
 
   void fail(ObjectErrorCode code, const std::string& key, const std::string& detail);
   /** @return the path of a key. */
--- a/source/common/platform/lease_store.cc
+++ b/source/common/platform/lease_store.cc
@@ -18,7 +18,7 @@
     const StoredObject& stored = valueOf(object);
     // A lease that can't be read counts as given up: the next write mends it.
     const ReaderLease lease = parseLease(stored.specification).value_or(ReaderLease{});
-    election_.onRead(steadyNow(), slot, SeenLease{stored.version, lease});
+    election_.onRead(steadyNow(), slot, ObservedLease{stored.version, lease});
   } else if (errorOf(object).code == StoreErrorCode::kNotFound) {
     election_.onRead(steadyNow(), slot, std::nullopt);
   } else {
--- a/source/common/platform/object_json.cc
+++ b/source/common/platform/object_json.cc
@@ -115,7 +115,7 @@
   host.weight =
       static_cast<uint32_t>(reader.optionalInteger("weight", 0, kHighestUint32, host.weight));
   host.incarnation = readIncarnation(reader);
-  reader.refuseOtherKeys();
+  reader.rejectUnknownKeys();
   return host;
 }
 
@@ -149,7 +149,7 @@
   HostGroup group;
   group.pool = reader.requiredText("pool");
   group.share = static_cast<uint32_t>(reader.optionalInteger("share", 0, kHighestUint32, 1));
-  reader.refuseOtherKeys();
+  reader.rejectUnknownKeys();
   return group;
 }
 
@@ -258,7 +258,7 @@
       reader.optionalInteger("request_timeout_milliseconds", 0, kHighestUint32, 0));
   service.targetLatencyMilliseconds = static_cast<uint32_t>(
       reader.optionalInteger("target_latency_milliseconds", 0, kHighestUint32, 0));
-  reader.refuseOtherKeys();
+  reader.rejectUnknownKeys();
   if (error) {
     return *error;
   }
@@ -302,7 +302,7 @@
   HostPool pool;
   pool.name = name;
   pool.hosts = readHosts(reader, error);
-  reader.refuseOtherKeys();
+  reader.rejectUnknownKeys();
   if (error) {
     return *error;
   }
@@ -325,7 +325,7 @@
   Policy policy;
   policy.name = name;
   policy.source = reader.requiredText("source");
-  reader.refuseOtherKeys();
+  reader.rejectUnknownKeys();
   if (error) {
     return *error;
   }
--- a/source/common/platform/platform_store.h
+++ b/source/common/platform/platform_store.h
@@ -143,7 +143,7 @@
   /** Deletes an object at the expected version; @return the version of the deletion. */
   virtual Result<uint64_t, StoreError> remove(const StoredObject& object) = 0;
   /** Waits up to `patience` for changes of services, policies and pools after `since`. */
-  virtual Result<WatchBatch, StoreError> watch(uint64_t since, Duration patience) = 0;
+  virtual Result<WatchBatch, StoreError> watch(uint64_t since, Duration longPollTimeout) = 0;
   virtual Result<std::vector<Machine>, StoreError> machines() = 0;
 };
 
--- a/source/common/platform/read_source.cc
+++ b/source/common/platform/read_source.cc
@@ -14,7 +14,7 @@
       return "undecided";
     case ReadCause::kReader:
       return "reader";
-    case ReadCause::kAlone:
+    case ReadCause::kNoPeers:
       return "alone";
     case ReadCause::kAsked:
       return "asked";
@@ -28,14 +28,14 @@
     : options_(options),
       random_(random),
       startedAt_(now),
-      decideBy_(now + options.decision),
+      decideBy_(now + options.rosterWait),
       confirmedAt_(now) {}
 
 void ReadSource::setRoster(TimePoint now, const ReaderRoster& roster, bool isUpToDate) {
   const bool hadCandidates = !candidates_.empty();
   if (!hasRoster_) {
     // It could ask nobody before; the list of its start is confirmed within twice the usual time.
-    const TimePoint latest = isUpToDate ? now : startedAt_ + options_.longestUnconfirmed;
+    const TimePoint latest = isUpToDate ? now : startedAt_ + options_.unconfirmedTimeout;
     confirmedAt_ = std::max(confirmedAt_, std::min(now, latest));
   }
   hasRoster_ = true;
@@ -50,13 +50,13 @@
 
 ReadCause ReadSource::cause(TimePoint now) const {
   if (!hasRoster_) {
-    return now < decideBy_ ? ReadCause::kUndecided : ReadCause::kAlone;
+    return now < decideBy_ ? ReadCause::kUndecided : ReadCause::kNoPeers;
   }
   if (readsItself_) {
     return ReadCause::kReader;
   }
   if (candidates_.empty()) {
-    return ReadCause::kAlone;
+    return ReadCause::kNoPeers;
   }
   if (servesOthers(now)) {
     return ReadCause::kAsked;
@@ -70,32 +70,32 @@
 }
 
 bool ReadSource::servesOthers(TimePoint now) const {
-  return askedAt_ && now - *askedAt_ < options_.readForOthers;
+  return askedAt_ && now - *askedAt_ < options_.servePeersDuration;
 }
 
 bool ReadSource::isUnconfirmed(TimePoint now) const {
-  return now - confirmedAt_ > options_.longestUnconfirmed;
+  return now - confirmedAt_ > options_.unconfirmedTimeout;
 }
 
-bool ReadSource::listsAtOnce(TimePoint now) const {
+bool ReadSource::listsImmediately(TimePoint now) const {
   if (!hasRoster_) {
     return false;
   }
   return candidates_.empty() || (!readsItself_ && servesOthers(now));
 }
 
-TimePoint ReadSource::nextQuestion(TimePoint now) const {
+TimePoint ReadSource::nextRequestAt(TimePoint now) const {
   if (candidates_.empty() || (readsItself_ && holding_)) {
     return TimePoint::max();
   }
   if (readsItself_) {
     return nextQuestion_;
   }
-  return servesOthers(now) ? std::max(nextQuestion_, *askedAt_ + options_.readForOthers)
+  return servesOthers(now) ? std::max(nextQuestion_, *askedAt_ + options_.servePeersDuration)
                            : nextQuestion_;
 }
 
-std::optional<RosterNode> ReadSource::peerToAsk(TimePoint now) {
+std::optional<RosterNode> ReadSource::selectPeer(TimePoint now) {
   if (storeSilent_ && !candidates_.empty()) {
     asked_ = candidates_.front().name;
     return candidates_.front();
@@ -106,7 +106,7 @@
         return penalty == penalties_.end() || penalty->second.until <= now;
       });
   if (free == candidates_.end()) {
-    nextQuestion_ = now + (holding_ ? options_.retry : options_.startingPenalty);
+    nextQuestion_ = now + (holding_ ? options_.retryInterval : options_.startingPenalty);
     return std::nullopt;
   }
   if (asked_ != free->name) {
@@ -119,7 +119,7 @@
 
 void ReadSource::onConfirmed(TimePoint now, TimePoint confirmedAt) {
   beginnings_ = 0;
-  if (now - confirmedAt > options_.oldestConfirmation) {
+  if (now - confirmedAt > options_.maxConfirmationAge) {
     passOver(now, options_.unconfirmedPenalty);
     askNext(now);
     return;
@@ -127,15 +127,15 @@
   penalties_.erase(asked_);
   storeSilent_ = false;
   confirmedAt_ = std::max(confirmedAt_, confirmedAt);
-  nextQuestion_ = now + jittered(options_.poll, options_.pollJitter, random_);
+  nextQuestion_ = now + jittered(options_.pollInterval, options_.pollJitter, random_);
 }
 
-bool ReadSource::onBeginning(TimePoint now, uint64_t progress) {
+bool ReadSource::onPeerStarting(TimePoint now, uint64_t progress) {
   const bool hasRisen = progress != progress_;
   progress_ = progress;
   beginnings_ = hasRisen ? 0 : beginnings_ + 1;
   if (beginnings_ < options_.beginningTries) {
-    nextQuestion_ = now + options_.beginning;
+    nextQuestion_ = now + options_.startingPeerRetry;
     return hasRisen;
   }
   beginnings_ = 0;
@@ -151,7 +151,7 @@
     return;
   }
   Penalty& penalty = penalties_[asked_];
-  const Duration time = std::max(penalty.next, options_.firstPenalty);
+  const Duration time = std::max(penalty.next, options_.initialPenalty);
   penalty.next = std::min(time * 2, options_.longestPenalty);
   passOver(now, time);
   askNext(now);
@@ -163,7 +163,7 @@
 
 void ReadSource::askNext(TimePoint now) {
   if (holding_) {
-    nextQuestion_ = isUnconfirmed(now) ? now + options_.retry : now;
+    nextQuestion_ = isUnconfirmed(now) ? now + options_.retryInterval : now;
   } else {
     nextQuestion_ = storeSilent_ ? now + options_.startingPenalty : now;
   }
--- a/source/common/platform/read_source.h
+++ b/source/common/platform/read_source.h
@@ -26,30 +26,30 @@
 /** Periods of the rules. */
 struct ReadSourceOptions {
   /** From the start until the store is read for want of a roster. */
-  Duration decision = std::chrono::milliseconds(500);
+  Duration rosterWait = std::chrono::milliseconds(500);
   /** Between two questions to a peer. */
-  Duration poll = std::chrono::seconds(1);
+  Duration pollInterval = std::chrono::seconds(1);
   /** Questions vary by up to this part. */
   double pollJitter = 0.1;
   /** An answer whose confirmation is older confirms nothing. */
-  Duration oldestConfirmation = std::chrono::milliseconds(1250);
+  Duration maxConfirmationAge = std::chrono::milliseconds(1250);
   /** Without a confirmation for so long the store is read. */
-  Duration longestUnconfirmed = std::chrono::seconds(2);
+  Duration unconfirmedTimeout = std::chrono::seconds(2);
   /** Until a peer is asked again that has only begun to read. */
-  Duration beginning = std::chrono::milliseconds(100);
+  Duration startingPeerRetry = std::chrono::milliseconds(100);
   /** A peer that has not begun after so many questions is passed over. */
   uint32_t beginningTries = 8;
   /** How long a node that has nothing yet passes a peer over: it may be starting, too. */
   Duration startingPenalty = std::chrono::milliseconds(500);
   /** How long a peer is passed over; doubles with each failure in a row. */
-  Duration firstPenalty = std::chrono::seconds(5);
+  Duration initialPenalty = std::chrono::seconds(5);
   Duration longestPenalty = std::chrono::seconds(60);
   /** How long a peer is passed over whose own reading is not confirmed. */
   Duration unconfirmedPenalty = std::chrono::seconds(2);
   /** Between questions while the store is read for want of a peer. */
-  Duration retry = std::chrono::seconds(3);
+  Duration retryInterval = std::chrono::seconds(3);
   /** How long a node reads for others after they last asked. */
-  Duration readForOthers = std::chrono::seconds(10);
+  Duration servePeersDuration = std::chrono::seconds(10);
 };
 
 /** Why a node reads the store, or that it doesn't. */
@@ -61,7 +61,7 @@
   /** It is a reader of its zone, or its zone has none. */
   kReader,
   /** It has no roster, or nobody to ask. */
-  kAlone,
+  kNoPeers,
   /** Others asked it of late. */
   kAsked,
   /** No peer confirmed of late what it holds. */
@@ -84,9 +84,9 @@
    */
   void setRoster(TimePoint now, const ReaderRoster& roster, bool isUpToDate = false);
   /** The node has everything that its peers could tell: a reader asks nobody from now on. */
-  void onHolding() { holding_ = true; }
+  void onSynchronized() { holding_ = true; }
   /** Another node asked this one. */
-  void onAsked(TimePoint now) { askedAt_ = now; }
+  void onPeerRequest(TimePoint now) { askedAt_ = now; }
 
   /** @return whether it is known which nodes there are. */
   bool hasRoster() const { return hasRoster_; }
@@ -96,22 +96,22 @@
   bool servesOthers(TimePoint now) const;
 
   /** @return when a node without a roster stops waiting for one. */
-  TimePoint decideBy() const { return decideBy_; }
+  TimePoint rosterDeadline() const { return decideBy_; }
   /** @return whether the node lists the store without waiting for what a peer may tell. */
-  bool listsAtOnce(TimePoint now) const;
+  bool listsImmediately(TimePoint now) const;
 
   /** @return when to ask a peer next; the end of time for never. A node that reads for others asks
    * nobody, a reader only readers before it while it has nothing. */
-  TimePoint nextQuestion(TimePoint now) const;
+  TimePoint nextRequestAt(TimePoint now) const;
   /** @return the peer to ask; nothing where all are passed over, which also puts the question off.
    */
-  std::optional<RosterNode> peerToAsk(TimePoint now);
+  std::optional<RosterNode> selectPeer(TimePoint now);
 
   /** This node found the store silent itself: no further peer is made to read, only the first
    * asked. Ends with the next confirmation. */
-  void onStoreSilent() { storeSilent_ = true; }
+  void onStoreUnresponsive() { storeSilent_ = true; }
   /** There is something to tell or to hear: the next question is asked by then. */
-  void askBy(TimePoint at) { nextQuestion_ = std::min(nextQuestion_, at); }
+  void requestBy(TimePoint at) { nextQuestion_ = std::min(nextQuestion_, at); }
 
   /** The peer reads, and was sure at `confirmedAt` that it had missed nothing. */
   void onConfirmed(TimePoint now, TimePoint confirmedAt);
@@ -120,7 +120,7 @@
    * @param progress rises while it gets what it needs: it is asked for as long as that goes on.
    * @return whether it has risen since this peer was last asked.
    */
-  bool onBeginning(TimePoint now, uint64_t progress);
+  bool onPeerStarting(TimePoint now, uint64_t progress);
   /** The peer can't be asked. */
   void onFailure(TimePoint now);
 
--- a/source/common/platform/reader_election.cc
+++ b/source/common/platform/reader_election.cc
@@ -48,7 +48,7 @@
   return nextOfCandidate(now);
 }
 
-void ReaderElection::onRead(TimePoint now, uint8_t slot, const std::optional<SeenLease>& seen) {
+void ReaderElection::onRead(TimePoint now, uint8_t slot, const std::optional<ObservedLease>& seen) {
   if (held_ && held_->slot == slot) {
     readAsHolder(now, seen);
   } else {
@@ -79,7 +79,7 @@
   renewBackOff_.reset();
   Held held;
   held.slot = written.slot;
-  held.seen = SeenLease{version, written.lease};
+  held.seen = ObservedLease{version, written.lease};
   held.validUntil = sentAt + options_.leaseTime;
   held.nextTry = sentAt + options_.renewEvery;
   held_ = held;
@@ -135,7 +135,7 @@
   return WaitUntil{earliest};
 }
 
-void ReaderElection::readAsHolder(TimePoint now, const std::optional<SeenLease>& seen) {
+void ReaderElection::readAsHolder(TimePoint now, const std::optional<ObservedLease>& seen) {
   if (!seen || seen->lease.holder != self_ || seen->lease.duration == Duration{0}) {
     const uint8_t slot = held_->slot;
     lose(now);
@@ -148,7 +148,7 @@
 }
 
 void ReaderElection::readAsCandidate(TimePoint now, uint8_t slot,
-                                     const std::optional<SeenLease>& seen) {
+                                     const std::optional<ObservedLease>& seen) {
   Watched& watched = watched_[slot];
   const bool isUnchanged = seen && watched.seen && seen->version == watched.seen->version;
   if (!isUnchanged) {
@@ -189,7 +189,7 @@
   return now + wait * (rank + 1);
 }
 
-WriteLease ReaderElection::claimOf(uint8_t slot, const std::optional<SeenLease>& seen) const {
+WriteLease ReaderElection::claimOf(uint8_t slot, const std::optional<ObservedLease>& seen) const {
   WriteLease write;
   write.slot = slot;
   write.expectedVersion = seen ? seen->version : 0;
--- a/source/common/platform/reader_election.h
+++ b/source/common/platform/reader_election.h
@@ -59,7 +59,7 @@
 using ElectionAction = std::variant<WaitUntil, ReadLease, WriteLease>;
 
 /** A lease with its version, as read. */
-struct SeenLease {
+struct ObservedLease {
   uint64_t version = 0;
   ReaderLease lease;
 };
@@ -79,7 +79,7 @@
   ElectionAction next(TimePoint now);
 
   /** A ReadLease was answered. @param seen nothing where the object does not exist. */
-  void onRead(TimePoint now, uint8_t slot, const std::optional<SeenLease>& seen);
+  void onRead(TimePoint now, uint8_t slot, const std::optional<ObservedLease>& seen);
   void onReadFailed(TimePoint now, uint8_t slot, const StoreError& error);
   /** A WriteLease was answered. @param sentAt instant just before it was sent. */
   void onWritten(TimePoint sentAt, const WriteLease& written, uint64_t version);
@@ -94,7 +94,7 @@
   /** What this node holds. */
   struct Held {
     uint8_t slot = 0;
-    SeenLease seen;
+    ObservedLease seen;
     TimePoint validUntil;
     TimePoint nextTry;
     /** The fate of a write is unknown, or it was refused: look before the next one. */
@@ -103,7 +103,7 @@
   /** What this node knows of a slot that it does not hold. */
   struct Watched {
     TimePoint nextRead;
-    std::optional<SeenLease> seen;
+    std::optional<ObservedLease> seen;
     TimePoint unchangedSince;
     /** The lease may be claimed over the version seen. */
     bool claim = false;
@@ -116,12 +116,12 @@
 
   ElectionAction nextOfHolder(TimePoint now);
   ElectionAction nextOfCandidate(TimePoint now);
-  void readAsHolder(TimePoint now, const std::optional<SeenLease>& seen);
-  void readAsCandidate(TimePoint now, uint8_t slot, const std::optional<SeenLease>& seen);
+  void readAsHolder(TimePoint now, const std::optional<ObservedLease>& seen);
+  void readAsCandidate(TimePoint now, uint8_t slot, const std::optional<ObservedLease>& seen);
   bool mayClaim(TimePoint now, const Watched& watched) const;
   void lose(TimePoint now);
   TimePoint drawNextRead(TimePoint now, uint8_t rank);
-  WriteLease claimOf(uint8_t slot, const std::optional<SeenLease>& seen) const;
+  WriteLease claimOf(uint8_t slot, const std::optional<ObservedLease>& seen) const;
 
   const ReaderElectionOptions options_;
   const NodeId self_;
--- a/source/common/platform/reader_roster.h
+++ b/source/common/platform/reader_roster.h
@@ -57,7 +57,7 @@
    * readers and as many nodes behind them, 1 for twice as many, 2 for four times as many. A zone's
    * nodes that list the store themselves so double with each step, and never come all at once.
    */
-  uint32_t standInStep() const { return standInStep_; }
+  uint32_t fallbackStep() const { return standInStep_; }
 
  private:
   const RosterNode self_;
--- a/source/common/platform/reader_worker.cc
+++ b/source/common/platform/reader_worker.cc
@@ -146,7 +146,7 @@
       sleepUntil(steadyNow() + longest);
       return;
     }
-    auto batch = store.watch(watchedVersion, std::min(longest, options.longestWatch));
+    auto batch = store.watch(watchedVersion, std::min(longest, options.maxWatchDuration));
     if (!isOk(batch)) {
       if (errorOf(batch).code == StoreErrorCode::kTooOld) {
         startListAnew();
--- a/source/common/platform/reader_worker.h
+++ b/source/common/platform/reader_worker.h
@@ -45,7 +45,7 @@
   size_t pageSize = 100;
   /** Time between two pages on a node that serves; the watch goes on meanwhile. */
   Duration pagePause = std::chrono::milliseconds(500);
-  Duration longestWatch = std::chrono::seconds(5);
+  Duration maxWatchDuration = std::chrono::seconds(5);
   /** Whole list again, whatever the watch said. */
   Duration relistEvery = std::chrono::hours(6);
   Duration machinesEvery = std::chrono::seconds(30);
--- a/source/common/platform/retry.cc
+++ b/source/common/platform/retry.cc
@@ -8,9 +8,9 @@
 /** Spreads callers that all got the same Retry-After. */
 constexpr int kRetryAfterSpread = 4;
 
-Duration drawUpTo(Duration longest, RandomSource& random) {
+Duration drawUpTo(Duration maxDelay, RandomSource& random) {
   return Duration(static_cast<Duration::rep>(
-      random.below(static_cast<uint64_t>(std::max<Duration::rep>(longest.count(), 0)) + 1)));
+      random.below(static_cast<uint64_t>(std::max<Duration::rep>(maxDelay.count(), 0)) + 1)));
 }
 
 }  // namespace
@@ -21,7 +21,7 @@
 Duration BackOff::next(std::optional<Duration> retryAfter) {
   const Duration half = current_ / 2;
   const Duration wait = half + drawUpTo(current_ - half, random_);
-  current_ = std::min(current_ * 2, options_.longest);
+  current_ = std::min(current_ * 2, options_.maxDelay);
   if (!retryAfter) {
     return wait;
   }
--- a/source/common/platform/retry.h
+++ b/source/common/platform/retry.h
@@ -12,7 +12,7 @@
 /** Shape of a back-off. */
 struct BackOffOptions {
   Duration initial = std::chrono::milliseconds(200);
-  Duration longest = std::chrono::seconds(10);
+  Duration maxDelay = std::chrono::seconds(10);
 };
 
 /**
--- a/source/common/platform/seed_questions.h
+++ b/source/common/platform/seed_requests.h
@@ -16,7 +16,7 @@
 namespace umberhold {
 
 /** Not thread safe. */
-class SeedQuestions {
+class SeedRequests {
  public:
   /** Until a seed is asked again that prepares its answer: encoding 10,000 hosts takes 28 ms of a
    * core (host_state_benchmark). */
@@ -30,7 +30,7 @@
   }
   /** @param needed whether a seed's answer is still of use. @return when a question is due beside
    * those with each probe; nothing where none is. */
-  std::optional<TimePoint> nextQuestion(bool needed) const {
+  std::optional<TimePoint> nextRequestAt(bool needed) const {
     return needed ? preparedAt_ : std::nullopt;
   }
   /** The seed has to prepare its answer. */
--- a/source/common/platform/store_liveness.cc
+++ b/source/common/platform/store_liveness.cc
@@ -39,10 +39,10 @@
                                              : options_.longestStartingInterval;
   }
   if (following_ && !serving_) {
-    return options_.longestIntervalAfterMiss;
+    return options_.maxIntervalAfterMiss;
   }
   const Duration longest =
-      serving_ ? options_.servingIntervalAfterMiss : options_.longestIntervalAfterMiss;
+      serving_ ? options_.servingIntervalAfterMiss : options_.maxIntervalAfterMiss;
   return std::min(longest, std::exchange(afterMiss_, std::min(afterMiss_ * kGrowth, longest)));
 }
 
--- a/source/common/platform/store_liveness.h
+++ b/source/common/platform/store_liveness.h
@@ -26,7 +26,7 @@
   /** After a probe without an answer. Three times as long after each further one, unless other
    * nodes rely on this one's reading. */
   Duration intervalAfterMiss = std::chrono::milliseconds(300);
-  Duration longestIntervalAfterMiss = std::chrono::milliseconds(1200);
+  Duration maxIntervalAfterMiss = std::chrono::milliseconds(1200);
   /** The same while other nodes rely on this one's reading. */
   Duration servingIntervalAfterMiss = std::chrono::milliseconds(500);
   /** The same while the process knows nothing yet, so that it can't serve before the store is back:
@@ -66,7 +66,7 @@
   /** A probe ended. @param answered whether with an answer that a healthy store gives. */
   WaitingCalls onProbe(TimePoint now, bool answered);
   /** @return whether the last probe had no answer. */
-  bool isSilent() const { return silent_; }
+  bool isUnresponsive() const { return silent_; }
 
  private:
   /** @return how long to wait after a probe without an answer. */
--- a/source/common/platform/store_read_status.h
+++ b/source/common/platform/store_read_status.h
@@ -20,7 +20,7 @@
   uint64_t peerConfirmations = 0;
   uint64_t peerFailures = 0;
   /** Questions of peers that were answered with this node's reading. */
-  uint64_t answeredPeers = 0;
+  uint64_t answeredPeerRequests = 0;
   /** How often all hosts were encoded for peers that were too far behind. */
   uint64_t hostCopies = 0;
   /** Whether this node reads the store itself at present; otherwise it follows a peer. */
--- a/source/common/platform/stored_catalog.cc
+++ b/source/common/platform/stored_catalog.cc
@@ -28,7 +28,7 @@
     return;
   }
   if (isDeleted(object)) {
-    changes.push_back(ObjectGone{object.collection, object.name});
+    changes.push_back(DeletedObject{object.collection, object.name});
   } else if (isPool) {
     addReadable(object, parseHostPool(object.name, object.specification), changes);
   } else {
@@ -54,8 +54,8 @@
   return all;
 }
 
-Result<CatalogChanges, StoreError> StoredCatalog::watch(uint64_t since, Duration patience) {
-  const auto batch = store_.watch(since, patience);
+Result<CatalogChanges, StoreError> StoredCatalog::watch(uint64_t since, Duration longPollTimeout) {
+  const auto batch = store_.watch(since, longPollTimeout);
   if (!isOk(batch)) {
     return errorOf(batch);
   }
--- a/source/common/platform/stored_catalog.h
+++ b/source/common/platform/stored_catalog.h
@@ -13,7 +13,7 @@
   explicit StoredCatalog(PlatformStore& store) : store_(store) {}
 
   Result<CatalogChanges, StoreError> list() override;
-  Result<CatalogChanges, StoreError> watch(uint64_t since, Duration patience) override;
+  Result<CatalogChanges, StoreError> watch(uint64_t since, Duration longPollTimeout) override;
 
  private:
   PlatformStore& store_;
--- a/source/common/platform/zone_evacuations.cc
+++ b/source/common/platform/zone_evacuations.cc
@@ -5,7 +5,7 @@
 
 namespace umberhold {
 
-void ZoneEvacuations::onBegun(const std::string& zone, uint64_t version) {
+void ZoneEvacuations::onStarted(const std::string& zone, uint64_t version) {
   set(zone, {version, true});
 }
 
@@ -17,7 +17,7 @@
   knownUpTo_ = std::max(knownUpTo_, version);
 }
 
-void ZoneEvacuations::onWhole(const EvacuatedZones& whole, uint64_t version) {
+void ZoneEvacuations::onSnapshot(const EvacuatedZones& whole, uint64_t version) {
   if (version < knownUpTo_) {
     return;
   }
--- a/source/common/platform/zone_evacuations.h
+++ b/source/common/platform/zone_evacuations.h
@@ -19,13 +19,13 @@
 class ZoneEvacuations {
  public:
   /** @param version of the store at the change. */
-  void onBegun(const std::string& zone, uint64_t version);
+  void onStarted(const std::string& zone, uint64_t version);
   void onEnded(const std::string& zone, uint64_t version);
   /** Nothing but what was read happened up to the version: a list or a watch's answer ended. */
   void onKnownUpTo(uint64_t version);
   /** All evacuations as of the version: zones that it lacks are not evacuated any more. One that is
    * older than what is known tells nothing, also of zones that are not known. */
-  void onWhole(const EvacuatedZones& whole, uint64_t version);
+  void onSnapshot(const EvacuatedZones& whole, uint64_t version);
 
   EvacuatedZones evacuated() const;
   /** @return whether evacuated() has changed since the last call. */
--- a/source/common/server/catalog_reader.cc
+++ b/source/common/server/catalog_reader.cc
@@ -18,7 +18,7 @@
   std::vector<CatalogChange> gone;
   for (const std::string& name : before) {
     if (!now.contains(name)) {
-      gone.push_back(ObjectGone{collection, name});
+      gone.push_back(DeletedObject{collection, name});
     }
   }
   return gone;
@@ -49,7 +49,7 @@
 }
 
 void CatalogReader::note(const CatalogChange& change) {
-  if (const auto* gone = std::get_if<ObjectGone>(&change)) {
+  if (const auto* gone = std::get_if<DeletedObject>(&change)) {
     (gone->collection == Collection::kHostPools ? pools_ : services_).erase(gone->name);
   } else if (const auto* pool = std::get_if<HostPool>(&change)) {
     pools_.insert(pool->name);
@@ -76,7 +76,7 @@
   all.changes.insert(firstService, gonePools.begin(), gonePools.end());
   all.changes.insert(all.changes.end(), goneServices.begin(), goneServices.end());
   since_ = all.version;
-  all.seenAt = steadyNow();
+  all.receivedAt = steadyNow();
   sink_(std::move(all));
   return true;
 }
@@ -88,7 +88,7 @@
   }
   CatalogChanges& news = valueOf(batch);
   since_ = news.version;
-  news.seenAt = steadyNow();
+  news.receivedAt = steadyNow();
   for (const CatalogChange& change : news.changes) {
     note(change);
   }
--- a/source/common/server/token_node.cc
+++ b/source/common/server/token_node.cc
@@ -210,11 +210,11 @@
     for (const CatalogChange& change : news.changes) {
       std::visit([&](const auto& object) { apply(now, news.version, object); }, change);
     }
-    changeTimes.Observe(secondsOf(steadyNow() - news.seenAt));
+    changeTimes.Observe(secondsOf(steadyNow() - news.receivedAt));
     LOG(INFO) << "event=catalogue_in_force catalogue=" << news.version
               << " changes=" << news.changes.size() << " services=" << director.serviceCount()
               << " hosts=" << director.listedHostCount()
-              << " took_us=" << (steadyNow() - news.seenAt).count();
+              << " took_us=" << (steadyNow() - news.receivedAt).count();
     flushLog();
     sendResets();
     configured = true;
@@ -231,7 +231,7 @@
   void apply(TimePoint now, uint64_t version, const HostPool& pool) {
     logHosts(now, director.setPool(now, pool, version));
   }
-  void apply(TimePoint now, uint64_t version, const ObjectGone& gone) {
+  void apply(TimePoint now, uint64_t version, const DeletedObject& gone) {
     if (gone.collection == Collection::kHostPools) {
       logHosts(now, director.removePool(now, gone.name, version));
     } else {
--- a/test/common/platform/collection_follower_test.cc
+++ b/test/common/platform/collection_follower_test.cc
@@ -30,7 +30,7 @@
 TEST(CollectionFollower, WatchesFromTheVersionOfTheFirstPageOfAList) {
   const auto first = mustBe<ReadPage>();
   CHECK_TRUE(first.after.empty());
-  CHECK_TRUE(first.mayLag);
+  CHECK_TRUE(first.allowStale);
   CHECK_TRUE(follower.onPage(40, "m", true) == PageOutcome::kPartial);
   const auto second = mustBe<ReadPage>();
   STRCMP_EQUAL("m", second.after.c_str());
@@ -45,13 +45,13 @@
   follower.onWatch(now, 44, false);
   LONGS_EQUAL(44, mustBe<WatchFrom>().version);
   follower.onWatch(now, 46, true);
-  CHECK_TRUE(mustBe<PauseUntil>().at == now + options.gatherChanges);
-  now += options.gatherChanges;
+  CHECK_TRUE(mustBe<PauseUntil>().at == now + options.changeBatchDelay);
+  now += options.changeBatchDelay;
   LONGS_EQUAL(46, mustBe<WatchFrom>().version);
 }
 
 TEST(CollectionFollower, GathersExpectedChangesForAShorterTime) {
-  options.gatherChanges = seconds(1);
+  options.changeBatchDelay = seconds(1);
   CollectionFollower patient{options, random};
   patient.onPage(40, "z", false);
   patient.expectChanges(now);
@@ -62,7 +62,7 @@
   patient.onWatch(now, 45, true);
   CHECK_TRUE(std::get<PauseUntil>(patient.next(now)).at == now + seconds(1));
   // A time that is short already stays.
-  patient.setGathering(milliseconds(10));
+  patient.setChangeBatchDelay(milliseconds(10));
   patient.expectChanges(now);
   patient.onWatch(now, 46, true);
   CHECK_TRUE(std::get<PauseUntil>(patient.next(now)).at == now + milliseconds(10));
@@ -73,7 +73,7 @@
   fail(StoreErrorCode::kTooOld);
   CHECK_FALSE(follower.isFailing());
   now = mustBe<PauseUntil>().at;
-  CHECK_FALSE(mustBe<ReadPage>().mayLag);
+  CHECK_FALSE(mustBe<ReadPage>().allowStale);
   CHECK_TRUE(follower.onPage(90, "z", false) == PageOutcome::kListComplete);
   LONGS_EQUAL(90, follower.listVersion());
   LONGS_EQUAL(90, mustBe<WatchFrom>().version);
@@ -96,7 +96,7 @@
     fail(StoreErrorCode::kUnavailable);
     const TimePoint next = mustBe<PauseUntil>().at;
     CHECK_TRUE(next > now);
-    CHECK_TRUE(next <= now + options.retry.longest + options.retryBudget.refill);
+    CHECK_TRUE(next <= now + options.retry.maxDelay + options.retryBudget.refill);
     now = next;
   }
 }
@@ -107,7 +107,7 @@
   now = mustBe<PauseUntil>().at;
   const auto page = mustBe<ReadPage>();
   CHECK_TRUE(page.after.empty());
-  CHECK_TRUE(page.mayLag);
+  CHECK_TRUE(page.allowStale);
 }
 
 TEST(CollectionFollower, NeverWatchesFromAnOlderVersionThanItHas) {
@@ -126,7 +126,7 @@
   // Its history may be gone; then everything is listed as it is now.
   fail(StoreErrorCode::kTooOld);
   now = mustBe<PauseUntil>().at;
-  CHECK_FALSE(mustBe<ReadPage>().mayLag);
+  CHECK_FALSE(mustBe<ReadPage>().allowStale);
 }
 
 TEST(CollectionFollower, DoesNotWaitOutItsBackOffOnceTheStoreIsKnownToAnswer) {
--- a/test/common/platform/read_source_test.cc
+++ b/test/common/platform/read_source_test.cc
@@ -37,7 +37,7 @@
     source.setRoster(now, roster, isUpToDate);
   }
   std::string peer() {
-    const auto asked = source.peerToAsk(now);
+    const auto asked = source.selectPeer(now);
     return asked ? asked->name : "none";
   }
   void confirm(Duration age = Duration{0}) {
@@ -53,31 +53,31 @@
 TEST(ReadSource, WaitsAShortWhileForARosterAndThenReads) {
   checkCause(ReadCause::kUndecided);
   CHECK_FALSE(source.readsStore(now));
-  now += options.decision;
-  checkCause(ReadCause::kAlone);
+  now += options.rosterWait;
+  checkCause(ReadCause::kNoPeers);
   CHECK_TRUE(source.readsStore(now));
 }
 
 TEST(ReadSource, AReaderReadsAndAsksNobody) {
   setRoster(1);
   checkCause(ReadCause::kReader);
-  CHECK_TRUE(source.nextQuestion(now) == TimePoint::max());
+  CHECK_TRUE(source.nextRequestAt(now) == TimePoint::max());
 }
 
 TEST(ReadSource, TheOthersAskTheReader) {
   setRoster(5);
   checkCause(ReadCause::kFollowsPeer);
-  CHECK_TRUE(source.nextQuestion(now) == now);
+  CHECK_TRUE(source.nextRequestAt(now) == now);
   STRCMP_EQUAL("node-1", peer().c_str());
   confirm();
-  CHECK_TRUE(source.nextQuestion(now) >= now + options.poll * 9 / 10);
-  CHECK_TRUE(source.nextQuestion(now) <= now + options.poll * 11 / 10);
+  CHECK_TRUE(source.nextRequestAt(now) >= now + options.pollInterval * 9 / 10);
+  CHECK_TRUE(source.nextRequestAt(now) <= now + options.pollInterval * 11 / 10);
 }
 
 TEST(ReadSource, WithoutAYoungConfirmationTheStoreIsRead) {
   setRoster(5);
   confirm();
-  now += options.longestUnconfirmed;
+  now += options.unconfirmedTimeout;
   CHECK_FALSE(source.readsStore(now));
   now += milliseconds(1);
   checkCause(ReadCause::kUnconfirmed);
@@ -107,16 +107,16 @@
 TEST(ReadSource, AnOldConfirmationCountsFromItsOwnTime) {
   setRoster(5);
   now += seconds(10);
-  confirm(options.oldestConfirmation);
+  confirm(options.maxConfirmationAge);
   CHECK_FALSE(source.readsStore(now));
-  now += options.longestUnconfirmed - options.oldestConfirmation + milliseconds(1);
+  now += options.unconfirmedTimeout - options.maxConfirmationAge + milliseconds(1);
   CHECK_TRUE(source.readsStore(now));
 }
 
 TEST(ReadSource, APeerWhoseReadingIsNotConfirmedIsPassedOver) {
   setRoster(5);
   now += seconds(10);
-  confirm(options.oldestConfirmation + milliseconds(1));
+  confirm(options.maxConfirmationAge + milliseconds(1));
   CHECK_TRUE(source.readsStore(now));
   STRCMP_EQUAL("node-2", peer().c_str());
   now += options.unconfirmedPenalty;
@@ -126,19 +126,19 @@
 TEST(ReadSource, AfterAFailureTheNextCandidateIsAskedAtOnce) {
   setRoster(5);
   confirm();
-  now += options.poll;
+  now += options.pollInterval;
   peer();
   source.onFailure(now);
-  CHECK_TRUE(source.nextQuestion(now) == now);
+  CHECK_TRUE(source.nextRequestAt(now) == now);
   STRCMP_EQUAL("node-2", peer().c_str());
   source.onFailure(now);
   STRCMP_EQUAL("node-3", peer().c_str());
 }
 
 TEST(ReadSource, AFailingPeerIsAskedEverMoreSeldom) {
-  source.onHolding();
+  source.onSynchronized();
   setRoster(5);
-  Duration penalty = options.firstPenalty;
+  Duration penalty = options.initialPenalty;
   for (int failures = 0; failures < 6; ++failures) {
     STRCMP_EQUAL("node-1", peer().c_str());
     source.onFailure(now);
@@ -150,29 +150,29 @@
   STRCMP_EQUAL("node-1", peer().c_str());
   confirm();
   source.onFailure(now);
-  now += options.firstPenalty;
+  now += options.initialPenalty;
   STRCMP_EQUAL("node-1", peer().c_str());
 }
 
 TEST(ReadSource, WhereNobodyCanBeAskedItWaitsBetweenQuestions) {
-  source.onHolding();
+  source.onSynchronized();
   setRoster(5);
   for (int failures = 0; failures < 6; ++failures) {
     peer();
     source.onFailure(now);
   }
   STRCMP_EQUAL("none", peer().c_str());
-  CHECK_TRUE(source.nextQuestion(now) == now + options.retry);
+  CHECK_TRUE(source.nextRequestAt(now) == now + options.retryInterval);
 }
 
 /** All peers may be dark: each costs its time-out, and the node's own bound must not wait. */
 TEST(ReadSource, WhileTheStoreIsReadAnywayQuestionsAreSeldom) {
   setRoster(5);
-  source.onHolding();
-  now += options.longestUnconfirmed + milliseconds(1);
+  source.onSynchronized();
+  now += options.unconfirmedTimeout + milliseconds(1);
   peer();
   source.onFailure(now);
-  CHECK_TRUE(source.nextQuestion(now) == now + options.retry);
+  CHECK_TRUE(source.nextRequestAt(now) == now + options.retryInterval);
 }
 
 /** A peer that refuses may be starting, too: all machines may start at once. */
@@ -181,10 +181,10 @@
   for (int number = 1; number <= 6; ++number) {
     CHECK_FALSE(peer() == "none");
     source.onFailure(now);
-    CHECK_TRUE(source.nextQuestion(now) == now);
+    CHECK_TRUE(source.nextRequestAt(now) == now);
   }
   STRCMP_EQUAL("none", peer().c_str());
-  CHECK_TRUE(source.nextQuestion(now) == now + options.startingPenalty);
+  CHECK_TRUE(source.nextRequestAt(now) == now + options.startingPenalty);
   now += options.startingPenalty;
   STRCMP_EQUAL("node-1", peer().c_str());
 }
@@ -193,31 +193,31 @@
   rosterOptions.nodesPerReader = 2;
   setRoster(3);
   checkCause(ReadCause::kReader);
-  CHECK_FALSE(source.listsAtOnce(now));
-  CHECK_TRUE(source.nextQuestion(now) == now);
+  CHECK_FALSE(source.listsImmediately(now));
+  CHECK_TRUE(source.nextRequestAt(now) == now);
   STRCMP_EQUAL("node-1", peer().c_str());
   source.onFailure(now);
   STRCMP_EQUAL("node-2", peer().c_str());
   source.onFailure(now);
   STRCMP_EQUAL("none", peer().c_str());
   // Others that ask it meanwhile don't keep it from asking.
-  source.onAsked(now);
-  CHECK_TRUE(source.nextQuestion(now) <= now + options.startingPenalty);
-  CHECK_FALSE(source.listsAtOnce(now));
-  source.onHolding();
-  CHECK_TRUE(source.nextQuestion(now) == TimePoint::max());
+  source.onPeerRequest(now);
+  CHECK_TRUE(source.nextRequestAt(now) <= now + options.startingPenalty);
+  CHECK_FALSE(source.listsImmediately(now));
+  source.onSynchronized();
+  CHECK_TRUE(source.nextRequestAt(now) == TimePoint::max());
 }
 
 TEST(ReadSource, OnlyTheFirstReaderAndNodesThatAreAskedListAtOnce) {
-  CHECK_FALSE(source.listsAtOnce(now));
+  CHECK_FALSE(source.listsImmediately(now));
   setRoster(1);
-  CHECK_TRUE(source.listsAtOnce(now));
+  CHECK_TRUE(source.listsImmediately(now));
   setRoster(5);
-  CHECK_FALSE(source.listsAtOnce(now));
-  now += options.longestUnconfirmed + milliseconds(1);
-  CHECK_FALSE(source.listsAtOnce(now));
-  source.onAsked(now);
-  CHECK_TRUE(source.listsAtOnce(now));
+  CHECK_FALSE(source.listsImmediately(now));
+  now += options.unconfirmedTimeout + milliseconds(1);
+  CHECK_FALSE(source.listsImmediately(now));
+  source.onPeerRequest(now);
+  CHECK_TRUE(source.listsImmediately(now));
 }
 
 /** Its list may take long: going on to the next reader would only make that one list, too. */
@@ -225,12 +225,12 @@
   setRoster(5);
   for (uint64_t progress = 1; progress <= 3 * options.beginningTries; ++progress) {
     STRCMP_EQUAL("node-1", peer().c_str());
-    CHECK_TRUE(source.onBeginning(now, progress));
-    now += options.beginning;
+    CHECK_TRUE(source.onPeerStarting(now, progress));
+    now += options.startingPeerRetry;
   }
   for (uint32_t tries = 1; tries <= options.beginningTries; ++tries) {
     STRCMP_EQUAL("node-1", peer().c_str());
-    CHECK_FALSE(source.onBeginning(now, 3 * options.beginningTries));
+    CHECK_FALSE(source.onPeerStarting(now, 3 * options.beginningTries));
   }
   STRCMP_EQUAL("node-2", peer().c_str());
 }
@@ -239,28 +239,28 @@
   setRoster(5);
   for (uint32_t tries = 1; tries < options.beginningTries; ++tries) {
     STRCMP_EQUAL("node-1", peer().c_str());
-    CHECK_FALSE(source.onBeginning(now, 0));
-    CHECK_TRUE(source.nextQuestion(now) == now + options.beginning);
-    now += options.beginning;
+    CHECK_FALSE(source.onPeerStarting(now, 0));
+    CHECK_TRUE(source.nextRequestAt(now) == now + options.startingPeerRetry);
+    now += options.startingPeerRetry;
   }
   peer();
-  source.onBeginning(now, 0);
+  source.onPeerStarting(now, 0);
   STRCMP_EQUAL("node-2", peer().c_str());
 }
 
 /** In an outage each further candidate would call the store in vain. */
 TEST(ReadSource, WhereTheStoreIsSilentOnlyTheReaderIsAsked) {
   setRoster(5);
-  source.onHolding();
-  now += options.longestUnconfirmed + milliseconds(1);
-  source.onStoreSilent();
+  source.onSynchronized();
+  now += options.unconfirmedTimeout + milliseconds(1);
+  source.onStoreUnresponsive();
   for (int failures = 0; failures < 3; ++failures) {
     STRCMP_EQUAL("node-1", peer().c_str());
     source.onFailure(now);
-    now += options.retry;
+    now += options.retryInterval;
   }
-  source.askBy(now);
-  CHECK_TRUE(source.nextQuestion(now) == now);
+  source.requestBy(now);
+  CHECK_TRUE(source.nextRequestAt(now) == now);
   confirm();
   peer();
   source.onFailure(now);
@@ -270,12 +270,12 @@
 TEST(ReadSource, ANodeThatIsAskedReadsForAsLongAsItIsAsked) {
   setRoster(5);
   confirm();
-  source.onAsked(now);
+  source.onPeerRequest(now);
   checkCause(ReadCause::kAsked);
   CHECK_TRUE(source.readsStore(now));
   CHECK_TRUE(source.servesOthers(now));
-  CHECK_TRUE(source.nextQuestion(now) >= now + options.readForOthers);
-  now += options.readForOthers;
+  CHECK_TRUE(source.nextRequestAt(now) >= now + options.servePeersDuration);
+  now += options.servePeersDuration;
   checkCause(ReadCause::kUnconfirmed);
   confirm();
   checkCause(ReadCause::kFollowsPeer);
@@ -291,12 +291,12 @@
   confirm();
   const TimePoint lost = now;
   while (!source.readsStore(now)) {
-    now = std::max(now + milliseconds(1), std::min(source.nextQuestion(now), now + seconds(1)));
-    if (now >= source.nextQuestion(now) && source.peerToAsk(now)) {
+    now = std::max(now + milliseconds(1), std::min(source.nextRequestAt(now), now + seconds(1)));
+    if (now >= source.nextRequestAt(now) && source.selectPeer(now)) {
       now += milliseconds(750);  // The time-out of a peer that is dark.
       source.onFailure(now);
     }
-    CHECK_TRUE(now < lost + options.longestUnconfirmed + seconds(1));
+    CHECK_TRUE(now < lost + options.unconfirmedTimeout + seconds(1));
   }
 }
 
@@ -305,7 +305,7 @@
   now = kStart + seconds(20);
   setRoster(5, true);
   checkCause(ReadCause::kFollowsPeer);
-  now += options.longestUnconfirmed + milliseconds(1);
+  now += options.unconfirmedTimeout + milliseconds(1);
   checkCause(ReadCause::kUnconfirmed);
 }
 
--- a/test/common/platform/reader_election_property.cc
+++ b/test/common/platform/reader_election_property.cc
@@ -24,19 +24,19 @@
 /** Slots of the store, with conditional writes. */
 class SimulatedStore {
  public:
-  std::optional<SeenLease> read(uint8_t slot) const { return slots_[slot]; }
+  std::optional<ObservedLease> read(uint8_t slot) const { return slots_[slot]; }
   /** @return the new version, or nothing on a conflict. */
   std::optional<uint64_t> write(const WriteLease& write) {
     const uint64_t current = slots_[write.slot] ? slots_[write.slot]->version : 0;
     if (current != write.expectedVersion) {
       return std::nullopt;
     }
-    slots_[write.slot] = SeenLease{++version_, write.lease};
+    slots_[write.slot] = ObservedLease{++version_, write.lease};
     return version_;
   }
 
  private:
-  std::array<std::optional<SeenLease>, kReaderSlots> slots_;
+  std::array<std::optional<ObservedLease>, kReaderSlots> slots_;
   uint64_t version_ = 0;
 };
 
@@ -56,7 +56,7 @@
   bool requestLost = false;
   bool answerLost = false;
   bool hasArrived = false;
-  std::optional<SeenLease> seen;
+  std::optional<ObservedLease> seen;
   std::optional<uint64_t> written;
 };
 
--- a/test/common/platform/reader_election_test.cc
+++ b/test/common/platform/reader_election_test.cc
@@ -17,7 +17,7 @@
   const StoreError conflict{StoreErrorCode::kConflict, "", {}};
   const StoreError unavailable{StoreErrorCode::kUnavailable, "", {}};
 
-  static SeenLease leaseOf(uint32_t holder, uint64_t version) {
+  static ObservedLease leaseOf(uint32_t holder, uint64_t version) {
     return {version, {NodeId{holder}, version, 15s}};
   }
   /** Waits until the election wants something, and returns it. */
@@ -93,7 +93,7 @@
 TEST(ReaderElection, ALeaseThatWasGivenUpIsTakenAtOnce) {
   election.setRanks({0, std::nullopt, std::nullopt}, now);
   expectRead();
-  SeenLease seen = leaseOf(2, 5);
+  ObservedLease seen = leaseOf(2, 5);
   seen.lease.duration = Duration{0};
   election.onRead(now, 0, seen);
   CHECK_EQUAL(5U, expectWrite().expectedVersion);
@@ -134,7 +134,7 @@
   const WriteLease renewal = expectWrite();
   election.onWriteFailed(now, renewal.slot, lost);
   expectRead();
-  election.onRead(now, 0, SeenLease{11, renewal.lease});
+  election.onRead(now, 0, ObservedLease{11, renewal.lease});
   CHECK_TRUE(election.heldSlot(now) == uint8_t{0});
   CHECK_FALSE(election.heldSlot(taken + options.leaseTime).has_value());
   CHECK_EQUAL(11U, expectWrite().expectedVersion);
@@ -148,7 +148,7 @@
   election.onWriteFailed(now, 0, lost);
   CHECK_FALSE(election.heldSlot(now).has_value());
   expectRead();
-  election.onRead(now, 0, SeenLease{10, claim.lease});
+  election.onRead(now, 0, ObservedLease{10, claim.lease});
   const WriteLease again = expectWrite();
   CHECK_EQUAL(10U, again.expectedVersion);
   CHECK_EQUAL(claim.lease.renewal + 1, again.lease.renewal);
@@ -184,7 +184,7 @@
   CHECK_FALSE(election.heldSlot(now).has_value());
   expectRead();
   // The last failed try was at most one wait after the end of the outage.
-  CHECK_TRUE(now - outageEnd <= 2 * options.renewRetry.longest);
+  CHECK_TRUE(now - outageEnd <= 2 * options.renewRetry.maxDelay);
   election.onRead(now, 0, leaseOf(1, 10));
   const WriteLease claim = expectWrite();
   CHECK_EQUAL(10U, claim.expectedVersion);
--- a/test/common/platform/reader_roster_test.cc
+++ b/test/common/platform/reader_roster_test.cc
@@ -102,7 +102,7 @@
   std::map<uint32_t, size_t> byStep;
   for (const RosterNode& self : all) {
     const ReaderRoster roster = rosterOf(self, all);
-    byStep[roster.standInStep()] += roster.readsItself() ? 0 : 1;
+    byStep[roster.fallbackStep()] += roster.readsItself() ? 0 : 1;
   }
   constexpr size_t kReaders = 16;
   LONGS_EQUAL(5, byStep.size());
--- a/test/common/platform/store_liveness_test.cc
+++ b/test/common/platform/store_liveness_test.cc
@@ -22,10 +22,10 @@
   TimePoint now = kStart;
   CHECK_TRUE(liveness.onProbe(now, true) == WaitingCalls::kKeep);
   CHECK_TRUE(liveness.onProbe(now, false) == WaitingCalls::kKeep);
-  CHECK_TRUE(liveness.isSilent());
+  CHECK_TRUE(liveness.isUnresponsive());
   CHECK_TRUE(liveness.onProbe(now, false) == WaitingCalls::kKeep);
   CHECK_TRUE(liveness.onProbe(now, true) == WaitingCalls::kRenew);
-  CHECK_FALSE(liveness.isSilent());
+  CHECK_FALSE(liveness.isUnresponsive());
   CHECK_TRUE(liveness.onProbe(now, true) == WaitingCalls::kKeep);
 }
 
--- a/test/common/platform/zone_evacuations_property.cc
+++ b/test/common/platform/zone_evacuations_property.cc
@@ -72,7 +72,7 @@
       const bool listed = change.begins && change.revision <= revision &&
                           history.evacuatedAt(revision).zones.contains(change.zone);
       if (listed) {
-        evacuations.onBegun(change.zone, change.revision);
+        evacuations.onStarted(change.zone, change.revision);
       }
     }
     evacuations.onKnownUpTo(revision);
@@ -82,7 +82,7 @@
   void watch(const History& history) {
     for (const Change& change : history.changes()) {
       if (change.revision > version && change.begins) {
-        evacuations.onBegun(change.zone, history.revision());
+        evacuations.onStarted(change.zone, history.revision());
       } else if (change.revision > version) {
         evacuations.onEnded(change.zone, history.revision());
       }
@@ -91,11 +91,11 @@
     version = history.revision();
   }
   void list(const History& history) {
-    evacuations.onWhole(history.evacuatedAt(history.revision()), history.revision());
+    evacuations.onSnapshot(history.evacuatedAt(history.revision()), history.revision());
     version = history.revision();
   }
   void ask(const Node& peer) {
-    evacuations.onWhole(peer.evacuations.evacuated(), peer.version);
+    evacuations.onSnapshot(peer.evacuations.evacuated(), peer.version);
     version = std::max(version, peer.version);
   }
   bool holds(const History& history, const std::string& zone) const {
--- a/test/common/platform/zone_evacuations_test.cc
+++ b/test/common/platform/zone_evacuations_test.cc
@@ -15,13 +15,13 @@
 
 TEST(ZoneEvacuations, BeginEndAndBeginAgain) {
   CHECK_FALSE(evacuations.takeChange());
-  evacuations.onBegun("bole", 10);
+  evacuations.onStarted("bole", 10);
   CHECK_TRUE(evacuations.takeChange());
   CHECK_TRUE(isEvacuated("bole"));
   CHECK_FALSE(isEvacuated("piassa"));
   evacuations.onEnded("bole", 12);
   CHECK_FALSE(isEvacuated("bole"));
-  evacuations.onBegun("bole", 15);
+  evacuations.onStarted("bole", 15);
   CHECK_TRUE(isEvacuated("bole"));
   CHECK_TRUE(evacuations.takeChange());
   CHECK_FALSE(evacuations.takeChange());
@@ -29,17 +29,17 @@
 
 TEST(ZoneEvacuations, OlderNewsReplacesNothing) {
   evacuations.onEnded("bole", 20);
-  evacuations.onBegun("bole", 10);
+  evacuations.onStarted("bole", 10);
   CHECK_FALSE(isEvacuated("bole"));
-  evacuations.onBegun("piassa", 20);
+  evacuations.onStarted("piassa", 20);
   evacuations.onEnded("piassa", 10);
   CHECK_TRUE(isEvacuated("piassa"));
 }
 
 TEST(ZoneEvacuations, AWholeEndsTheOthersButNotNewerOnes) {
-  evacuations.onBegun("bole", 10);
-  evacuations.onBegun("merkato", 40);
-  evacuations.onWhole({{"piassa"}}, 30);
+  evacuations.onStarted("bole", 10);
+  evacuations.onStarted("merkato", 40);
+  evacuations.onSnapshot({{"piassa"}}, 30);
   CHECK_FALSE(isEvacuated("bole"));
   CHECK_TRUE(isEvacuated("piassa"));
   CHECK_TRUE(isEvacuated("merkato"));
@@ -48,26 +48,26 @@
 /** A node whose list did not hold the zone any more, and a peer that lags. */
 TEST(ZoneEvacuations, AWholeThatIsOlderThanWhatIsKnownTellsNothing) {
   evacuations.onKnownUpTo(35);
-  evacuations.onWhole({{"bole"}}, 30);
+  evacuations.onSnapshot({{"bole"}}, 30);
   CHECK_FALSE(isEvacuated("bole"));
-  evacuations.onWhole({{"bole"}}, 40);
+  evacuations.onSnapshot({{"bole"}}, 40);
   CHECK_TRUE(isEvacuated("bole"));
 }
 
 /** Events of one watch come in order, and all as of the answer. */
 TEST(ZoneEvacuations, OfTheSameVersionTheLastCounts) {
-  evacuations.onWhole({{"bole"}}, 40);
+  evacuations.onSnapshot({{"bole"}}, 40);
   evacuations.onEnded("bole", 50);
-  evacuations.onBegun("bole", 50);
+  evacuations.onStarted("bole", 50);
   CHECK_TRUE(isEvacuated("bole"));
-  evacuations.onBegun("piassa", 60);
+  evacuations.onStarted("piassa", 60);
   evacuations.onEnded("piassa", 60);
   CHECK_FALSE(isEvacuated("piassa"));
 }
 
 TEST(ZoneEvacuations, AnEndIsKnownByTheVersionOfItsBeginning) {
   // A store may tell an object that is gone with the version of its last change.
-  evacuations.onBegun("bole", 10);
+  evacuations.onStarted("bole", 10);
   evacuations.onEnded("bole", 10);
   CHECK_FALSE(isEvacuated("bole"));
 }
--- a/test/common/server/catalog_reader_test.cc
+++ b/test/common/server/catalog_reader_test.cc
@@ -103,7 +103,7 @@
 std::string describe(const CatalogChanges& news) {
   std::string text;
   for (const CatalogChange& change : news.changes) {
-    if (const auto* gone = std::get_if<ObjectGone>(&change)) {
+    if (const auto* gone = std::get_if<DeletedObject>(&change)) {
       text += "-" + gone->name;
     } else if (const auto* pool = std::get_if<HostPool>(&change)) {
       text += "+" + pool->name;
--- a/test/platform/store/object_store_adapter_test.cc
+++ b/test/platform/store/object_store_adapter_test.cc
@@ -47,9 +47,9 @@
   uint64_t seen = 0;
   /** No probe disturbs the counts of a test that isn't about them. */
   Duration livenessInterval = std::chrono::hours(1);
-  Duration longestWatch = seconds(2);
+  Duration maxWatchDuration = seconds(2);
   Duration answerLimit = milliseconds(500);
-  Duration gatherChanges = milliseconds(5);
+  Duration changeBatchDelay = milliseconds(5);
   std::map<std::string, HostPool> pools;
   std::map<std::string, Service> services;
 
@@ -58,8 +58,8 @@
     ObjectStoreOptions made;
     made.address = store->address();
     made.region = "addis";
-    made.follower.longestWatch = longestWatch;
-    made.follower.gatherChanges = gatherChanges;
+    made.follower.maxWatchDuration = maxWatchDuration;
+    made.follower.changeBatchDelay = changeBatchDelay;
     made.follower.retry = {milliseconds(10), milliseconds(50)};
     made.follower.retryBudget = {10, milliseconds(50)};
     made.limits.connect = milliseconds(500);
@@ -100,7 +100,7 @@
     for (const CatalogChange& change : news.changes) {
       if (const auto* pool = std::get_if<HostPool>(&change)) {
         pools[pool->name] = *pool;
-      } else if (const auto* gone = std::get_if<ObjectGone>(&change)) {
+      } else if (const auto* gone = std::get_if<DeletedObject>(&change)) {
         services.erase(gone->name);
       } else {
         services[std::get<Service>(change).name] = std::get<Service>(change);
@@ -183,7 +183,7 @@
 }
 
 TEST(ObjectStoreAdapter, HostsThatRegisterAfterAStartOrAnOutageAreNotWaitedFor) {
-  gatherChanges = seconds(60);
+  changeBatchDelay = seconds(60);
   setUp(4);
   start();
   setHost(5);
@@ -202,7 +202,7 @@
 /** Found by a hunt: a watch that was asked while the store forgot its history heard nothing more,
  * and the watch of the other kind was told that the history is gone. */
 TEST(ObjectStoreAdapter, ALostHistoryEndsTheWatchesOfBothKinds) {
-  longestWatch = seconds(60);
+  maxWatchDuration = seconds(60);
   setUp(4);
   start();
   setHost(5);
@@ -223,7 +223,7 @@
 /** Found on a day with 295 nodes: the store cut both watches and then dropped its history. Watches
  * that were made in between were accepted and heard nothing more. */
 TEST(ObjectStoreAdapter, AWatchThatFollowsOneThatWasCutOffIsMadeOnceMore) {
-  longestWatch = seconds(60);
+  maxWatchDuration = seconds(60);
   setUp(4);
   start();
   setHost(5);
@@ -329,7 +329,7 @@
 /** Nothing tells the node but its probes: connections stay, and a watch waits for a minute. */
 TEST(ObjectStoreAdapter, MakesWatchesAnewThatASilentStoreNeverAnswers) {
   livenessInterval = milliseconds(50);
-  longestWatch = seconds(60);
+  maxWatchDuration = seconds(60);
   setUp(4);
   start();
   test::StandinFaults faults;
--- a/test/platform/store/zone_reader_test.cc
+++ b/test/platform/store/zone_reader_test.cc
@@ -76,7 +76,7 @@
   /** Nodes that it asks while the store is silent. */
   void setSeeds(std::vector<Endpoint> seeds) { options_.peers = std::move(seeds); }
   /** How long it waits for peers before it lists the store, for each step of its rank. */
-  void setListPatience(Duration patience) { options_.firstList.patience = patience; }
+  void setListPatience(Duration peerWait) { options_.firstList.peerWait = peerWait; }
   void begin() {
     adapter_ = std::make_unique<ObjectStoreAdapter>(options_);
     thread_ = std::thread([this] { loop_.run(); });
@@ -95,7 +95,7 @@
   ObservationExchange& observations() { return observations_; }
   /** Pages of lists of the store, those of nodes not counted. */
   uint64_t lists() const { return adapter_->status().lists; }
-  uint64_t answeredPeers() const { return adapter_->status().answeredPeers; }
+  uint64_t answeredPeerRequests() const { return adapter_->status().answeredPeerRequests; }
   /** How often it encoded all hosts for others. */
   uint64_t hostCopies() const { return adapter_->status().hostCopies; }
 
@@ -141,17 +141,17 @@
     options.gatherEvacuations = milliseconds(10);
     options.self =
         RosterNode{"node-" + std::to_string(number), "bole", port_->local(), 1000 - number};
-    options.follower.gatherChanges = milliseconds(20);
+    options.follower.changeBatchDelay = milliseconds(20);
     options.gatherForOthers = milliseconds(10);
     options.peerPatience = part(15);
-    options.source.poll = part(10);
-    options.source.oldestConfirmation = part(25);
-    options.source.longestUnconfirmed = part(40);
-    options.source.beginning = milliseconds(20);
-    options.source.firstPenalty = milliseconds(500);
+    options.source.pollInterval = part(10);
+    options.source.maxConfirmationAge = part(25);
+    options.source.unconfirmedTimeout = part(40);
+    options.source.startingPeerRetry = milliseconds(20);
+    options.source.initialPenalty = milliseconds(500);
     options.source.unconfirmedPenalty = milliseconds(300);
-    options.source.retry = milliseconds(300);
-    options.source.readForOthers = seconds(1);
+    options.source.retryInterval = milliseconds(300);
+    options.source.servePeersDuration = seconds(1);
     options.registry = {milliseconds(100), seconds(1), milliseconds(200), milliseconds(50)};
     options.settleTime = milliseconds(300);
     options.roster.nodesPerReader = nodesPerReader_;
@@ -556,7 +556,7 @@
   drain(1);
   CHECK_TRUE(allSee(3));
   for (const auto& node : nodes) {
-    CHECK_EQUAL(0U, node->answeredPeers());
+    CHECK_EQUAL(0U, node->answeredPeerRequests());
   }
 }
 
