--- a/source/common/platform/collection_follower.cc
+++ b/source/common/platform/collection_follower.cc
@@ -33,7 +33,7 @@
   page_.reset();
   watchVersion_ = listVersion_;
   hasListed_ = true;
-  return allowStale ? PageOutcome::kLaggingListComplete : PageOutcome::kListComplete;
+  return allowStale ? PageOutcome::kStaleListComplete : PageOutcome::kListComplete;
 }
 
 void CollectionFollower::onWatch(TimePoint now, uint64_t version, bool hadEvents) {
@@ -45,7 +45,7 @@
 }
 
 Duration CollectionFollower::gatheringAt(TimePoint now) const {
-  return now < expectedUntil_ ? std::min(gathering_, options_.gatherExpectedChanges) : gathering_;
+  return now < expectedUntil_ ? std::min(gathering_, options_.expectedChangeBatchDelay) : gathering_;
 }
 
 void CollectionFollower::onFailure(TimePoint now, const StoreError& error) {
--- a/source/common/platform/collection_follower.h
+++ b/source/common/platform/collection_follower.h
@@ -51,8 +51,8 @@
   /** Wait after changes, so that those that come in a row cost one call. */
   Duration changeBatchDelay = std::chrono::milliseconds(250);
   /** In its place, where it is shorter, for a while after expectChanges(). */
-  Duration gatherExpectedChanges = std::chrono::milliseconds(100);
-  Duration expectedChangesLast = std::chrono::seconds(3);
+  Duration expectedChangeBatchDelay = std::chrono::milliseconds(100);
+  Duration expectedChangesDuration = std::chrono::seconds(3);
   BackOffOptions retry{std::chrono::milliseconds(100), std::chrono::milliseconds(800)};
   RetryBudgetOptions retryBudget{10, std::chrono::milliseconds(800)};
 };
@@ -62,7 +62,7 @@
   /** More pages follow. */
   kPartial,
   /** The last page of a list that may lag: what it lacks may exist. */
-  kLaggingListComplete,
+  kStaleListComplete,
   /** The last page of a current list: what it lacks was deleted before listVersion(). */
   kListComplete,
 };
@@ -81,7 +81,7 @@
    * What is followed is not as it will soon be: after a start or an outage, for instance. Changes
    * are gathered for a shorter time for a while.
    */
-  void expectChanges(TimePoint now) { expectedUntil_ = now + options_.expectedChangesLast; }
+  void expectChanges(TimePoint now) { expectedUntil_ = now + options_.expectedChangesDuration; }
 
   /**
    * The page that next() asked for came.
--- a/source/common/platform/first_list.h
+++ b/source/common/platform/first_list.h
@@ -29,7 +29,7 @@
    */
   Duration lostAfter = std::chrono::milliseconds(400);
   /** While probes go unanswered: a store that is slower than their limit still answers a list. */
-  Duration retryInSilence = std::chrono::seconds(2);
+  Duration retryWhileUnresponsive = std::chrono::seconds(2);
   /** Peers are given no longer in all, however they get on: half of the shortest time (12 s) in
    * which deployments have to serve again after all machines were lost. */
   Duration maxPeerWait = std::chrono::seconds(6);
@@ -58,7 +58,7 @@
   TimePoint earliestRequestAt() const { return opensAt_; }
   /** @return when it may be asked for while probes go unanswered. @param first time it may be. */
   TimePoint earliestRequestWhileUnresponsive(TimePoint first) const {
-    return lastAskedAt_ ? std::max(first, *lastAskedAt_ + options_.retryInSilence) : first;
+    return lastAskedAt_ ? std::max(first, *lastAskedAt_ + options_.retryWhileUnresponsive) : first;
   }
   /** The list was asked for. */
   void onRequested(TimePoint now) {
--- a/source/common/platform/host_copy.cc
+++ b/source/common/platform/host_copy.cc
@@ -12,7 +12,7 @@
   HostCopy copy{version, {}};
   size_t begin = 0;
   do {
-    const size_t end = std::min(begin + kHostsOfCopyPart, hosts.size());
+    const size_t end = std::min(begin + kHostsPerCopyPart, hosts.size());
     const auto first = hosts.begin() + static_cast<std::ptrdiff_t>(begin);
     const auto last = hosts.begin() + static_cast<std::ptrdiff_t>(end);
     auto encoded = encodeHostCopyPart({{first, last}});
--- a/source/common/platform/host_copy.h
+++ b/source/common/platform/host_copy.h
@@ -21,7 +21,7 @@
 namespace umberhold {
 
 /** Hosts of a part: about 45 kB before compression, 2% of a second of a link of 20 Mbit/s. */
-constexpr size_t kHostsOfCopyPart = 500;
+constexpr size_t kHostsPerCopyPart = 500;
 
 /** The encoded parts of a copy. */
 struct HostCopy {
--- a/source/common/platform/host_presence.cc
+++ b/source/common/platform/host_presence.cc
@@ -58,7 +58,7 @@
 }
 
 bool HostPresence::onRemoved(TimePoint now, const std::string& host, uint64_t version,
-                             TimePoint lastThere) {
+                             TimePoint lastPresentAt) {
   const auto found = entries_.find(host);
   if (found == entries_.end() || found->second.removedAt ||
       version < found->second.registration.version) {
@@ -67,7 +67,7 @@
   Entry& entry = found->second;
   entry.registration.version = version;
   entry.removedAt = now;
-  entry.lastThere = lastThere;
+  entry.lastPresentAt = lastPresentAt;
   entry.afterOutage = isAftermath(now);
   return true;
 }
@@ -156,13 +156,13 @@
 }
 
 bool HostPresence::isAftermath(TimePoint now) const {
-  return outage_ || (recoveredAt_ && now - *recoveredAt_ <= options_.outageAftermath);
+  return outage_ || (recoveredAt_ && now - *recoveredAt_ <= options_.postOutageWindow);
 }
 
 TimePoint HostPresence::activeUntil(const Entry& entry) const {
   TimePoint until = *entry.removedAt;
   if (entry.afterOutage || entry.withMany) {
-    until = std::max(until, entry.lastThere + options_.vanishedGrace);
+    until = std::max(until, entry.lastPresentAt + options_.vanishedGrace);
   }
   if (entry.afterOutage && recoveredAt_) {
     until = std::max(until, *recoveredAt_ + options_.outageGrace);
@@ -176,7 +176,7 @@
 }
 
 bool HostPresence::endedJustNow(const Entry& entry, TimePoint now) const {
-  return entry.removedAt && now - *entry.removedAt <= options_.atOnce;
+  return entry.removedAt && now - *entry.removedAt <= options_.massRemovalWindow;
 }
 
 /** Hosts that said that they leave are expected to vanish: they don't count. */
@@ -193,7 +193,7 @@
     const PoolCount& count = counts[entry.registration.pool];
     const bool many =
         count.vanished >= kFewestAtOnce &&
-        count.vanished * kPercent > options_.massPercent * (count.present + count.vanished);
+        count.vanished * kPercent > options_.massRemovalPercent * (count.present + count.vanished);
     entry.withMany = entry.withMany || (many && endedJustNow(entry, now));
   }
 }
--- a/source/common/platform/host_presence.h
+++ b/source/common/platform/host_presence.h
@@ -42,12 +42,12 @@
   /** The same, counted from the end of an outage; the longer of both holds. */
   Duration outageGrace = std::chrono::milliseconds(2500);
   /** How long after an outage a registration's end counts as its consequence. */
-  Duration outageAftermath = std::chrono::seconds(3);
+  Duration postOutageWindow = std::chrono::seconds(3);
   /** Registrations that vanish within this time count as vanished at once. */
-  Duration atOnce = std::chrono::seconds(2);
+  Duration massRemovalWindow = std::chrono::seconds(2);
   /** Part of a pool, in percent, above which vanishing at once is no leaving; two hosts at least.
    */
-  uint32_t massPercent = 33;
+  uint32_t massRemovalPercent = 33;
   /** How long a host that left stays known as draining: the longest life of a flow. */
   Duration retention = std::chrono::seconds(75);
 };
@@ -62,11 +62,11 @@
   /**
    * A registration ended.
    * @param version of the event.
-   * @param lastThere when it was still there, as far as is known: news may be late, and what a
+   * @param lastPresentAt when it was still there, as far as is known: news may be late, and what a
    * vanished host is granted counts from its end and not from the news.
    * @return whether it was news.
    */
-  bool onRemoved(TimePoint now, const std::string& host, uint64_t version, TimePoint lastThere);
+  bool onRemoved(TimePoint now, const std::string& host, uint64_t version, TimePoint lastPresentAt);
   bool onRemoved(TimePoint now, const std::string& host, uint64_t version) {
     return onRemoved(now, host, version, now);
   }
@@ -104,7 +104,7 @@
     /** When the registration was seen to have ended; none while it is there. */
     std::optional<TimePoint> removedAt;
     /** When it was still there, as far as is known; meaningful where it ended. */
-    TimePoint lastThere{};
+    TimePoint lastPresentAt{};
     /** It ended in an outage or its aftermath. */
     bool afterOutage = false;
     /** It ended together with a large part of its pool. */
--- a/source/common/platform/http_connection.cc
+++ b/source/common/platform/http_connection.cc
@@ -24,7 +24,7 @@
   return static_cast<int>(std::chrono::ceil<std::chrono::milliseconds>(duration).count());
 }
 
-void limitSilence(Poco::Net::StreamSocket& socket, const SilentPeerLimits& limits) {
+void limitSilence(Poco::Net::StreamSocket& socket, const UnresponsivePeerLimits& limits) {
   socket.setKeepAlive(true);
   socket.setOption(IPPROTO_TCP, TCP_KEEPIDLE, wholeSeconds(limits.idle));
   socket.setOption(IPPROTO_TCP, TCP_KEEPINTVL, wholeSeconds(limits.probeInterval));
@@ -76,7 +76,7 @@
 
   const Endpoint server;
   const CallLimits limits;
-  const SilentPeerLimits silentPeer;
+  const UnresponsivePeerLimits silentPeer;
   std::mutex mutex;
   bool aborted = false;
   std::optional<Poco::Net::StreamSocket> current;
@@ -87,7 +87,7 @@
 };
 
 HttpConnection::HttpConnection(const Endpoint& server, CallLimits limits,
-                               SilentPeerLimits silentPeer)
+                               UnresponsivePeerLimits silentPeer)
     : parts_(new Parts{server, limits, silentPeer, {}, false, {}, {}, {}, {}}) {}
 
 HttpConnection::~HttpConnection() = default;
--- a/source/common/platform/http_connection.h
+++ b/source/common/platform/http_connection.h
@@ -19,7 +19,7 @@
 namespace umberhold {
 
 /** When the kernel gives a silent peer up. */
-struct SilentPeerLimits {
+struct UnresponsivePeerLimits {
   /** Bytes sent without an acknowledgement. */
   Duration unacknowledged = std::chrono::seconds(3);
   /** Idle time before the first probe of an idle connection; whole seconds. */
@@ -34,7 +34,7 @@
  * thread. */
 class HttpConnection {
  public:
-  HttpConnection(const Endpoint& server, CallLimits limits, SilentPeerLimits silentPeer = {});
+  HttpConnection(const Endpoint& server, CallLimits limits, UnresponsivePeerLimits silentPeer = {});
   ~HttpConnection();
   HttpConnection(const HttpConnection&) = delete;
   HttpConnection& operator=(const HttpConnection&) = delete;
--- a/source/common/platform/read_source.cc
+++ b/source/common/platform/read_source.cc
@@ -16,7 +16,7 @@
       return "reader";
     case ReadCause::kNoPeers:
       return "alone";
-    case ReadCause::kAsked:
+    case ReadCause::kServesPeers:
       return "asked";
     case ReadCause::kUnconfirmed:
       return "unconfirmed";
@@ -40,7 +40,7 @@
   }
   hasRoster_ = true;
   readsItself_ = roster.readsItself();
-  candidates_ = readsItself_ ? roster.readersAhead() : roster.candidates();
+  candidates_ = readsItself_ ? roster.higherRankedReaders() : roster.candidates();
   if (candidates_.empty()) {
     nextQuestion_ = TimePoint::max();
   } else if (!hadCandidates) {
@@ -59,7 +59,7 @@
     return ReadCause::kNoPeers;
   }
   if (servesOthers(now)) {
-    return ReadCause::kAsked;
+    return ReadCause::kServesPeers;
   }
   return isUnconfirmed(now) ? ReadCause::kUnconfirmed : ReadCause::kFollowsPeer;
 }
@@ -134,7 +134,7 @@
   const bool hasRisen = progress != progress_;
   progress_ = progress;
   beginnings_ = hasRisen ? 0 : beginnings_ + 1;
-  if (beginnings_ < options_.beginningTries) {
+  if (beginnings_ < options_.maxStartingPeerTries) {
     nextQuestion_ = now + options_.startingPeerRetry;
     return hasRisen;
   }
@@ -152,7 +152,7 @@
   }
   Penalty& penalty = penalties_[asked_];
   const Duration time = std::max(penalty.next, options_.initialPenalty);
-  penalty.next = std::min(time * 2, options_.longestPenalty);
+  penalty.next = std::min(time * 2, options_.maxPenalty);
   passOver(now, time);
   askNext(now);
 }
--- a/source/common/platform/read_source.h
+++ b/source/common/platform/read_source.h
@@ -38,12 +38,12 @@
   /** Until a peer is asked again that has only begun to read. */
   Duration startingPeerRetry = std::chrono::milliseconds(100);
   /** A peer that has not begun after so many questions is passed over. */
-  uint32_t beginningTries = 8;
+  uint32_t maxStartingPeerTries = 8;
   /** How long a node that has nothing yet passes a peer over: it may be starting, too. */
   Duration startingPenalty = std::chrono::milliseconds(500);
   /** How long a peer is passed over; doubles with each failure in a row. */
   Duration initialPenalty = std::chrono::seconds(5);
-  Duration longestPenalty = std::chrono::seconds(60);
+  Duration maxPenalty = std::chrono::seconds(60);
   /** How long a peer is passed over whose own reading is not confirmed. */
   Duration unconfirmedPenalty = std::chrono::seconds(2);
   /** Between questions while the store is read for want of a peer. */
@@ -63,7 +63,7 @@
   /** It has no roster, or nobody to ask. */
   kNoPeers,
   /** Others asked it of late. */
-  kAsked,
+  kServesPeers,
   /** No peer confirmed of late what it holds. */
   kUnconfirmed,
 };
--- a/source/common/platform/reader_election.cc
+++ b/source/common/platform/reader_election.cc
@@ -19,7 +19,7 @@
   for (uint8_t slot = 0; slot < kReaderSlots; ++slot) {
     if (ranks[slot] && !ranks_[slot]) {
       // The first look comes soon, but spread out: at a start all candidates come up together.
-      const Duration spread = options_.pollShortest * (*ranks[slot] + 1);
+      const Duration spread = options_.minPollInterval * (*ranks[slot] + 1);
       watched_[slot] = Watched{};
       watched_[slot].nextRead = now + Duration(static_cast<Duration::rep>(random_.below(
                                           static_cast<uint64_t>(spread.count()) + 1)));
@@ -81,7 +81,7 @@
   held.slot = written.slot;
   held.seen = ObservedLease{version, written.lease};
   held.validUntil = sentAt + options_.leaseTime;
-  held.nextTry = sentAt + options_.renewEvery;
+  held.nextTry = sentAt + options_.renewInterval;
   held_ = held;
 }
 
@@ -183,9 +183,9 @@
 }
 
 TimePoint ReaderElection::drawNextRead(TimePoint now, uint8_t rank) {
-  const auto spread = static_cast<uint64_t>((options_.pollLongest - options_.pollShortest).count());
+  const auto spread = static_cast<uint64_t>((options_.maxPollInterval - options_.minPollInterval).count());
   const Duration wait =
-      options_.pollShortest + Duration(static_cast<Duration::rep>(random_.below(spread + 1)));
+      options_.minPollInterval + Duration(static_cast<Duration::rep>(random_.below(spread + 1)));
   return now + wait * (rank + 1);
 }
 
--- a/source/common/platform/reader_election.h
+++ b/source/common/platform/reader_election.h
@@ -31,13 +31,13 @@
   Duration leaseTime = std::chrono::seconds(15);
   /** Added by candidates for clocks that run at different rates. */
   Duration takeoverMargin = std::chrono::seconds(2);
-  Duration renewEvery = std::chrono::seconds(5);
+  Duration renewInterval = std::chrono::seconds(5);
   /**
    * A candidate of rank r looks at a slot every (r + 1) times a random wait between these two. With
    * 9 regions of 3 candidates a slot that is about 6.6 reads a second for the whole system.
    */
-  Duration pollShortest = std::chrono::seconds(5);
-  Duration pollLongest = std::chrono::seconds(10);
+  Duration minPollInterval = std::chrono::seconds(5);
+  Duration maxPollInterval = std::chrono::seconds(10);
   /** Waits between a holder's tries to renew. */
   BackOffOptions renewRetry{std::chrono::milliseconds(500), std::chrono::seconds(1)};
 };
--- a/source/common/platform/reader_roster.cc
+++ b/source/common/platform/reader_roster.cc
@@ -34,7 +34,7 @@
   candidates_.clear();
   readersAhead_.clear();
   standInStep_ = 0;
-  readsItself_ = ranked.size() < options_.smallestZone;
+  readsItself_ = ranked.size() < options_.minZoneNodes;
   if (readsItself_) {
     return;
   }
@@ -52,7 +52,7 @@
   std::rotate(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(first),
               ranked.begin() + static_cast<std::ptrdiff_t>(readers));
   ranked.erase(ranked.begin() + static_cast<std::ptrdiff_t>(self));
-  ranked.resize(std::min(ranked.size(), options_.mostCandidates));
+  ranked.resize(std::min(ranked.size(), options_.maxCandidates));
   candidates_ = std::move(ranked);
 }
 
--- a/source/common/platform/reader_roster.h
+++ b/source/common/platform/reader_roster.h
@@ -31,10 +31,10 @@
 /** Sizes of the rule. */
 struct RosterOptions {
   /** In a zone with fewer nodes each reads the store itself. */
-  size_t smallestZone = 6;
+  size_t minZoneNodes = 6;
   size_t nodesPerReader = 32;
   /** Nodes that one node asks at most, in turn. */
-  size_t mostCandidates = 8;
+  size_t maxCandidates = 8;
 };
 
 /** Not thread safe. */
@@ -51,7 +51,7 @@
   const std::vector<RosterNode>& candidates() const { return candidates_; }
   /** @return the readers ranked before this one, for a reader that has nothing yet: one list of the
    * store serves all readers of a zone. */
-  const std::vector<RosterNode>& readersAhead() const { return readersAhead_; }
+  const std::vector<RosterNode>& higherRankedReaders() const { return readersAhead_; }
   /**
    * @return how late this node takes the readers' place where none of them tells anything: 0 for
    * readers and as many nodes behind them, 1 for twice as many, 2 for four times as many. A zone's
--- a/source/common/platform/reader_worker.cc
+++ b/source/common/platform/reader_worker.cc
@@ -111,7 +111,7 @@
     }
     succeed();
     if (mustRestartWatch) {
-      watchedVersion = lister->watchFrom();
+      watchedVersion = lister->watchStartVersion();
       mustRestartWatch = false;
     }
     nextPageAt = sink.isServing() ? steadyNow() + options.pagePause : steadyNow();
@@ -124,7 +124,7 @@
     }
     if (lister->isComplete()) {
       lister.reset();
-      relistAt = steadyNow() + options.relistEvery;
+      relistAt = steadyNow() + options.relistInterval;
       count(&ReaderCounters::lists);
     }
   }
@@ -137,7 +137,7 @@
     }
     succeed();
     machinesAt = steadyNow() + machinesInterval;
-    machinesInterval = std::min(2 * machinesInterval, options.machinesEvery);
+    machinesInterval = std::min(2 * machinesInterval, options.machineListInterval);
     sink.onMachines(std::move(valueOf(machines)));
   }
 
@@ -234,7 +234,7 @@
   TimePoint relistAt;
   TimePoint machinesAt;
   /** Doubles from the first reading of the machine list on. */
-  Duration machinesInterval = options.firstMachinesInterval;
+  Duration machinesInterval = options.initialMachineListInterval;
   TimePoint retryAt;
 
   mutable std::mutex mutex;
--- a/source/common/platform/reader_worker.h
+++ b/source/common/platform/reader_worker.h
@@ -47,14 +47,14 @@
   Duration pagePause = std::chrono::milliseconds(500);
   Duration maxWatchDuration = std::chrono::seconds(5);
   /** Whole list again, whatever the watch said. */
-  Duration relistEvery = std::chrono::hours(6);
-  Duration machinesEvery = std::chrono::seconds(30);
+  Duration relistInterval = std::chrono::hours(6);
+  Duration machineListInterval = std::chrono::seconds(30);
   /**
-   * First interval between two readings of the machine list; it doubles up to machinesEvery. A
+   * First interval between two readings of the machine list; it doubles up to machineListInterval. A
    * system that starts registers its machines while the first reader already reads them, and
    * regions without a contact wait for the next reading.
    */
-  Duration firstMachinesInterval = std::chrono::seconds(1);
+  Duration initialMachineListInterval = std::chrono::seconds(1);
   /** Three readers in the whole system can't flood a store that comes back, so they may ask often.
    */
   BackOffOptions retry{std::chrono::milliseconds(200), std::chrono::seconds(1)};
--- a/source/common/platform/retry.cc
+++ b/source/common/platform/retry.cc
@@ -16,7 +16,7 @@
 }  // namespace
 
 BackOff::BackOff(BackOffOptions options, RandomSource& random)
-    : options_(options), random_(random), current_(options.initial) {}
+    : options_(options), random_(random), current_(options.initialDelay) {}
 
 Duration BackOff::next(std::optional<Duration> retryAfter) {
   const Duration half = current_ / 2;
--- a/source/common/platform/retry.h
+++ b/source/common/platform/retry.h
@@ -11,7 +11,7 @@
 
 /** Shape of a back-off. */
 struct BackOffOptions {
-  Duration initial = std::chrono::milliseconds(200);
+  Duration initialDelay = std::chrono::milliseconds(200);
   Duration maxDelay = std::chrono::seconds(10);
 };
 
@@ -30,7 +30,7 @@
    */
   Duration next(std::optional<Duration> retryAfter = std::nullopt);
   /** A try succeeded: the next failure starts again at the initial wait. */
-  void reset() { current_ = options_.initial; }
+  void reset() { current_ = options_.initialDelay; }
 
  private:
   const BackOffOptions options_;
--- a/source/common/platform/store_lister.h
+++ b/source/common/platform/store_lister.h
@@ -28,7 +28,7 @@
   Result<ListStep, StoreError> step();
   bool isComplete() const { return collection_ == kCollectionCount; }
   /** @return where a watch must start to miss nothing: the version of the very first page. */
-  uint64_t watchFrom() const { return watchFrom_; }
+  uint64_t watchStartVersion() const { return watchFrom_; }
 
  private:
   static constexpr size_t kCollectionCount = 2;
--- a/source/common/platform/store_liveness.cc
+++ b/source/common/platform/store_liveness.cc
@@ -36,7 +36,7 @@
 Duration StoreLiveness::pauseAfterMiss() {
   if (starting_) {
     return ++startingMisses_ <= kFirstMisses ? options_.startingIntervalAfterMiss
-                                             : options_.longestStartingInterval;
+                                             : options_.maxStartingInterval;
   }
   if (following_ && !serving_) {
     return options_.maxIntervalAfterMiss;
--- a/source/common/platform/store_liveness.h
+++ b/source/common/platform/store_liveness.h
@@ -32,7 +32,7 @@
   /** The same while the process knows nothing yet, so that it can't serve before the store is back:
    * for the first ones, and the longest. */
   Duration startingIntervalAfterMiss = std::chrono::milliseconds(100);
-  Duration longestStartingInterval = std::chrono::milliseconds(250);
+  Duration maxStartingInterval = std::chrono::milliseconds(250);
   /** Intervals vary by up to this part, so that nodes that started together don't gather. */
   double jitter = 0.2;
 };
--- a/test/common/admin/racing_operators_test.cc
+++ b/test/common/admin/racing_operators_test.cc
@@ -38,7 +38,7 @@
 
 ChangeLimits patientChanges() {
   ChangeLimits limits;
-  limits.backOff.initial = std::chrono::milliseconds(1);
+  limits.backOff.initialDelay = std::chrono::milliseconds(1);
   limits.backOff.maxDelay = std::chrono::milliseconds(20);
   limits.retries = {1000, std::chrono::milliseconds(1)};
   return limits;
--- a/test/common/platform/collection_follower_test.cc
+++ b/test/common/platform/collection_follower_test.cc
@@ -35,7 +35,7 @@
   const auto second = mustBe<ReadPage>();
   STRCMP_EQUAL("m", second.after.c_str());
   CHECK_FALSE(follower.hasListed());
-  CHECK_TRUE(follower.onPage(45, "z", false) == PageOutcome::kLaggingListComplete);
+  CHECK_TRUE(follower.onPage(45, "z", false) == PageOutcome::kStaleListComplete);
   CHECK_TRUE(follower.hasListed());
   LONGS_EQUAL(40, mustBe<WatchFrom>().version);
 }
@@ -57,8 +57,8 @@
   patient.expectChanges(now);
   patient.onWatch(now, 44, true);
   const auto soon = std::get<PauseUntil>(patient.next(now)).at;
-  CHECK_TRUE(soon == now + options.gatherExpectedChanges);
-  now += options.expectedChangesLast;
+  CHECK_TRUE(soon == now + options.expectedChangeBatchDelay);
+  now += options.expectedChangesDuration;
   patient.onWatch(now, 45, true);
   CHECK_TRUE(std::get<PauseUntil>(patient.next(now)).at == now + seconds(1));
   // A time that is short already stays.
@@ -83,8 +83,8 @@
   listWhole(40);
   fail(StoreErrorCode::kAnswerLost);
   CHECK_TRUE(follower.isFailing());
-  CHECK_TRUE(mustBe<PauseUntil>().at <= now + options.retry.initial);
-  now += options.retry.initial;
+  CHECK_TRUE(mustBe<PauseUntil>().at <= now + options.retry.initialDelay);
+  now += options.retry.initialDelay;
   LONGS_EQUAL(40, mustBe<WatchFrom>().version);
   follower.onWatch(now, 41, false);
   CHECK_FALSE(follower.isFailing());
--- a/test/common/platform/host_copy_test.cc
+++ b/test/common/platform/host_copy_test.cc
@@ -58,7 +58,7 @@
   CHECK_FALSE(isOk(encodePeerChanges(inOneMessage)));
   const auto copy = makeHostCopy(kManyHosts, all);
   CHECK_TRUE(isOk(copy));
-  LONGS_EQUAL(kManyHosts / kHostsOfCopyPart, valueOf(copy).parts.size());
+  LONGS_EQUAL(kManyHosts / kHostsPerCopyPart, valueOf(copy).parts.size());
   CHECK_TRUE(hostsOf(valueOf(copy)) == all);
 }
 
--- a/test/common/platform/host_presence_test.cc
+++ b/test/common/platform/host_presence_test.cc
@@ -98,24 +98,24 @@
  * drain. */
 TEST(HostPresence, TheGraceCountsFromTheEndAndNotFromLateNewsOfIt) {
   registerHosts(4);
-  const TimePoint lastThere = now;
+  const TimePoint lastPresentAt = now;
   now += milliseconds(1500);
-  presence.onRemoved(now, nameOf(0), ++version, lastThere);
-  presence.onRemoved(now, nameOf(1), ++version, lastThere);
+  presence.onRemoved(now, nameOf(0), ++version, lastPresentAt);
+  presence.onRemoved(now, nameOf(1), ++version, lastPresentAt);
   settle();
   LONGS_EQUAL(4, active());
-  CHECK_TRUE(presence.nextChange() == lastThere + options.vanishedGrace);
-  now = lastThere + options.vanishedGrace;
+  CHECK_TRUE(presence.nextChange() == lastPresentAt + options.vanishedGrace);
+  now = lastPresentAt + options.vanishedGrace;
   settle();
   LONGS_EQUAL(2, active());
 }
 
 TEST(HostPresence, NewsThatAreLaterThanTheGraceTakeAHostOutOfUseAtOnce) {
   registerHosts(4);
-  const TimePoint lastThere = now;
+  const TimePoint lastPresentAt = now;
   now += seconds(3);
-  presence.onRemoved(now, nameOf(0), ++version, lastThere);
-  presence.onRemoved(now, nameOf(1), ++version, lastThere);
+  presence.onRemoved(now, nameOf(0), ++version, lastPresentAt);
+  presence.onRemoved(now, nameOf(1), ++version, lastPresentAt);
   settle();
   LONGS_EQUAL(2, active());
 }
@@ -154,7 +154,7 @@
   now = recovered + options.outageGrace;
   settle();
   LONGS_EQUAL(13, active());
-  now = recovered + options.outageAftermath + milliseconds(1);
+  now = recovered + options.postOutageWindow + milliseconds(1);
   remove(1);
   settle();
   LONGS_EQUAL(12, active());
--- a/test/common/platform/read_source_test.cc
+++ b/test/common/platform/read_source_test.cc
@@ -145,7 +145,7 @@
     now += penalty - milliseconds(1);
     STRCMP_EQUAL("node-2", peer().c_str());
     now += milliseconds(1);
-    penalty = std::min(penalty * 2, options.longestPenalty);
+    penalty = std::min(penalty * 2, options.maxPenalty);
   }
   STRCMP_EQUAL("node-1", peer().c_str());
   confirm();
@@ -223,21 +223,21 @@
 /** Its list may take long: going on to the next reader would only make that one list, too. */
 TEST(ReadSource, APeerThatGetsOnIsWaitedFor) {
   setRoster(5);
-  for (uint64_t progress = 1; progress <= 3 * options.beginningTries; ++progress) {
+  for (uint64_t progress = 1; progress <= 3 * options.maxStartingPeerTries; ++progress) {
     STRCMP_EQUAL("node-1", peer().c_str());
     CHECK_TRUE(source.onPeerStarting(now, progress));
     now += options.startingPeerRetry;
   }
-  for (uint32_t tries = 1; tries <= options.beginningTries; ++tries) {
+  for (uint32_t tries = 1; tries <= options.maxStartingPeerTries; ++tries) {
     STRCMP_EQUAL("node-1", peer().c_str());
-    CHECK_FALSE(source.onPeerStarting(now, 3 * options.beginningTries));
+    CHECK_FALSE(source.onPeerStarting(now, 3 * options.maxStartingPeerTries));
   }
   STRCMP_EQUAL("node-2", peer().c_str());
 }
 
 TEST(ReadSource, APeerThatBeginsToReadIsAskedAgainSoonButNotForever) {
   setRoster(5);
-  for (uint32_t tries = 1; tries < options.beginningTries; ++tries) {
+  for (uint32_t tries = 1; tries < options.maxStartingPeerTries; ++tries) {
     STRCMP_EQUAL("node-1", peer().c_str());
     CHECK_FALSE(source.onPeerStarting(now, 0));
     CHECK_TRUE(source.nextRequestAt(now) == now + options.startingPeerRetry);
@@ -271,7 +271,7 @@
   setRoster(5);
   confirm();
   source.onPeerRequest(now);
-  checkCause(ReadCause::kAsked);
+  checkCause(ReadCause::kServesPeers);
   CHECK_TRUE(source.readsStore(now));
   CHECK_TRUE(source.servesOthers(now));
   CHECK_TRUE(source.nextRequestAt(now) >= now + options.servePeersDuration);
--- a/test/common/platform/reader_election_test.cc
+++ b/test/common/platform/reader_election_test.cc
@@ -203,7 +203,7 @@
   election.onRead(now, 0, leaseOf(2, 11));
   const TimePoint seen = now;
   expectRead();
-  CHECK_TRUE(now - seen >= options.pollShortest);
+  CHECK_TRUE(now - seen >= options.minPollInterval);
 }
 
 TEST(ReaderElection, AStoreThatAsksForPatienceIsLeftAlone) {
--- a/test/common/platform/reader_roster_test.cc
+++ b/test/common/platform/reader_roster_test.cc
@@ -118,9 +118,9 @@
     const ReaderRoster roster = rosterOf(self, all);
     if (roster.readsItself()) {
       CHECK_TRUE(roster.candidates().empty());
-      counts.insert(roster.readersAhead().size());
+      counts.insert(roster.higherRankedReaders().size());
     } else {
-      CHECK_TRUE(roster.readersAhead().empty());
+      CHECK_TRUE(roster.higherRankedReaders().empty());
     }
   }
   CHECK_TRUE(counts == (std::set<size_t>{0, 1, 2, 3}));
--- a/test/common/platform/reader_worker_test.cc
+++ b/test/common/platform/reader_worker_test.cc
@@ -80,13 +80,13 @@
   ReaderWorkerOptions options;
   options.election.leaseTime = 2s;
   options.election.takeoverMargin = 200ms;
-  options.election.renewEvery = 300ms;
-  options.election.pollShortest = 50ms;
-  options.election.pollLongest = 100ms;
+  options.election.renewInterval = 300ms;
+  options.election.minPollInterval = 50ms;
+  options.election.maxPollInterval = 100ms;
   options.election.renewRetry = {50ms, 100ms};
   options.pageSize = 2;
   options.pagePause = 1h;
-  options.machinesEvery = 50ms;
+  options.machineListInterval = 50ms;
   options.retry = {10ms, 50ms};
   options.retryBudget = {100, 10ms};
   return options;
