--- a/source/common/platform/host_presence.h
+++ b/source/common/platform/host_presence.h
@@ -77,7 +77,7 @@
   void onListed(TimePoint now, uint64_t version, const std::set<std::string>& hosts);
   /** Only hosts of these pools end others by having their endpoint; until it is called, all do.
    * Anybody may register an address under the name of a pool that is not configured. */
-  void setNamedPools(std::set<std::string> pools) { namedPools_ = std::move(pools); }
+  void setConfiguredPools(std::set<std::string> pools) { namedPools_ = std::move(pools); }
   /** The store can't be read. */
   void onOutage();
   /** The store can be read again. */
--- a/test/common/platform/host_presence_test.cc
+++ b/test/common/platform/host_presence_test.cc
@@ -263,7 +263,7 @@
 }
 
 TEST(HostPresence, AnEntryOfAPoolThatIsNotConfiguredEndsNobody) {
-  presence.setNamedPools({"dispatch"});
+  presence.setConfiguredPools({"dispatch"});
   registerHosts(1);
   HostRegistration foreign = registration(2);
   foreign.pool = "nobody";
