--- a/source/common/platform/catalog_source.h
+++ b/source/common/platform/catalog_source.h
@@ -1,8 +1,8 @@
 /**
- * @file Where a node gets its services and host pools from: the whole at first, changes afterwards.
+ * @file Interface to the source of a node's services and host pools: one full list, then changes.
  *
- * stored_catalog.h reads them from the product's own objects; an adapter to another store may
- * translate them without a detour over their text.
+ * stored_catalog.h implements it for the product's own objects. An adapter to another store can
+ * produce the catalog types directly, without converting through their JSON text.
  */
 #pragma once
 
@@ -19,7 +19,7 @@
 
 namespace umberhold {
 
-/** An object was deleted. */
+/** An object that was deleted. */
 struct DeletedObject {
   Collection collection = Collection::kServices;
   std::string name;
@@ -27,29 +27,32 @@
   bool operator==(const DeletedObject&) const = default;
 };
 
-/** One change of the catalogue. Evacuated zones come as a whole. */
+/** One change of the catalog. Evacuated zones are always given as the full set. */
 using CatalogChange = std::variant<Service, HostPool, DeletedObject, EvacuatedZones>;
 
-/** Changes that take effect together. */
+/** Changes that are applied together. */
 struct CatalogChanges {
-  /** Version of the catalogue with them. */
+  /** Catalog version after these changes. */
   uint64_t version = 0;
-  /** When the reader got them. */
+  /** When the reader received the changes. */
   TimePoint receivedAt{};
   std::vector<CatalogChange> changes;
 };
 
-/** Blocking access. Implementations say whether they are thread safe. */
+/** Blocking access to the catalog. Each implementation documents its thread safety. */
 class CatalogSource {
  public:
   virtual ~CatalogSource() = default;
 
-  /** @return the evacuated zones if some ever were, every pool, then every service: a service
-   * without hosts would turn flows away. */
+  /**
+   * @return the evacuated zones if there have ever been any, then every pool, then every service.
+   * Pools come first because a service without hosts would reject flows.
+   */
   virtual Result<CatalogChanges, StoreError> list() = 0;
   /**
-   * Waits up to `patience` for changes after the version.
-   * @return them in order; kTooOld where they are no longer known: list again.
+   * Waits up to `longPollTimeout` for changes after version `since`.
+   * @return the changes in order; kTooOld if they are no longer available and the caller must list
+   * again.
    */
   virtual Result<CatalogChanges, StoreError> watch(uint64_t since, Duration longPollTimeout) = 0;
 };
--- a/source/common/platform/collection_follower.cc
+++ b/source/common/platform/collection_follower.cc
@@ -6,7 +6,7 @@
 
 CollectionFollower::CollectionFollower(FollowerOptions options, RandomSource& random)
     : options_(options),
-      gathering_(options.changeBatchDelay),
+      changeBatchDelay_(options.changeBatchDelay),
       backOff_(options.retry, random),
       budget_(options.retryBudget) {}
 
@@ -21,7 +21,7 @@
 }
 
 PageOutcome CollectionFollower::onPage(uint64_t version, const std::string& lastName, bool more) {
-  succeed();
+  recordSuccess();
   const bool allowStale = page_ && page_->allowStale;
   if (!page_ || page_->after.empty()) {
     listVersion_ = version;
@@ -37,27 +37,30 @@
 }
 
 void CollectionFollower::onWatch(TimePoint now, uint64_t version, bool hadEvents) {
-  succeed();
+  recordSuccess();
   watchVersion_ = std::max(watchVersion_, version);
   if (hadEvents) {
-    pausedUntil_ = now + gatheringAt(now);
+    pausedUntil_ = now + changeBatchDelayAt(now);
   }
 }
 
-Duration CollectionFollower::gatheringAt(TimePoint now) const {
-  return now < expectedUntil_ ? std::min(gathering_, options_.expectedChangeBatchDelay) : gathering_;
+Duration CollectionFollower::changeBatchDelayAt(TimePoint now) const {
+  return now < changesExpectedUntil_
+             ? std::min(changeBatchDelay_, options_.expectedChangeBatchDelay)
+             : changeBatchDelay_;
 }
 
 void CollectionFollower::onFailure(TimePoint now, const StoreError& error) {
   if (error.code == StoreErrorCode::kTooOld) {
-    startListAnew();
-    // The store answers: no failure, but a history this short must not make a loop of lists.
-    pausedUntil_ = now + gathering_;
+    restartList();
+    // The store answers, so this is not a failure. The delay keeps a history that is too short
+    // from causing lists in a loop.
+    pausedUntil_ = now + changeBatchDelay_;
     return;
   }
   failing_ = true;
   if (page_ && !page_->after.empty()) {
-    startListAnew();
+    restartList();
   }
   pausedUntil_ = now + backOff_.next(error.retryAfter);
   if (!budget_.tryTake(pausedUntil_)) {
@@ -73,20 +76,21 @@
 }
 
 void CollectionFollower::beginAt(uint64_t version) {
-  succeed();
+  recordSuccess();
   page_.reset();
   listVersion_ = version;
   watchVersion_ = version;
   hasListed_ = true;
 }
 
-void CollectionFollower::succeed() {
+void CollectionFollower::recordSuccess() {
   failing_ = false;
   backOff_.reset();
 }
 
-void CollectionFollower::startListAnew() {
-  // Only the very first list may lag: afterwards a copy exists that must not go back in time.
+void CollectionFollower::restartList() {
+  // Only the initial list may be stale: afterwards a copy exists that must not revert to an
+  // older state.
   page_ = ReadPage{"", !hasListed_ && page_ && page_->allowStale};
 }
 
--- a/source/common/platform/collection_follower.h
+++ b/source/common/platform/collection_follower.h
@@ -1,11 +1,12 @@
 /**
- * @file What to ask the store next, to hold a copy of one collection that is never long out of
- * date.
+ * @file State machine that keeps a local copy of one store collection up to date, by list and
+ * watch.
  *
- * A list gives the copy, watches keep it. The list's first page may come from a reader that lags
- * (cheaper for the store): the watch goes on from that page's version, so nothing is missed. A
- * list that follows a lost history must be current, and replaces what it lacks. Decision logic
- * without I/O: the caller makes the calls and says what came back.
+ * A list creates the copy, watches keep it current. The first page of the initial list may come
+ * from a stale replica, which is cheaper for the store: the watch starts at that page's version, so
+ * no change is missed. A list made after the store lost its history must be current; objects that
+ * it lacks are treated as deleted. Pure decision logic without I/O: the caller makes the calls and
+ * reports their results.
  */
 #pragma once
 
@@ -21,49 +22,53 @@
 
 namespace umberhold {
 
-/** Read a page of the list. */
+/** Read one page of the list. */
 struct ReadPage {
-  /** Name to go on after; empty for the first page. */
+  /** Name after which the page starts; empty for the first page. */
   std::string after;
-  /** Whether an answer that lags will do. */
+  /** Whether a stale answer is acceptable. */
   bool allowStale = false;
 };
 
-/** Wait for changes. */
+/** Watch for changes after a version. */
 struct WatchFrom {
   uint64_t version = 0;
   Duration longPollTimeout{0};
 };
 
-/** Nothing to ask before then. */
+/** Make no call before this time. */
 struct PauseUntil {
   TimePoint at;
 };
 
 using FollowerAction = std::variant<ReadPage, WatchFrom, PauseUntil>;
 
-/** Pace of a follower. */
+/** Timing of a follower. */
 struct FollowerOptions {
-  /** Bounds how long a watch that was lost in a silence between two probes goes unnoticed. A watch
-   * that is asked while the store forgets its history may be lost, too: more of them are no gain.
+  /**
+   * Maximum duration of one watch. Bounds how long a lost watch goes unnoticed if the store was
+   * unresponsive only between two probes. A watch that is sent while the store loses its history
+   * may be lost as well, so more frequent watches would not help.
    */
   Duration maxWatchDuration = std::chrono::seconds(30);
-  /** Wait after changes, so that those that come in a row cost one call. */
+  /**
+   * Delay after a watch that returned changes, so that consecutive changes are fetched by one call.
+   */
   Duration changeBatchDelay = std::chrono::milliseconds(250);
-  /** In its place, where it is shorter, for a while after expectChanges(). */
+  /** Replaces changeBatchDelay, if shorter, for expectedChangesDuration after expectChanges(). */
   Duration expectedChangeBatchDelay = std::chrono::milliseconds(100);
   Duration expectedChangesDuration = std::chrono::seconds(3);
   BackOffOptions retry{std::chrono::milliseconds(100), std::chrono::milliseconds(800)};
   RetryBudgetOptions retryBudget{10, std::chrono::milliseconds(800)};
 };
 
-/** What a page completes. */
+/** State of a list after one of its pages. */
 enum class PageOutcome : uint8_t {
   /** More pages follow. */
   kPartial,
-  /** The last page of a list that may lag: what it lacks may exist. */
+  /** The last page of a list that may be stale: objects missing from it may exist. */
   kStaleListComplete,
-  /** The last page of a current list: what it lacks was deleted before listVersion(). */
+  /** The last page of a current list: objects missing from it were deleted before listVersion(). */
   kListComplete,
 };
 
@@ -74,62 +79,71 @@
   CollectionFollower(FollowerOptions options, RandomSource& random);
 
   FollowerAction next(TimePoint now) const;
-  /** In place of FollowerOptions::changeBatchDelay from the next changes on. */
-  void setChangeBatchDelay(Duration gathering) { gathering_ = gathering; }
+  /** Overrides FollowerOptions::changeBatchDelay, starting with the next changes. */
+  void setChangeBatchDelay(Duration delay) { changeBatchDelay_ = delay; }
 
   /**
-   * What is followed is not as it will soon be: after a start or an outage, for instance. Changes
-   * are gathered for a shorter time for a while.
+   * Shortens the batch delay for a while, because changes are expected soon, for instance after a
+   * start or an outage.
    */
-  void expectChanges(TimePoint now) { expectedUntil_ = now + options_.expectedChangesDuration; }
+  void expectChanges(TimePoint now) {
+    changesExpectedUntil_ = now + options_.expectedChangesDuration;
+  }
 
   /**
-   * The page that next() asked for came.
-   * @param version the store's, when the page was read.
-   * @param lastName of the page; where to go on if there is more.
+   * Reports the page that next() requested.
+   * @param version of the store when the page was read.
+   * @param lastName last name on the page; the next page starts after it.
+   * @param more whether more pages follow.
    */
   PageOutcome onPage(uint64_t version, const std::string& lastName, bool more);
-  /** @return version up to which everything is known; 0 before the first list is complete. */
+  /** @return the version up to which all changes are known; 0 before the first list is complete. */
   uint64_t version() const { return watchVersion_; }
-  /** @return version of the list's first page. */
+  /** @return the version of the list's first page. */
   uint64_t listVersion() const { return listVersion_; }
-  /** A watch ended. @param version to go on from. */
+  /** Reports the end of a watch. @param version at which the next watch starts. */
   void onWatch(TimePoint now, uint64_t version, bool hadEvents);
-  /** The call that next() asked for failed; its kind of failure decides what follows. */
+  /**
+   * Reports that the call requested by next() failed. The kind of failure decides the next action.
+   */
   void onFailure(TimePoint now, const StoreError& error);
 
   /**
-   * Something is known from elsewhere: the list to come must be current, so that what it lacks is
-   * known to be gone.
+   * Requires the pending list to be current, because the caller already holds objects from another
+   * source: those missing from a current list are known to be deleted.
    */
   void requireCurrentList();
-  /** Calls may succeed again: the next one is made at once. */
+  /** Ends the backoff: the next call is made immediately. */
   void retryNow() { pausedUntil_ = TimePoint{}; }
-  /** A peer gave everything as of the version: there is nothing to list. */
+  /**
+   * Starts watching at the version, because a peer supplied the complete state: no list is needed.
+   */
   void beginAt(uint64_t version);
-  /** @return whether next() asks for a page; an answer to an earlier question for one is outdated
-   * where not. */
+  /**
+   * @return whether next() requests a page; if not, the answer to an earlier page request is
+   * outdated.
+   */
   bool needsPage() const { return page_.has_value(); }
-  /** @return whether calls fail at present. */
+  /** @return whether calls are currently failing. */
   bool isFailing() const { return failing_; }
-  /** @return whether a list is complete, so that a copy exists. */
+  /** @return whether a list is complete, so that a local copy exists. */
   bool hasListed() const { return hasListed_; }
 
  private:
-  Duration gatheringAt(TimePoint now) const;
-  void succeed();
-  void startListAnew();
+  Duration changeBatchDelayAt(TimePoint now) const;
+  void recordSuccess();
+  void restartList();
 
   const FollowerOptions options_;
-  Duration gathering_;
+  Duration changeBatchDelay_;
   BackOff backOff_;
   RetryBudget budget_;
-  /** Page to read; none while watching. */
+  /** Page to read; nothing while watching. */
   std::optional<ReadPage> page_ = ReadPage{"", true};
   uint64_t listVersion_ = 0;
   uint64_t watchVersion_ = 0;
   TimePoint pausedUntil_;
-  TimePoint expectedUntil_{};
+  TimePoint changesExpectedUntil_{};
   bool failing_ = false;
   bool hasListed_ = false;
 };
--- a/source/common/platform/deletion_marker.h
+++ b/source/common/platform/deletion_marker.h
@@ -1,11 +1,11 @@
 /**
- * @file How a deletion is kept in the store: as a change like any other.
+ * @file Representation of deleted objects in the store.
  *
- * An object that is removed from the store takes its history with it: whoever lost the answer to a
- * change could no longer tell whether the change was in, and a create that arrives late would bring
- * the object back. So a deletion is a conditional update that replaces the specification by a
- * marker; the object stays, with its history and a version that goes on growing. Readers treat a
- * marked object as deleted.
+ * Removing an object from the store would also remove its change history: a client whose response
+ * was lost could no longer determine whether its change was applied, and a delayed create would
+ * bring the object back. A deletion is therefore a conditional update that replaces the
+ * specification by a marker. The object stays, with its history and an increasing version. Readers
+ * treat a marked object as deleted.
  */
 #pragma once
 
@@ -13,10 +13,10 @@
 
 namespace umberhold {
 
-/** Specification of an object that was deleted. */
+/** Specification of a deleted object. */
 constexpr const char* kDeletionMarker = "{\"deleted\":true}";
 
-/** @return whether the object no longer exists for operators and nodes. */
+/** @return whether the object is deleted, from the point of view of operators and nodes. */
 inline bool isDeleted(const StoredObject& object) {
   return object.deleted || object.specification == kDeletionMarker;
 }
--- a/source/common/platform/endpoint_claim.cc
+++ b/source/common/platform/endpoint_claim.cc
@@ -17,12 +17,12 @@
 }  // namespace
 
 std::string claimName(const ClaimKey& key) {
-  const std::string place =
+  const std::string endpointText =
       addressToString(key.endpoint.address) + "-" + std::to_string(key.endpoint.port);
   if (key.kind == ClaimKind::kHost) {
-    return "host-" + place;
+    return "host-" + endpointText;
   }
-  return "address-" + place + (key.protocol == TransportProtocol::kUdp ? "-udp" : "-tcp");
+  return "address-" + endpointText + (key.protocol == TransportProtocol::kUdp ? "-udp" : "-tcp");
 }
 
 std::vector<ClaimKey> claimKeysOf(const Service& service) {
--- a/source/common/platform/endpoint_claim.h
+++ b/source/common/platform/endpoint_claim.h
@@ -1,9 +1,10 @@
 /**
- * @file The claim objects by which an address or a host's endpoint belongs to one service at most.
+ * @file Claim objects, which ensure that an address or a host endpoint belongs to at most one
+ * service.
  *
- * A claim is an object of the store of its own, named after what is claimed, so that two services
- * that want the same meet in one conditional update. How claims are taken and given back:
- * admin/claim_keeper.h.
+ * A claim is a separate store object named after the claimed address or endpoint, so that two
+ * services that want the same one compete in a single conditional update. For acquiring and
+ * releasing claims see admin/claim_keeper.h.
  */
 #pragma once
 
@@ -17,7 +18,7 @@
 
 namespace umberhold {
 
-/** What can be claimed. */
+/** Kind of claimed endpoint. */
 enum class ClaimKind : uint8_t {
   /** A service's address, port and protocol. */
   kAddress,
@@ -25,36 +26,36 @@
   kHost,
 };
 
-/** One address or host's endpoint. Addresses order before hosts. */
+/** Identifies one claimed address or host endpoint. Addresses sort before hosts. */
 struct ClaimKey {
   ClaimKind kind = ClaimKind::kAddress;
   Endpoint endpoint;
-  /** Of addresses only. */
+  /** Meaningful for addresses only. */
   TransportProtocol protocol = TransportProtocol::kTcp;
 
   // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads the rewritten comparison.
   auto operator<=>(const ClaimKey&) const = default;
 };
 
-/** @return the name of the key's object: "address-10.0.0.1-443-tcp" or "host-10.1.0.1-6080". */
+/** @return the object name for the key: "address-10.0.0.1-443-tcp" or "host-10.1.0.1-6080". */
 std::string claimName(const ClaimKey& key);
 
-/** @return everything that the service holds, in order. */
+/** @return the keys of everything that the service claims, sorted. */
 std::vector<ClaimKey> claimKeysOf(const Service& service);
 
-/** Who may put the key into its specification. */
+/** Content of a claim: the service that may use the endpoint in its specification. */
 struct EndpointClaim {
   std::string service;
-  /** Highest version of the service on which a change that brings the key in may be based. */
+  /** Highest service version on which a change that adds the key may be based. */
   uint64_t base = 0;
-  /** Change that the claim was written for; for people. */
+  /** Request that the claim was written for; informational. */
   std::string requestId;
 
   bool operator==(const EndpointClaim&) const = default;
 };
 
 std::string formatClaim(const EndpointClaim& claim);
-/** @return the claim, or nothing where the specification is none. */
+/** @return the claim, or nothing if the specification is not a valid claim. */
 std::optional<EndpointClaim> parseClaim(const std::string& specification);
 
 }  // namespace umberhold
--- a/source/common/platform/first_list.h
+++ b/source/common/platform/first_list.h
@@ -1,12 +1,13 @@
 /**
- * @file When the first list of a collection is asked for, and when it counts as lost.
+ * @file Schedules the first list of a collection and detects when it is lost.
  *
- * A list is the largest answer that the store gives. Hundreds of nodes that start together would
- * fill its link with them (985 lists of 10,000 hosts: 2.4 GB, 20 s of 1,000 Mbit/s), so a first
- * list waits for a peer that may tell the same, for as long as the peer gets on. Where none does,
- * few nodes list first, and ever more later (ReaderRoster::fallbackStep()). Once asked for, it may
- * never be answered: a store that was silent when it was asked stays silent on that connection. A
- * probe that was sent later and answered shows it. Decision logic without I/O.
+ * A list is the largest response of the store. If hundreds of nodes that start together requested
+ * it, they would saturate the store's link (985 lists of 10,000 hosts: 2.4 GB, 20 s of 1,000
+ * Mbit/s). A first list therefore waits for a peer that may supply the same data, as long as that
+ * peer makes progress. If no peer does, few nodes list first, and increasingly more later
+ * (ReaderRoster::fallbackStep()). A list request may never be answered: a store that was
+ * unresponsive when it received the request stays silent on that connection. This shows when a
+ * probe sent later is answered. Pure decision logic without I/O.
  */
 #pragma once
 
@@ -18,69 +19,82 @@
 
 namespace umberhold {
 
-/** Periods of the rules. */
+/** Timing of the first list. */
 struct FirstListOptions {
-  /** How long peers are given, from the start, from the return of a store that was silent, or since
-   * a peer last got on; for a node that comes later than others that much longer each step. */
+  /**
+   * Time that peers are given to supply the data, counted from the start, from the recovery of an
+   * unresponsive store, or from a peer's latest progress; extended by the same time for each
+   * fallback step.
+   */
   Duration peerWait = std::chrono::milliseconds(500);
   /**
-   * A list that waits longer counts as lost once a later probe is answered. It doubles with each
-   * list that is given up, so that one which is only slow to arrive ends in time.
+   * A list that is pending for longer counts as lost once a later probe is answered. The time
+   * doubles with each list that is given up, so that a list that is merely slow eventually
+   * completes.
    */
   Duration lostAfter = std::chrono::milliseconds(400);
-  /** While probes go unanswered: a store that is slower than their limit still answers a list. */
+  /**
+   * Minimum time between lists while probes are unanswered: a store that exceeds the probes'
+   * timeout may still answer a list.
+   */
   Duration retryWhileUnresponsive = std::chrono::seconds(2);
-  /** Peers are given no longer in all, however they get on: half of the shortest time (12 s) in
-   * which deployments have to serve again after all machines were lost. */
+  /**
+   * Maximum total time that peers are given, whatever their progress: half of the shortest time
+   * within which deployments must serve again after losing all machines (12 s).
+   */
   Duration maxPeerWait = std::chrono::seconds(6);
 };
 
-/** One collection's first list. Not thread safe. */
+/** Schedule of one collection's first list. Not thread safe. */
 class FirstList {
  public:
   FirstList(TimePoint now, FirstListOptions options)
       : options_(options),
-        began_(now),
-        opensAt_(now + options.peerWait),
+        startedAt_(now),
+        earliestRequestAt_(now + options.peerWait),
         lostAfter_(options.lostAfter) {}
 
-  /** Nodes that may take the readers' place before this one: see ReaderRoster::fallbackStep(). */
+  /** Sets the fallback step of this node: see ReaderRoster::fallbackStep(). */
   void setFallbackStep(uint32_t step) {
-    opensAt_ += (static_cast<int32_t>(step) - step_) * options_.peerWait;
-    step_ = static_cast<int32_t>(step);
+    earliestRequestAt_ += (static_cast<int32_t>(step) - fallbackStep_) * options_.peerWait;
+    fallbackStep_ = static_cast<int32_t>(step);
   }
-  /** A peer gets what it will pass on. */
+  /** Reports that a peer made progress with data that it will pass on. */
   void onPeerProgress(TimePoint now) {
-    const TimePoint latest = began_ + options_.maxPeerWait;
-    opensAt_ = std::max(opensAt_, std::min(now + peerWait(), latest));
+    const TimePoint latest = startedAt_ + options_.maxPeerWait;
+    earliestRequestAt_ = std::max(earliestRequestAt_, std::min(now + peerWait(), latest));
   }
-  /** @return when the list may be asked for at the earliest. */
-  TimePoint earliestRequestAt() const { return opensAt_; }
-  /** @return when it may be asked for while probes go unanswered. @param first time it may be. */
+  /** @return the earliest time at which the list may be requested. */
+  TimePoint earliestRequestAt() const { return earliestRequestAt_; }
+  /**
+   * @return the earliest time at which the list may be requested while probes are unanswered.
+   * @param first earliest time of the first request.
+   */
   TimePoint earliestRequestWhileUnresponsive(TimePoint first) const {
-    return lastAskedAt_ ? std::max(first, *lastAskedAt_ + options_.retryWhileUnresponsive) : first;
+    return lastRequestedAt_ ? std::max(first, *lastRequestedAt_ + options_.retryWhileUnresponsive)
+                            : first;
   }
-  /** The list was asked for. */
+  /** Reports that the list was requested. */
   void onRequested(TimePoint now) {
-    askedAt_ = now;
-    lastAskedAt_ = now;
+    requestedAt_ = now;
+    lastRequestedAt_ = now;
   }
-  bool isInProgress() const { return askedAt_.has_value(); }
-  /** An answer came, or the call failed. */
-  void onEnded() { askedAt_.reset(); }
-  /** The store was silent and answers again: peers can be given something, too. */
+  bool isInProgress() const { return requestedAt_.has_value(); }
+  /** Reports that the list was answered or failed. */
+  void onEnded() { requestedAt_.reset(); }
+  /** Reports that an unresponsive store answers again: peers can be supplied, too. */
   void onStoreRecovered(TimePoint now) {
-    began_ = now;
-    opensAt_ = now + peerWait();
+    startedAt_ = now;
+    earliestRequestAt_ = now + peerWait();
   }
 
   /**
-   * A probe was answered.
-   * @param sentAt when it was sent.
-   * @return whether the list under way is to be given up.
+   * Reports that a probe was answered.
+   * @param sentAt when the probe was sent.
+   * @return whether the list in progress must be given up.
    */
   bool isLost(TimePoint sentAt) {
-    if (!askedAt_ || sentAt - *askedAt_ < lostAfter_) {
+    if (!requestedAt_ || sentAt - *requestedAt_ < lostAfter_) {
       return false;
     }
     lostAfter_ *= 2;
@@ -88,17 +102,17 @@
   }
 
  private:
-  Duration peerWait() const { return (1 + step_) * options_.peerWait; }
+  Duration peerWait() const { return (1 + fallbackStep_) * options_.peerWait; }
 
   const FirstListOptions options_;
-  int32_t step_ = 0;
-  /** The start, or the store's return. */
-  TimePoint began_;
-  TimePoint opensAt_;
+  int32_t fallbackStep_ = 0;
+  /** Time of the start or of the store's recovery. */
+  TimePoint startedAt_;
+  TimePoint earliestRequestAt_;
   Duration lostAfter_;
-  /** When the list under way was asked for. */
-  std::optional<TimePoint> askedAt_;
-  std::optional<TimePoint> lastAskedAt_;
+  /** When the list in progress was requested. */
+  std::optional<TimePoint> requestedAt_;
+  std::optional<TimePoint> lastRequestedAt_;
 };
 
 }  // namespace umberhold
--- a/source/common/platform/host_copy.cc
+++ b/source/common/platform/host_copy.cc
@@ -27,7 +27,7 @@
 
 void HostCopies::add(HostCopy copy) {
   copies_.push_back(std::move(copy));
-  if (copies_.size() > kMostCopies) {
+  if (copies_.size() > kMaxCopies) {
     copies_.pop_front();
   }
 }
--- a/source/common/platform/host_copy.h
+++ b/source/common/platform/host_copy.h
@@ -1,11 +1,11 @@
 /**
- * @file All registered hosts as a reader hands them to nodes that have none of them, or too old
- * ones.
+ * @file Snapshot of all registered hosts, which a reader serves to nodes that hold no hosts or too
+ * old ones.
  *
- * Encoded once for all that ask, in parts that fit a message each: a message holds about 10,000
- * hosts at most, and a part is sent within milliseconds, so that no slow asker is given up under
- * way. A copy serves for as long as the changes after its version are known (host_event_log.h): an
- * asker takes the copy and the changes together. No I/O.
+ * A copy is encoded once for all requesters, in parts of one message each: a message holds at most
+ * about 10,000 hosts, and a part is sent within milliseconds, so that a slow requester is not
+ * dropped during the transfer. A copy is usable as long as the changes after its version are
+ * available (host_event_log.h): a requester fetches the copy and the changes together. No I/O.
  */
 #pragma once
 
@@ -20,31 +20,34 @@
 
 namespace umberhold {
 
-/** Hosts of a part: about 45 kB before compression, 2% of a second of a link of 20 Mbit/s. */
+/** Hosts per part: about 45 kB before compression, 2% of one second on a 20 Mbit/s link. */
 constexpr size_t kHostsPerCopyPart = 500;
 
-/** The encoded parts of a copy. */
+/** Encoded snapshot of all hosts. */
 struct HostCopy {
-  /** Version of the store that it shows. */
+  /** Store version of the snapshot. */
   uint64_t version = 0;
-  /** Each as of encodeHostCopyPart(); at least one, which may hold no host. */
+  /** Encoded by encodeHostCopyPart(); at least one part, which may contain no host. */
   std::vector<std::string> parts;
 };
 
-/** @param hosts all registered ones as of the version. */
+/** @param hosts all hosts registered at the version. */
 Result<HostCopy, EncodeError> makeHostCopy(uint64_t version, const std::vector<HostEvent>& hosts);
 
-/** The latest copies: one that is being fetched stays while the next is made. Not thread safe. */
+/**
+ * The latest copies: a copy that is being fetched stays available while the next one is made. Not
+ * thread safe.
+ */
 class HostCopies {
  public:
   void add(HostCopy copy);
-  /** @return the latest one; nullptr for none. */
+  /** @return the latest copy; nullptr if there is none. */
   const HostCopy* latest() const { return copies_.empty() ? nullptr : &copies_.back(); }
-  /** @return a part of the copy of a version; nullptr where it isn't kept. */
+  /** @return a part of the copy of a version; nullptr if that copy is not kept. */
   const std::string* part(uint64_t version, uint32_t index) const;
 
  private:
-  static constexpr size_t kMostCopies = 2;
+  static constexpr size_t kMaxCopies = 2;
 
   std::deque<HostCopy> copies_;
 };
--- a/source/common/platform/host_event_log.cc
+++ b/source/common/platform/host_event_log.cc
@@ -7,9 +7,9 @@
 namespace umberhold {
 
 void HostEventLog::beginAt(uint64_t version) {
-  begin_ = std::max(version, begin_.value_or(0));
+  startVersion_ = std::max(version, startVersion_.value_or(0));
   for (const HostEvent& event : events_) {
-    begin_ = std::max(*begin_, event.version);
+    startVersion_ = std::max(*startVersion_, event.version);
   }
   events_.clear();
   gaps_.clear();
@@ -24,13 +24,13 @@
 }
 
 void HostEventLog::addGap(VersionGap gap) {
-  if (!begin_ || gap.before <= *begin_ ||
+  if (!startVersion_ || gap.before <= *startVersion_ ||
       std::find(gaps_.begin(), gaps_.end(), gap) != gaps_.end()) {
     return;
   }
   gaps_.push_back(gap);
-  if (gaps_.size() > kMostGaps) {
-    begin_ = std::max(*begin_, gaps_.front().before);
+  if (gaps_.size() > kMaxGaps) {
+    startVersion_ = std::max(*startVersion_, gaps_.front().before);
     gaps_.pop_front();
   }
 }
@@ -46,13 +46,14 @@
   const auto isWithin = [version](const VersionGap& gap) {
     return gap.after < version && version < gap.before;
   };
-  return begin_ && version >= *begin_ && std::none_of(gaps_.begin(), gaps_.end(), isWithin);
+  return startVersion_ && version >= *startVersion_ &&
+         std::none_of(gaps_.begin(), gaps_.end(), isWithin);
 }
 
 void HostEventLog::add(HostEvent event) {
   events_.push_back(std::move(event));
-  if (events_.size() > mostEvents_) {
-    begin_ = std::max(begin_.value_or(0), events_.front().version);
+  if (events_.size() > maxEvents_) {
+    startVersion_ = std::max(startVersion_.value_or(0), events_.front().version);
     events_.pop_front();
   }
 }
--- a/source/common/platform/host_event_log.h
+++ b/source/common/platform/host_event_log.h
@@ -1,4 +1,4 @@
-/** @file The latest changes of hosts' registrations, for peers that ask what they have missed. */
+/** @file Log of the latest changes of host registrations, for peers that request a delta. */
 #pragma once
 
 #include <cstdint>
@@ -13,39 +13,44 @@
 /** Keeps a bounded number of events. No I/O, not thread safe. */
 class HostEventLog {
  public:
-  /** @param mostEvents further ones push the oldest out. */
-  explicit HostEventLog(size_t mostEvents = kMostEvents) : mostEvents_(mostEvents) {}
+  /** @param maxEvents maximum number of events; beyond it the oldest are dropped. */
+  explicit HostEventLog(size_t maxEvents = kMaxEvents) : maxEvents_(maxEvents) {}
 
-  /** Everything up to the version is known from elsewhere: the log begins there, or where its last
-   * event was, if that is later. */
+  /**
+   * Starts the log at the version, because the state up to it is known from another source, or at
+   * the last logged event if that is later.
+   */
   void beginAt(uint64_t version);
   /**
-   * What changed between two versions is known by its outcome alone, which was added as events: who
-   * is at the first can be told what it lacks at the second, who is between them may know of a host
-   * that came and went.
+   * Records that the changes between two versions are known only by their net result, which was
+   * added as events. A peer at the first version can be given the delta to the second one. A peer
+   * at a version between them cannot: it may hold a host that was added and removed in between.
    * @param knownUpTo version up to which every change was known.
+   * @param version version at which the net result holds.
    */
   void onSkipped(uint64_t knownUpTo, uint64_t version);
-  /** The events that were added from another node have a gap. */
+  /** Adds a gap in the events that were received from another node. */
   void addGap(VersionGap gap);
-  /** @return the gaps among the events after the version. */
+  /** @return the gaps in the events after the version. */
   std::vector<VersionGap> gapsAfter(uint64_t version) const;
   void add(HostEvent event);
-  /** @return whether all events after the version are known. */
+  /** @return whether all events after the version are available. */
   bool reaches(uint64_t version) const;
-  /** @return the events after the version; nothing where the log does not reach back to it. */
+  /** @return the events after the version; nothing if the log does not reach back to it. */
   std::optional<std::vector<HostEvent>> since(uint64_t version) const;
 
  private:
-  static constexpr size_t kMostEvents = 4096;
-  /** A store that forgets its history makes one each time; followers ask much more often. */
-  static constexpr size_t kMostGaps = 16;
+  static constexpr size_t kMaxEvents = 4096;
+  /**
+   * Bounds the gaps: each loss of the store's history adds one, and followers poll much more often.
+   */
+  static constexpr size_t kMaxGaps = 16;
 
-  const size_t mostEvents_;
+  const size_t maxEvents_;
   std::deque<HostEvent> events_;
   std::deque<VersionGap> gaps_;
-  /** Events up to this version may be missing; none before the log begins. */
-  std::optional<uint64_t> begin_;
+  /** Events up to this version may be missing; nothing before the log starts. */
+  std::optional<uint64_t> startVersion_;
 };
 
 }  // namespace umberhold
--- a/source/common/platform/host_presence.cc
+++ b/source/common/platform/host_presence.cc
@@ -8,25 +8,28 @@
 namespace {
 
 constexpr uint32_t kPercent = 100;
-constexpr uint32_t kFewestAtOnce = 2;
+constexpr uint32_t kMinMassRemoval = 2;
 
-/** @return whether both tell when their lives began, and the first is the older one. */
-bool isOlderLife(const HostSpec& host, const HostSpec& other) {
+/** @return whether both hosts report a start time and the first one's is earlier. */
+bool hasEarlierStart(const HostSpec& host, const HostSpec& other) {
   return host.bornMilliseconds != 0 && host.bornMilliseconds < other.bornMilliseconds;
 }
 
-/** @return whether the first of two hosts with one endpoint got it later. A host that starts again
- * keeps its entry, so where both tell it their births count and not when the entries were made. */
+/**
+ * @return whether the first of two hosts with the same endpoint obtained it later. A host that
+ * restarts keeps its registration, so if both hosts report a start time, the start times are
+ * compared and not the creation of the registrations.
+ */
 bool isLater(const HostRegistration& registration, const HostRegistration& other) {
-  const uint64_t born = registration.host.bornMilliseconds;
-  const uint64_t otherBorn = other.host.bornMilliseconds;
-  if (born != 0 && otherBorn != 0 && born != otherBorn) {
-    return born > otherBorn;
+  const uint64_t startTime = registration.host.bornMilliseconds;
+  const uint64_t otherStartTime = other.host.bornMilliseconds;
+  if (startTime != 0 && otherStartTime != 0 && startTime != otherStartTime) {
+    return startTime > otherStartTime;
   }
   return registration.madeAt > other.madeAt;
 }
 
-/** How many hosts of a pool are there, and how many vanished just now. */
+/** Number of hosts of a pool that are present, and that vanished recently. */
 struct PoolCount {
   uint32_t present = 0;
   uint32_t vanished = 0;
@@ -42,8 +45,8 @@
   if (!isNew && registration.version <= entry.registration.version) {
     return false;
   }
-  if (isOlderLife(registration.host, entry.registration.host)) {
-    // A write of the earlier life that the store did late: the host has started again since.
+  if (hasEarlierStart(registration.host, entry.registration.host)) {
+    // A delayed write from before the host's last restart.
     entry.registration.version = registration.version;
     return false;
   }
@@ -53,7 +56,7 @@
   entry.registration = std::move(registration);
   entry.removedAt.reset();
   entry.afterOutage = false;
-  entry.withMany = false;
+  entry.inMassRemoval = false;
   return true;
 }
 
@@ -68,7 +71,7 @@
   entry.registration.version = version;
   entry.removedAt = now;
   entry.lastPresentAt = lastPresentAt;
-  entry.afterOutage = isAftermath(now);
+  entry.afterOutage = isInPostOutageWindow(now);
   return true;
 }
 
@@ -81,25 +84,25 @@
 }
 
 void HostPresence::onOutage() {
-  outage_ = true;
+  inOutage_ = true;
 }
 
 void HostPresence::onRecovered(TimePoint now) {
-  if (outage_) {
-    outage_ = false;
+  if (inOutage_) {
+    inOutage_ = false;
     recoveredAt_ = now;
   }
 }
 
 std::optional<TimePoint> HostPresence::outageEndedAt(TimePoint now) const {
-  return !outage_ && isAftermath(now) ? recoveredAt_ : std::nullopt;
+  return !inOutage_ && isInPostOutageWindow(now) ? recoveredAt_ : std::nullopt;
 }
 
 std::vector<HostPool> HostPresence::settle(TimePoint now) {
   settledAt_ = now;
-  forgetSuperseded();
+  dropSuperseded();
   markMassRemovals(now);
-  forget(now);
+  dropExpired(now);
   std::vector<HostPool> changed;
   std::map<std::string, HostPool> pools = makePools(now);
   for (const auto& [name, pool] : pools) {
@@ -108,10 +111,10 @@
       changed.push_back(pool);
     }
   }
-  // A pool whose last host was forgotten stays known, without hosts.
+  // A pool whose last host was dropped stays known, without hosts.
   for (const auto& [name, pool] : pools_) {
-    const auto [kept, isGone] = pools.try_emplace(name, HostPool{name, {}});
-    if (isGone && !pool.hosts.empty()) {
+    const auto [kept, wasInserted] = pools.try_emplace(name, HostPool{name, {}});
+    if (wasInserted && !pool.hosts.empty()) {
       changed.push_back(kept->second);
     }
   }
@@ -130,13 +133,13 @@
 }
 
 std::vector<std::string> HostPresence::registeredExcept(const std::set<std::string>& names) const {
-  std::vector<std::string> beyond;
+  std::vector<std::string> missing;
   for (const auto& [name, entry] : entries_) {
     if (!entry.removedAt && !names.contains(name)) {
-      beyond.push_back(name);
+      missing.push_back(name);
     }
   }
-  return beyond;
+  return missing;
 }
 
 std::optional<TimePoint> HostPresence::nextChange() const {
@@ -149,19 +152,19 @@
   for (const auto& [name, entry] : entries_) {
     if (entry.removedAt) {
       consider(activeUntil(entry));
-      consider(forgottenAt(entry));
+      consider(expiresAt(entry));
     }
   }
   return next;
 }
 
-bool HostPresence::isAftermath(TimePoint now) const {
-  return outage_ || (recoveredAt_ && now - *recoveredAt_ <= options_.postOutageWindow);
+bool HostPresence::isInPostOutageWindow(TimePoint now) const {
+  return inOutage_ || (recoveredAt_ && now - *recoveredAt_ <= options_.postOutageWindow);
 }
 
 TimePoint HostPresence::activeUntil(const Entry& entry) const {
   TimePoint until = *entry.removedAt;
-  if (entry.afterOutage || entry.withMany) {
+  if (entry.afterOutage || entry.inMassRemoval) {
     until = std::max(until, entry.lastPresentAt + options_.vanishedGrace);
   }
   if (entry.afterOutage && recoveredAt_) {
@@ -170,52 +173,52 @@
   return until;
 }
 
-bool HostPresence::takesNewFlows(const Entry& entry, TimePoint now) const {
+bool HostPresence::receivesNewFlows(const Entry& entry, TimePoint now) const {
   return entry.registration.host.state == HostState::kActive &&
          (!entry.removedAt || now < activeUntil(entry));
 }
 
-bool HostPresence::endedJustNow(const Entry& entry, TimePoint now) const {
+bool HostPresence::endedRecently(const Entry& entry, TimePoint now) const {
   return entry.removedAt && now - *entry.removedAt <= options_.massRemovalWindow;
 }
 
-/** Hosts that said that they leave are expected to vanish: they don't count. */
+/** Draining hosts are expected to vanish and are not counted. */
 void HostPresence::markMassRemovals(TimePoint now) {
   std::map<std::string, PoolCount> counts;
   for (const auto& [name, entry] : entries_) {
     if (entry.registration.host.state == HostState::kActive) {
       PoolCount& count = counts[entry.registration.pool];
       count.present += entry.removedAt ? 0 : 1;
-      count.vanished += endedJustNow(entry, now) ? 1 : 0;
+      count.vanished += endedRecently(entry, now) ? 1 : 0;
     }
   }
   for (auto& [name, entry] : entries_) {
     const PoolCount& count = counts[entry.registration.pool];
-    const bool many =
-        count.vanished >= kFewestAtOnce &&
+    const bool isMassRemoval =
+        count.vanished >= kMinMassRemoval &&
         count.vanished * kPercent > options_.massRemovalPercent * (count.present + count.vanished);
-    entry.withMany = entry.withMany || (many && endedJustNow(entry, now));
+    entry.inMassRemoval = entry.inMassRemoval || (isMassRemoval && endedRecently(entry, now));
   }
 }
 
-void HostPresence::forgetSuperseded() {
+void HostPresence::dropSuperseded() {
   std::unordered_map<Endpoint, const HostRegistration*> latest;
   for (const auto& [name, entry] : entries_) {
-    if (mayClaim(entry.registration)) {
+    if (maySupersede(entry.registration)) {
       const HostRegistration*& known = latest[entry.registration.host.endpoint];
       known = known == nullptr || isLater(entry.registration, *known) ? &entry.registration : known;
     }
   }
   std::erase_if(entries_, [&latest](const auto& named) {
     const HostRegistration& registration = named.second.registration;
-    const auto claim = latest.find(registration.host.endpoint);
-    return claim != latest.end() && isLater(*claim->second, registration);
+    const auto latestHost = latest.find(registration.host.endpoint);
+    return latestHost != latest.end() && isLater(*latestHost->second, registration);
   });
 }
 
-void HostPresence::forget(TimePoint now) {
+void HostPresence::dropExpired(TimePoint now) {
   std::erase_if(entries_, [this, now](const auto& named) {
-    return named.second.removedAt && now >= forgottenAt(named.second);
+    return named.second.removedAt && now >= expiresAt(named.second);
   });
 }
 
@@ -225,7 +228,7 @@
     HostPool& pool = pools[entry.registration.pool];
     pool.name = entry.registration.pool;
     HostSpec& host = pool.hosts.emplace_back(entry.registration.host);
-    if (!takesNewFlows(entry, now)) {
+    if (!receivesNewFlows(entry, now)) {
       host.state = HostState::kDraining;
     }
   }
--- a/source/common/platform/host_presence.h
+++ b/source/common/platform/host_presence.h
@@ -1,13 +1,15 @@
 /**
- * @file Which registered hosts take new flows, when registrations come, change and vanish.
+ * @file Determines which registered hosts receive new flows while registrations appear, change and
+ * vanish.
  *
- * Hosts keep their registration alive themselves. One that vanishes usually means that its host
- * has left: it takes no new flows any more, but its flows go on, so it counts as draining for as
- * long as a flow may last. Registrations also vanish because the store could not be reached for a
- * while; the hosts live and register again within a heartbeat. So where registrations vanish
- * during or right after an outage, or a large part of a pool at once, the hosts stay active for a
- * short while. An endpoint is given to another host only after its last one has ended, so of two
- * hosts with one endpoint only the later registered lives. Decision logic without I/O.
+ * Hosts keep their own registrations alive. A registration that vanishes usually means that the
+ * host has left: the host receives no new flows, but its existing flows continue, so it counts as
+ * draining for the longest lifetime of a flow. Registrations also vanish when hosts cannot reach
+ * the store for a while; such hosts are alive and register again within a heartbeat. Hosts whose
+ * registrations vanish during or right after an outage, or together with a large part of their
+ * pool, therefore stay active for a grace period. An endpoint is assigned to another host only
+ * after its previous host has ended, so of two hosts with the same endpoint only the later one is
+ * alive. Pure decision logic without I/O.
  */
 #pragma once
 
@@ -24,115 +26,133 @@
 
 namespace umberhold {
 
-/** One host's registration at one version of the store. */
+/** One host's registration at one store version. */
 struct HostRegistration {
-  /** HostPool that the host belongs to. */
+  /** Pool that the host belongs to. */
   std::string pool;
   HostSpec host;
   /** Resource version of the registration's last change. */
   uint64_t version = 0;
-  /** Resource version at which the registration was made; orders hosts that share an endpoint. */
+  /**
+   * Resource version at which the registration was created; orders hosts that share an endpoint.
+   */
   uint64_t madeAt = 0;
 };
 
-/** Periods of the rules. */
+/** Grace periods and thresholds. */
 struct HostPresenceOptions {
-  /** How long a host whose registration may have vanished without cause stays active. */
+  /** Grace period of a host whose registration vanished although the host may be alive. */
   Duration vanishedGrace = std::chrono::seconds(2);
-  /** The same, counted from the end of an outage; the longer of both holds. */
+  /** Grace period counted from the end of an outage; the longer of the two applies. */
   Duration outageGrace = std::chrono::milliseconds(2500);
-  /** How long after an outage a registration's end counts as its consequence. */
+  /** Time after an outage in which a vanished registration is attributed to the outage. */
   Duration postOutageWindow = std::chrono::seconds(3);
-  /** Registrations that vanish within this time count as vanished at once. */
+  /**
+   * Registrations that vanish within this time count as a mass removal if they are numerous enough.
+   */
   Duration massRemovalWindow = std::chrono::seconds(2);
-  /** Part of a pool, in percent, above which vanishing at once is no leaving; two hosts at least.
+  /**
+   * Percentage of a pool above which simultaneous removals are not taken for hosts leaving; at
+   * least two hosts.
    */
   uint32_t massRemovalPercent = 33;
-  /** How long a host that left stays known as draining: the longest life of a flow. */
+  /** How long a host that left is kept as draining: the longest lifetime of a flow. */
   Duration retention = std::chrono::seconds(75);
 };
 
-/** The registered hosts. A registration never replaces a newer one. Not thread safe. */
+/**
+ * The registered hosts. An older version of a registration never replaces a newer one. Not thread
+ * safe.
+ */
 class HostPresence {
  public:
   explicit HostPresence(HostPresenceOptions options = {});
 
-  /** A registration is there. @return whether it was news. */
+  /** Reports a registration that exists. @return whether it changed anything. */
   bool onRegistered(HostRegistration registration);
   /**
-   * A registration ended.
+   * Reports that a registration ended.
    * @param version of the event.
-   * @param lastPresentAt when it was still there, as far as is known: news may be late, and what a
-   * vanished host is granted counts from its end and not from the news.
-   * @return whether it was news.
+   * @param lastPresentAt when the registration last existed as far as is known. Updates may be
+   * delayed, and the grace period counts from the end of the registration and not from its report.
+   * @return whether it changed anything.
    */
   bool onRemoved(TimePoint now, const std::string& host, uint64_t version, TimePoint lastPresentAt);
   bool onRemoved(TimePoint now, const std::string& host, uint64_t version) {
     return onRemoved(now, host, version, now);
   }
   /**
-   * A current list is complete; its hosts were registered before.
-   * @param version of the store when the list began: registrations that are newer may lack in it.
+   * Reports a complete, current list, after its hosts were passed to onRegistered(). Ends the
+   * registrations that the list lacks.
+   * @param version of the store when the list began: newer registrations may be missing from the
+   * list.
    */
   void onListed(TimePoint now, uint64_t version, const std::set<std::string>& hosts);
-  /** Only hosts of these pools end others by having their endpoint; until it is called, all do.
-   * Anybody may register an address under the name of a pool that is not configured. */
-  void setConfiguredPools(std::set<std::string> pools) { namedPools_ = std::move(pools); }
-  /** The store can't be read. */
+  /**
+   * Restricts the pools whose hosts supersede other hosts with the same endpoint; until this is
+   * called, the hosts of all pools do. Anyone can register an address under the name of a pool that
+   * is not configured.
+   */
+  void setConfiguredPools(std::set<std::string> pools) { configuredPools_ = std::move(pools); }
+  /** Reports that the store cannot be read. */
   void onOutage();
-  /** The store can be read again. */
+  /** Reports that the store can be read again. */
   void onRecovered(TimePoint now);
 
-  /** @return when the last outage ended, while registrations that end may be its consequence. */
+  /**
+   * @return the end of the last outage, as long as vanished registrations may be its consequence.
+   */
   std::optional<TimePoint> outageEndedAt(TimePoint now) const;
 
   /**
-   * Applies what is due. Call it after each batch of the above, and at nextChange().
+   * Applies all pending changes. Must be called after each batch of reports, and at nextChange().
    * @return the pools that changed, in full.
    */
   std::vector<HostPool> settle(TimePoint now);
-  /** @return the registrations that are there. */
+  /** @return the registrations that currently exist. */
   std::vector<HostRegistration> registered() const;
-  /** @return the names of registered hosts that the set lacks. */
+  /** @return the names of registered hosts that are not in the set. */
   std::vector<std::string> registeredExcept(const std::set<std::string>& names) const;
-  /** @return when settle() has something to do next. */
+  /** @return the next time at which settle() has to be called. */
   std::optional<TimePoint> nextChange() const;
 
  private:
   struct Entry {
     HostRegistration registration;
-    /** When the registration was seen to have ended; none while it is there. */
+    /** When the end of the registration was reported; nothing while it exists. */
     std::optional<TimePoint> removedAt;
-    /** When it was still there, as far as is known; meaningful where it ended. */
+    /** When the registration last existed as far as is known; meaningful only after it ended. */
     TimePoint lastPresentAt{};
-    /** It ended in an outage or its aftermath. */
+    /** Whether the registration ended during or right after an outage. */
     bool afterOutage = false;
-    /** It ended together with a large part of its pool. */
-    bool withMany = false;
+    /** Whether the registration ended together with a large part of its pool. */
+    bool inMassRemoval = false;
   };
 
-  bool mayClaim(const HostRegistration& registration) const {
-    return !namedPools_ || namedPools_->contains(registration.pool);
+  bool maySupersede(const HostRegistration& registration) const {
+    return !configuredPools_ || configuredPools_->contains(registration.pool);
   }
-  bool isAftermath(TimePoint now) const;
-  bool takesNewFlows(const Entry& entry, TimePoint now) const;
-  /** @return until when a host whose registration ended stays active. */
+  bool isInPostOutageWindow(TimePoint now) const;
+  bool receivesNewFlows(const Entry& entry, TimePoint now) const;
+  /** @return the time until which a host whose registration ended stays active. */
   TimePoint activeUntil(const Entry& entry) const;
-  TimePoint forgottenAt(const Entry& entry) const { return *entry.removedAt + options_.retention; }
-  bool endedJustNow(const Entry& entry, TimePoint now) const;
+  TimePoint expiresAt(const Entry& entry) const { return *entry.removedAt + options_.retention; }
+  bool endedRecently(const Entry& entry, TimePoint now) const;
   void markMassRemovals(TimePoint now);
-  /** Drops hosts whose endpoint a later one has: they have ended, whatever their registration says.
+  /**
+   * Drops hosts whose endpoint a later host uses: they have ended, even if their registration still
+   * exists.
    */
-  void forgetSuperseded();
-  void forget(TimePoint now);
+  void dropSuperseded();
+  void dropExpired(TimePoint now);
   std::map<std::string, HostPool> makePools(TimePoint now) const;
 
   const HostPresenceOptions options_;
   std::map<std::string, Entry> entries_;
-  /** Pools as settle() last gave them. */
+  /** Pools as of the last settle(). */
   std::map<std::string, HostPool> pools_;
-  std::optional<std::set<std::string>> namedPools_;
-  bool outage_ = false;
+  std::optional<std::set<std::string>> configuredPools_;
+  bool inOutage_ = false;
   std::optional<TimePoint> recoveredAt_;
   TimePoint settledAt_;
 };
--- a/source/common/platform/http_call.h
+++ b/source/common/platform/http_call.h
@@ -1,8 +1,9 @@
 /**
- * @file One HTTP/1.1 call with time limits, classified by whether the server may have run it.
+ * @file A single HTTP/1.1 call with timeouts; failures are classified by whether the server may
+ * have executed the request.
  *
- * Every call uses a connection of its own. That costs a handshake on a rare call, and in return a
- * failure to connect definitely means that nothing was sent.
+ * Every call uses its own connection. This costs one handshake per call, but calls are rare, and a
+ * failure to connect guarantees that nothing was sent.
  */
 #pragma once
 
@@ -16,33 +17,33 @@
 
 namespace umberhold {
 
-/** Time limits of a call. */
+/** Timeouts and size limit of a call. */
 struct CallLimits {
   Duration connect = std::chrono::seconds(1);
-  /** From the first byte sent to the last byte received, the patience of a watch not counted. */
+  /** From the first byte sent to the last byte received; the long-poll timeout is added to it. */
   Duration answer = std::chrono::seconds(5);
-  /** Longest accepted answer, bytes. */
+  /** Maximum accepted response size in bytes. */
   size_t answerBytes = 32U << 20U;
 };
 
-/** A header beyond those that every call has. */
+/** An additional request header. */
 struct HttpHeader {
   std::string name;
   std::string value;
 };
 
-/** What to ask. */
+/** An HTTP request. */
 struct HttpCall {
   std::string method;
-  /** Path with query, escaped. */
+  /** Path and query, percent-encoded. */
   std::string target;
   std::string body;
-  /** Time that the server is expected to hold the answer back (long poll). */
+  /** How long the server may hold the response back (long polling). */
   Duration longPollTimeout{0};
   std::vector<HttpHeader> headers{};
 };
 
-/** What came back, whatever its status. */
+/** The response, whatever its status. */
 struct HttpCallAnswer {
   int status = 0;
   std::string body;
@@ -52,12 +53,15 @@
 constexpr int kHttpOk = 200;
 
 /**
- * @return what a status other than 200 says of a call to a store. 500, 502 and 504 may come from a
- * gateway after the change took effect: the answer counts as lost.
+ * @return the store error for a status other than 200. 500, 502 and 504 may come from a gateway
+ * after the change took effect: the response counts as lost.
  */
 StoreErrorCode storeErrorOfStatus(int status);
 
-/** Calls; a StoreError is kUnavailable (nothing sent) or kAnswerLost (sent, no whole answer). */
+/**
+ * Makes the call. A StoreError is kUnavailable (nothing was sent) or kAnswerLost (sent, but no
+ * complete response received).
+ */
 Result<HttpCallAnswer, StoreError> callHttp(const Endpoint& server, const HttpCall& call,
                                             const CallLimits& limits);
 
--- a/source/common/platform/http_connection.cc
+++ b/source/common/platform/http_connection.cc
@@ -24,7 +24,8 @@
   return static_cast<int>(std::chrono::ceil<std::chrono::milliseconds>(duration).count());
 }
 
-void limitSilence(Poco::Net::StreamSocket& socket, const UnresponsivePeerLimits& limits) {
+void setUnresponsivePeerLimits(Poco::Net::StreamSocket& socket,
+                               const UnresponsivePeerLimits& limits) {
   socket.setKeepAlive(true);
   socket.setOption(IPPROTO_TCP, TCP_KEEPIDLE, wholeSeconds(limits.idle));
   socket.setOption(IPPROTO_TCP, TCP_KEEPINTVL, wholeSeconds(limits.probeInterval));
@@ -34,8 +35,8 @@
 
 }  // namespace
 
-struct HttpConnection::Parts {
-  /** Opens a connection where none is left; throws Poco::Exception. */
+struct HttpConnection::Impl {
+  /** Opens a connection if there is none; throws Poco::Exception. */
   void open() {
     if (session) {
       return;
@@ -44,94 +45,93 @@
     socket.connect(Poco::Net::SocketAddress(addressToString(server.address), server.port),
                    Poco::Timespan(limits.connect.count()));
     socket.setNoDelay(true);
-    limitSilence(socket, silentPeer);
+    setUnresponsivePeerLimits(socket, unresponsivePeer);
     const std::lock_guard lock(mutex);
     if (aborted) {
       throw Poco::IllegalStateException("calls were ended");
     }
-    // The socket's state is shared: closing this copy ends the session's call too.
-    current = socket;
+    // The socket's state is shared: shutting down this copy also ends the session's call.
+    currentSocket = socket;
     session = std::make_unique<Poco::Net::HTTPClientSession>(socket);
     session->setKeepAlive(true);
     ++opened;
   }
 
-  /** Call it with the mutex held. */
+  /** Ends the call in progress. The mutex must be held. */
   void endCall() {
-    if (!current) {
+    if (!currentSocket) {
       return;
     }
     try {
-      current->shutdown();
+      currentSocket->shutdown();
     } catch (const Poco::Exception&) {
-      // The peer has closed it already: there is no call to end.
+      // The peer has already closed the connection: there is no call to end.
     }
   }
 
   void close() {
     const std::lock_guard lock(mutex);
     session.reset();
-    current.reset();
+    currentSocket.reset();
   }
 
   const Endpoint server;
   const CallLimits limits;
-  const UnresponsivePeerLimits silentPeer;
+  const UnresponsivePeerLimits unresponsivePeer;
   std::mutex mutex;
   bool aborted = false;
-  std::optional<Poco::Net::StreamSocket> current;
+  std::optional<Poco::Net::StreamSocket> currentSocket;
   std::unique_ptr<Poco::Net::HTTPClientSession> session;
   std::atomic<uint64_t> opened{0};
-  /** The connection was ended from another thread: the next call must not use it. */
+  /** The connection was shut down by another thread: the next call must not use it. */
   std::atomic<bool> interrupted{false};
 };
 
 HttpConnection::HttpConnection(const Endpoint& server, CallLimits limits,
-                               UnresponsivePeerLimits silentPeer)
-    : parts_(new Parts{server, limits, silentPeer, {}, false, {}, {}, {}, {}}) {}
+                               UnresponsivePeerLimits unresponsivePeer)
+    : impl_(new Impl{server, limits, unresponsivePeer, {}, false, {}, {}, {}, {}}) {}
 
 HttpConnection::~HttpConnection() = default;
 
 Result<HttpCallAnswer, StoreError> HttpConnection::call(const HttpCall& call) {
-  if (parts_->interrupted.exchange(false)) {
-    parts_->close();
+  if (impl_->interrupted.exchange(false)) {
+    impl_->close();
   }
   try {
-    parts_->open();
+    impl_->open();
   } catch (const Poco::Exception& error) {
-    parts_->close();
+    impl_->close();
     return StoreError{StoreErrorCode::kUnavailable, error.displayText(), std::nullopt};
   }
   try {
-    HttpExchange exchange =
-        exchangeOn(*parts_->session, parts_->server, call, parts_->limits, true);
+    HttpExchange exchange = exchangeOn(*impl_->session, impl_->server, call, impl_->limits, true);
     if (!exchange.reusable) {
-      parts_->close();
+      impl_->close();
     }
     return std::move(exchange.answer);
   } catch (const Poco::Exception& error) {
-    parts_->close();
+    impl_->close();
     return StoreError{StoreErrorCode::kAnswerLost, error.displayText(), std::nullopt};
   } catch (const std::exception& error) {
-    parts_->close();
+    impl_->close();
     return StoreError{StoreErrorCode::kAnswerLost, error.what(), std::nullopt};
   }
 }
 
 void HttpConnection::abort() {
-  const std::lock_guard lock(parts_->mutex);
-  parts_->aborted = true;
-  parts_->endCall();
+  const std::lock_guard lock(impl_->mutex);
+  impl_->aborted = true;
+  impl_->endCall();
 }
 
 void HttpConnection::interrupt() {
-  const std::lock_guard lock(parts_->mutex);
-  parts_->interrupted = true;
-  parts_->endCall();
+  const std::lock_guard lock(impl_->mutex);
+  impl_->interrupted = true;
+  impl_->endCall();
 }
 
 uint64_t HttpConnection::connectionsOpened() const {
-  return parts_->opened;
+  return impl_->opened;
 }
 
 }  // namespace umberhold
--- a/source/common/platform/http_connection.h
+++ b/source/common/platform/http_connection.h
@@ -1,9 +1,9 @@
 /**
- * @file A reused HTTP/1.1 connection, for callers that ask one server again and again.
+ * @file A persistent HTTP/1.1 connection, for clients that call the same server repeatedly.
  *
- * A call that fails leaves no connection behind: the next one opens a fresh one, because nothing
- * more can be expected of a connection whose answer was lost. A server that is cut off says
- * nothing, so the kernel is set to give unacknowledged bytes and silent peers up after a few
+ * A failed call closes the connection and the next one opens a new one, because a connection whose
+ * response was lost cannot be reused. A server that was cut off sends no reset, so the kernel is
+ * configured to drop connections with unacknowledged bytes or an unresponsive peer after a few
  * seconds.
  */
 #pragma once
@@ -18,39 +18,45 @@
 
 namespace umberhold {
 
-/** When the kernel gives a silent peer up. */
+/** TCP limits after which the kernel drops a connection to an unresponsive peer. */
 struct UnresponsivePeerLimits {
-  /** Bytes sent without an acknowledgement. */
+  /** Maximum time that sent bytes may stay unacknowledged (TCP_USER_TIMEOUT). */
   Duration unacknowledged = std::chrono::seconds(3);
-  /** Idle time before the first probe of an idle connection; whole seconds. */
+  /** Idle time before the first keepalive probe; rounded up to whole seconds. */
   Duration idle = std::chrono::seconds(2);
-  /** Time between two probes; whole seconds. */
+  /** Time between two keepalive probes; rounded up to whole seconds. */
   Duration probeInterval = std::chrono::seconds(1);
-  /** Probes without an answer after which the connection counts as broken. */
+  /** Unanswered keepalive probes after which the connection is dropped. */
   int probes = 2;
 };
 
-/** At most one call at a time. Not thread safe, but abort() and interrupt() may come from another
- * thread. */
+/**
+ * Runs at most one call at a time. Not thread safe, except that abort() and interrupt() may be
+ * called from another thread.
+ */
 class HttpConnection {
  public:
-  HttpConnection(const Endpoint& server, CallLimits limits, UnresponsivePeerLimits silentPeer = {});
+  HttpConnection(const Endpoint& server, CallLimits limits,
+                 UnresponsivePeerLimits unresponsivePeer = {});
   ~HttpConnection();
   HttpConnection(const HttpConnection&) = delete;
   HttpConnection& operator=(const HttpConnection&) = delete;
 
-  /** @return kUnavailable where nothing was sent, kAnswerLost where no whole answer came. */
+  /**
+   * @return the response; kUnavailable if nothing was sent, kAnswerLost if no complete response was
+   * received.
+   */
   Result<HttpCallAnswer, StoreError> call(const HttpCall& call);
-  /** Ends a call under way and refuses those to come; each of them fails at once. */
+  /** Ends the call in progress and rejects all later calls; each of them fails immediately. */
   void abort();
-  /** Ends a call under way, which fails; the next one opens a fresh connection. */
+  /** Ends the call in progress, which fails; the next call opens a new connection. */
   void interrupt();
-  /** @return connections opened so far. */
+  /** @return the number of connections opened so far. */
   uint64_t connectionsOpened() const;
 
  private:
-  struct Parts;
-  std::unique_ptr<Parts> parts_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace umberhold
--- a/source/common/platform/http_exchange.cc
+++ b/source/common/platform/http_exchange.cc
@@ -21,7 +21,9 @@
   return Poco::Timespan(duration.count());
 }
 
-/** Seconds form of Retry-After only (RFC 9110, 10.2.3); the date form is not used by the platform.
+/**
+ * Parses the delay-seconds form of Retry-After only (RFC 9110, 10.2.3); the platform does not use
+ * the date form.
  */
 std::optional<Duration> readRetryAfter(const Poco::Net::HTTPResponse& response) {
   unsigned seconds = 0;
@@ -31,7 +33,7 @@
   return std::nullopt;
 }
 
-/** Reads the body up to its end, the byte limit or the deadline. */
+/** Reads the body until its end; throws at the byte limit or the deadline. */
 std::string readBody(std::istream& stream, size_t limit,
                      std::chrono::steady_clock::time_point deadline) {
   std::string body;
@@ -69,7 +71,7 @@
   const Duration allowed = limits.answer + call.longPollTimeout;
   const auto deadline = std::chrono::steady_clock::now() + allowed;
   session.setTimeout(toTimespan(limits.connect), toTimespan(limits.answer), toTimespan(allowed));
-  // A session puts its time limits on sockets that it connects itself only.
+  // A session applies its timeouts only to sockets that it connects itself.
   session.socket().setSendTimeout(toTimespan(limits.answer));
   session.socket().setReceiveTimeout(toTimespan(allowed));
   Poco::Net::HTTPRequest request = makeRequest(server, call, keepAlive);
--- a/source/common/platform/http_exchange.h
+++ b/source/common/platform/http_exchange.h
@@ -1,4 +1,7 @@
-/** @file One request and its answer on an open session; for .cc files only (includes POCO). */
+/**
+ * @file One request and its response on an open session; only for inclusion in .cc files (includes
+ * POCO).
+ */
 #pragma once
 
 #include <Poco/Net/HTTPClientSession.h>
@@ -8,13 +11,16 @@
 
 namespace umberhold {
 
-/** An answer, and whether its connection can carry another request. */
+/** A response, and whether its connection can be reused. */
 struct HttpExchange {
   HttpCallAnswer answer;
   bool reusable = false;
 };
 
-/** Throws Poco::Exception or std::exception where no whole answer comes within the limits. */
+/**
+ * Sends the request and reads the response. Throws Poco::Exception or std::exception if no complete
+ * response is received within the limits.
+ */
 HttpExchange exchangeOn(Poco::Net::HTTPClientSession& session, const Endpoint& server,
                         const HttpCall& call, const CallLimits& limits, bool keepAlive);
 
--- a/source/common/platform/http_platform_store.cc
+++ b/source/common/platform/http_platform_store.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr const char* kBasePath = "/api/v1/";
-constexpr size_t kListPage = 500;
+constexpr size_t kListPageSize = 500;
 
 std::string escape(const std::string& part) {
   std::string escaped;
@@ -20,7 +20,7 @@
   return kBasePath + toString(collection) + "/" + escape(name);
 }
 
-/** A change whose 200 can't be read has happened: what is lost is only the answer. */
+/** A change whose 200 response cannot be parsed was applied: only the response is lost. */
 Result<uint64_t, StoreError> decodeChangeAnswer(const std::string& body) {
   auto version = decodeVersion(body);
   if (!isOk(version)) {
@@ -39,33 +39,33 @@
   if (!isOk(answer)) {
     return errorOf(answer);
   }
-  HttpCallAnswer& whole = valueOf(answer);
-  if (whole.status != kHttpOk) {
-    return StoreError{storeErrorOfStatus(whole.status),
-                      "status " + std::to_string(whole.status) + ": " + whole.body,
-                      whole.retryAfter};
+  HttpCallAnswer& response = valueOf(answer);
+  if (response.status != kHttpOk) {
+    return StoreError{storeErrorOfStatus(response.status),
+                      "status " + std::to_string(response.status) + ": " + response.body,
+                      response.retryAfter};
   }
-  return std::move(whole.body);
+  return std::move(response.body);
 }
 
 Result<ObjectList, StoreError> HttpPlatformStore::list(Collection collection) {
-  ObjectList whole;
+  ObjectList fullList;
   std::string after;
   do {
-    auto page = listPage(collection, after, kListPage);
+    auto page = listPage(collection, after, kListPageSize);
     if (!isOk(page)) {
       return errorOf(page);
     }
     ObjectPage& part = valueOf(page);
     if (after.empty()) {
-      whole.version = part.version;
+      fullList.version = part.version;
     }
     for (StoredObject& object : part.objects) {
-      whole.objects.push_back(std::move(object));
+      fullList.objects.push_back(std::move(object));
     }
     after = part.next;
   } while (!after.empty());
-  return whole;
+  return fullList;
 }
 
 Result<ObjectPage, StoreError> HttpPlatformStore::listPage(Collection collection,
@@ -111,7 +111,8 @@
 }
 
 Result<WatchBatch, StoreError> HttpPlatformStore::watch(uint64_t since, Duration longPollTimeout) {
-  const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(longPollTimeout).count();
+  const auto milliseconds =
+      std::chrono::duration_cast<std::chrono::milliseconds>(longPollTimeout).count();
   const std::string target = std::string(kBasePath) + "watch?since=" + std::to_string(since) +
                              "&wait_ms=" + std::to_string(milliseconds);
   auto body = call({"GET", target, "", longPollTimeout});
--- a/source/common/platform/http_platform_store.h
+++ b/source/common/platform/http_platform_store.h
@@ -1,4 +1,4 @@
-/** @file The platform's object store over its HTTP+JSON API (docs/PLATFORM_API.md). */
+/** @file Client of the platform's object store over its HTTP+JSON API (docs/PLATFORM_API.md). */
 #pragma once
 
 #include <string>
@@ -11,8 +11,9 @@
 namespace umberhold {
 
 /**
- * Speaks to one store endpoint. Every call has a time limit and is tried once: retries belong to
- * the caller (platform/retry.h), because only it knows whether to repeat. Thread safe.
+ * Client of one store endpoint. Every call has timeouts and is tried once: retries are left to the
+ * caller (platform/retry.h), because only the caller can decide whether a call may be repeated.
+ * Thread safe.
  */
 class HttpPlatformStore : public PlatformStore {
  public:
@@ -28,7 +29,7 @@
   Result<std::vector<Machine>, StoreError> machines() override;
 
  private:
-  /** Calls and turns every status but 200 into its error. */
+  /** Makes the call and converts every status other than 200 to a StoreError. */
   Result<std::string, StoreError> call(const HttpCall& call) const;
 
   const Endpoint store_;
--- a/source/common/platform/json_field_reader.cc
+++ b/source/common/platform/json_field_reader.cc
@@ -17,21 +17,21 @@
   return readText(key);
 }
 
-std::string JsonFieldReader::optionalText(const std::string& key, const std::string& otherwise) {
-  return has(key) ? readText(key) : otherwise;
+std::string JsonFieldReader::optionalText(const std::string& key, const std::string& defaultValue) {
+  return has(key) ? readText(key) : defaultValue;
 }
 
-int64_t JsonFieldReader::requiredInteger(const std::string& key, int64_t lowest, int64_t highest) {
+int64_t JsonFieldReader::requiredInteger(const std::string& key, int64_t minimum, int64_t maximum) {
   if (!has(key)) {
     fail(ObjectErrorCode::kMissingKey, key, "is missing");
-    return lowest;
+    return minimum;
   }
-  return readInteger(key, lowest, highest);
+  return readInteger(key, minimum, maximum);
 }
 
-int64_t JsonFieldReader::optionalInteger(const std::string& key, int64_t lowest, int64_t highest,
-                                         int64_t otherwise) {
-  return has(key) ? readInteger(key, lowest, highest) : otherwise;
+int64_t JsonFieldReader::optionalInteger(const std::string& key, int64_t minimum, int64_t maximum,
+                                         int64_t defaultValue) {
+  return has(key) ? readInteger(key, minimum, maximum) : defaultValue;
 }
 
 Poco::JSON::Array::Ptr JsonFieldReader::optionalArray(const std::string& key) {
@@ -47,7 +47,7 @@
 
 void JsonFieldReader::rejectUnknownKeys() {
   for (const std::string& key : object_->getNames()) {
-    if (asked_.count(key) == 0) {
+    if (readKeys_.count(key) == 0) {
       fail(ObjectErrorCode::kUnknownKey, key, "is not known");
     }
   }
@@ -65,7 +65,7 @@
 }
 
 bool JsonFieldReader::has(const std::string& key) {
-  asked_.insert(key);
+  readKeys_.insert(key);
   return object_->has(key);
 }
 
@@ -78,24 +78,24 @@
   return value.extract<std::string>();
 }
 
-int64_t JsonFieldReader::readInteger(const std::string& key, int64_t lowest, int64_t highest) {
+int64_t JsonFieldReader::readInteger(const std::string& key, int64_t minimum, int64_t maximum) {
   const auto value = object_->get(key);
-  // POCO counts booleans among the integers.
+  // POCO classifies booleans as integers.
   if (value.isBoolean() || !value.isInteger()) {
     fail(ObjectErrorCode::kWrongType, key, "must be an integer");
-    return lowest;
+    return minimum;
   }
-  int64_t number = lowest;
+  int64_t number = minimum;
   bool fits = true;
   try {
     number = value.convert<Poco::Int64>();
   } catch (const Poco::Exception&) {
     fits = false;
   }
-  if (!fits || number < lowest || number > highest) {
+  if (!fits || number < minimum || number > maximum) {
     fail(ObjectErrorCode::kOutOfRange, key,
-         "must lie in " + std::to_string(lowest) + " to " + std::to_string(highest));
-    return lowest;
+         "must lie in " + std::to_string(minimum) + " to " + std::to_string(maximum));
+    return minimum;
   }
   return number;
 }
--- a/source/common/platform/lease_store.cc
+++ b/source/common/platform/lease_store.cc
@@ -16,7 +16,7 @@
   const auto object = store_.get(Collection::kLeases, leaseName(slot));
   if (isOk(object)) {
     const StoredObject& stored = valueOf(object);
-    // A lease that can't be read counts as given up: the next write mends it.
+    // A lease that cannot be parsed is treated as released: the next write replaces it.
     const ReaderLease lease = parseLease(stored.specification).value_or(ReaderLease{});
     election_.onRead(steadyNow(), slot, ObservedLease{stored.version, lease});
   } else if (errorOf(object).code == StoreErrorCode::kNotFound) {
--- a/source/common/platform/lease_store.h
+++ b/source/common/platform/lease_store.h
@@ -1,4 +1,4 @@
-/** @file Runs the election's actions against the store. */
+/** @file Executes the reader election's actions against the store. */
 #pragma once
 
 #include "common/platform/platform_store.h"
@@ -6,13 +6,13 @@
 
 namespace umberhold {
 
-/** Carries out one action at a time and reports it to the election. Blocks. */
+/** Executes one action at a time and reports its result to the election. Blocks. */
 class LeaseStore {
  public:
-  /** Both are borrowed. */
+  /** Both arguments are borrowed. */
   LeaseStore(PlatformStore& store, ReaderElection& election) : store_(store), election_(election) {}
 
-  /** Runs a read or a write; does nothing for a wait. */
+  /** Executes a read or a write; does nothing for a wait. */
   void run(const ElectionAction& action);
 
  private:
--- a/source/common/platform/object_json.cc
+++ b/source/common/platform/object_json.cc
@@ -21,11 +21,11 @@
 using Poco::JSON::Object;
 
 constexpr size_t kMaxDepth = 16;
-constexpr int64_t kHighestPort = 65535;
-constexpr int64_t kHighestShardCount = 64;
-constexpr int64_t kHighestUint32 = std::numeric_limits<uint32_t>::max();
-/** Largest integer that every JSON library keeps exactly (RFC 8259, section 6). */
-constexpr int64_t kHighestSafeInteger = (int64_t{1} << 53) - 1;
+constexpr int64_t kMaxPort = 65535;
+constexpr int64_t kMaxShardCount = 64;
+constexpr int64_t kMaxUint32 = std::numeric_limits<uint32_t>::max();
+/** Largest integer that every JSON library represents exactly (RFC 8259, section 6). */
+constexpr int64_t kMaxSafeInteger = (int64_t{1} << 53) - 1;
 
 constexpr int kHexadecimal = 16;
 
@@ -86,7 +86,7 @@
   return address.value_or(0);
 }
 
-/** Hexadecimal text: a JSON number does not hold 64 bits. */
+/** Reads a hexadecimal string: a JSON number cannot represent 64 bits. */
 uint64_t readIncarnation(JsonFieldReader& reader) {
   const std::string text = reader.optionalText("incarnation", "0");
   uint64_t value = 0;
@@ -109,19 +109,18 @@
   }
   host.zone = reader.requiredText("zone");
   host.state = readState(reader);
-  host.drainDeadline = reader.optionalInteger("drain_deadline", 0, kHighestSafeInteger, 0);
+  host.drainDeadline = reader.optionalInteger("drain_deadline", 0, kMaxSafeInteger, 0);
   host.connectionLimit = static_cast<uint32_t>(
-      reader.optionalInteger("connection_limit", 1, kHighestUint32, host.connectionLimit));
-  host.weight =
-      static_cast<uint32_t>(reader.optionalInteger("weight", 0, kHighestUint32, host.weight));
+      reader.optionalInteger("connection_limit", 1, kMaxUint32, host.connectionLimit));
+  host.weight = static_cast<uint32_t>(reader.optionalInteger("weight", 0, kMaxUint32, host.weight));
   host.incarnation = readIncarnation(reader);
   reader.rejectUnknownKeys();
   return host;
 }
 
 /**
- * Reads each element of an array of objects; stops at the first that is none.
- * @param read takes a reader of the element and appends what it holds.
+ * Reads each element of an array of objects; stops at the first element that is not an object.
+ * @param read receives a reader of the element and appends the parsed value.
  */
 template <class Read>
 void readObjects(JsonFieldReader& reader, const std::string& arrayKey,
@@ -148,7 +147,7 @@
 HostGroup readGroup(JsonFieldReader reader) {
   HostGroup group;
   group.pool = reader.requiredText("pool");
-  group.share = static_cast<uint32_t>(reader.optionalInteger("share", 0, kHighestUint32, 1));
+  group.share = static_cast<uint32_t>(reader.optionalInteger("share", 0, kMaxUint32, 1));
   reader.rejectUnknownKeys();
   return group;
 }
@@ -242,22 +241,22 @@
   service.name = name;
   service.region = reader.requiredText("region");
   service.address = readAddress(reader);
-  service.port = static_cast<uint16_t>(reader.requiredInteger("port", 1, kHighestPort));
+  service.port = static_cast<uint16_t>(reader.requiredInteger("port", 1, kMaxPort));
   service.protocol = readProtocol(reader);
   service.policy = reader.optionalText("policy", "");
-  service.idleTimeoutSeconds = static_cast<uint32_t>(reader.optionalInteger(
-      "idle_timeout_seconds", 1, kHighestUint32, service.idleTimeoutSeconds));
+  service.idleTimeoutSeconds = static_cast<uint32_t>(
+      reader.optionalInteger("idle_timeout_seconds", 1, kMaxUint32, service.idleTimeoutSeconds));
   service.shardCount = static_cast<uint16_t>(
-      reader.optionalInteger("shards", 1, kHighestShardCount, service.shardCount));
+      reader.optionalInteger("shards", 1, kMaxShardCount, service.shardCount));
   service.hosts = readHosts(reader, error);
   service.groups = readGroups(reader, error);
   service.repeatable = readRepeatable(reader);
-  service.priority = static_cast<uint32_t>(
-      reader.optionalInteger("priority", 0, kHighestUint32, service.priority));
+  service.priority =
+      static_cast<uint32_t>(reader.optionalInteger("priority", 0, kMaxUint32, service.priority));
   service.requestTimeoutMilliseconds = static_cast<uint32_t>(
-      reader.optionalInteger("request_timeout_milliseconds", 0, kHighestUint32, 0));
+      reader.optionalInteger("request_timeout_milliseconds", 0, kMaxUint32, 0));
   service.targetLatencyMilliseconds = static_cast<uint32_t>(
-      reader.optionalInteger("target_latency_milliseconds", 0, kHighestUint32, 0));
+      reader.optionalInteger("target_latency_milliseconds", 0, kMaxUint32, 0));
   reader.rejectUnknownKeys();
   if (error) {
     return *error;
--- a/source/common/platform/object_json.h
+++ b/source/common/platform/object_json.h
@@ -1,10 +1,10 @@
 /**
- * @file Specifications of services and policies as JSON, as operators write and the store keeps
- * them.
+ * @file Service, host pool and policy specifications as JSON, in the form that operators write and
+ * the store keeps.
  *
- * Reading is strict: an unknown key, a wrong type or a value out of range is an error that names
- * its place. The object's name is not part of its specification. What a specification looks like:
- * docs/PLATFORM_API.md.
+ * Parsing is strict: an unknown key, a wrong type or a value out of range is an error that includes
+ * the path of the field. The object's name is not part of its specification. For the format of a
+ * specification see docs/PLATFORM_API.md.
  */
 #pragma once
 
@@ -17,43 +17,43 @@
 
 namespace umberhold {
 
-/** What is wrong with a specification. */
+/** Kinds of specification errors. */
 enum class ObjectErrorCode : uint8_t {
-  /** The text is no JSON object. */
+  /** The text is not a JSON object. */
   kSyntax,
   kUnknownKey,
   kMissingKey,
   kWrongType,
-  /** A number outside its range. */
+  /** A number is outside its range. */
   kOutOfRange,
-  /** A text that is no address, endpoint, protocol or state. */
+  /** A string is not a valid address, endpoint, protocol or state. */
   kInvalidValue,
 };
 
 /** @return the snake_case label of a code. */
 std::string_view toString(ObjectErrorCode code);
 
-/** A failure to read a specification. */
+/** A specification error. */
 struct ObjectError {
   ObjectErrorCode code = ObjectErrorCode::kSyntax;
-  /** Where, such as "hosts[2].address"; empty for the whole. */
+  /** Path of the field, such as "hosts[2].address"; empty for the whole document. */
   std::string path;
-  /** For people. */
+  /** Human-readable description. */
   std::string detail;
 };
 
-/** Reads a service's specification. @param name goes into Service::name. */
+/** Parses a service's specification. @param name stored in Service::name. */
 Result<Service, ObjectError> parseService(const std::string& name,
                                           const std::string& specification);
-/** @return the service's specification with every key, the name excepted. */
+/** @return the service's specification with every key except the name. */
 std::string formatService(const Service& service);
 
-/** Reads a pool's specification: {"hosts": [...]} with hosts as in a service. */
+/** Parses a pool's specification: {"hosts": [...]}, with hosts as in a service. */
 Result<HostPool, ObjectError> parseHostPool(const std::string& name,
                                             const std::string& specification);
 std::string formatHostPool(const HostPool& pool);
 
-/** Reads a policy's specification: {"source": "..."}. */
+/** Parses a policy's specification: {"source": "..."}. */
 Result<Policy, ObjectError> parsePolicy(const std::string& name, const std::string& specification);
 std::string formatPolicy(const Policy& policy);
 
--- a/source/common/platform/platform_store.cc
+++ b/source/common/platform/platform_store.cc
@@ -46,11 +46,11 @@
 
 Result<ObjectPage, StoreError> PlatformStore::listPage(Collection collection,
                                                        const std::string& after, size_t limit) {
-  auto whole = list(collection);
-  if (!isOk(whole)) {
-    return errorOf(whole);
+  auto fullList = list(collection);
+  if (!isOk(fullList)) {
+    return errorOf(fullList);
   }
-  ObjectList& all = valueOf(whole);
+  ObjectList& all = valueOf(fullList);
   std::sort(
       all.objects.begin(), all.objects.end(),
       [](const StoredObject& left, const StoredObject& right) { return left.name < right.name; });
--- a/source/common/platform/platform_store.h
+++ b/source/common/platform/platform_store.h
@@ -1,9 +1,9 @@
 /**
- * @file The platform's object store, as the project uses it.
+ * @file Interface to the platform's object store.
  *
  * The store is an HTTP+JSON object API: objects with a resource version, conditional update, list
- * and watch. http_platform_store.h speaks it; tests use an in-memory fake. All calls block and are
- * made from a thread of their own, never from decision logic.
+ * and watch. http_platform_store.h implements the client; tests use an in-memory fake. All calls
+ * block and must be made from a dedicated thread, never from decision logic.
  */
 #pragma once
 
@@ -25,34 +25,41 @@
 /** @return the collection's name in URLs: "services", "policies", "leases", "host_pools", "claims".
  */
 std::string toString(Collection collection);
-/** @return whether watches tell of its changes. */
+/** @return whether watches report changes of the collection. */
 bool isWatched(Collection collection);
 
-/** One change of an object, kept in the object itself (newest first, at most kHistoryLength). */
+/** One change of an object, stored in the object itself (newest first, at most kHistoryLength). */
 struct ChangeEntry {
-  /** Chosen by the writer before the first try; tells after a lost answer whether the change is in.
+  /**
+   * Chosen by the writer before the first attempt; shows after a lost response whether the change
+   * was applied.
    */
   std::string requestId;
-  /** Who asked for it, for people. */
+  /** Who requested the change; informational. */
   std::string author;
-  /** "apply", "drain", "delete", ... for people. */
+  /** "apply", "drain", "delete", ...; informational. */
   std::string summary;
   UnixSeconds at = 0;
-  /** Version that this change replaced (0: it created the object); nothing where the writer gave
-   * none. */
+  /**
+   * Version that this change replaced (0: the change created the object); nothing if the writer
+   * gave none.
+   */
   std::optional<uint64_t> baseVersion{};
 
   bool operator==(const ChangeEntry&) const = default;
 };
 
-/** Changes that an object remembers. */
+/** Maximum number of changes in an object's history. */
 constexpr size_t kHistoryLength = 16;
 
 /** One object of the store. */
 struct StoredObject {
   Collection collection = Collection::kServices;
   std::string name;
-  /** Resource version of the last change; it grows over the whole store. 0: does not exist. */
+  /**
+   * Resource version of the last change; versions increase across the whole store. 0: does not
+   * exist.
+   */
   uint64_t version = 0;
   /** Set in watch events only. */
   bool deleted = false;
@@ -61,29 +68,28 @@
   std::string specification;
 };
 
-/** A whole collection at one version. */
+/** A complete collection at one version. */
 struct ObjectList {
   uint64_t version = 0;
   std::vector<StoredObject> objects;
 };
 
-/** A part of a collection, ordered by name. */
+/** One page of a collection, ordered by name. */
 struct ObjectPage {
-  /** The store's version when the page was read; a watch starts from the first page's. */
+  /** Store version when the page was read; a watch starts at the version of the first page. */
   uint64_t version = 0;
   std::vector<StoredObject> objects;
-  /** Name to go on after; empty where this page is the last. */
+  /** Name after which the next page starts; empty if this page is the last. */
   std::string next;
 };
 
-/** Changes after the version that was asked for, in order; empty when the wait ended without any.
- */
+/** Changes after the requested version, in order; empty if the watch timed out without any. */
 struct WatchBatch {
   uint64_t version = 0;
   std::vector<StoredObject> events;
 };
 
-/** One machine of the platform's (lagging) list. */
+/** One machine of the platform's machine list, which may be stale. */
 struct Machine {
   uint32_t nodeId = 0;
   std::string region;
@@ -94,18 +100,21 @@
 
 /** Why a call to the store failed. */
 enum class StoreErrorCode : uint8_t {
-  /** No connection, or the store said 503; a change definitely did not happen. */
+  /** No connection, or the store returned 503; a change was definitely not applied. */
   kUnavailable,
-  /** The request may have reached the store but no answer came; a change may have happened. */
+  /**
+   * The request may have reached the store, but no response was received; a change may have been
+   * applied.
+   */
   kAnswerLost,
   /** The object's version is not the expected one. */
   kConflict,
   kNotFound,
-  /** The watch starts before the history that the store keeps: list again. */
+  /** The watch starts before the history that the store keeps: the caller must list again. */
   kTooOld,
-  /** The store's answer could not be understood. */
+  /** The store's response could not be parsed. */
   kMalformedAnswer,
-  /** The store refuses the request as such (4xx). */
+  /** The store rejects the request as invalid (4xx). */
   kRejected,
 };
 
@@ -116,33 +125,34 @@
 struct StoreError {
   StoreErrorCode code = StoreErrorCode::kUnavailable;
   std::string detail;
-  /** When the store said how long to wait. */
+  /** Retry delay requested by the store, if any. */
   std::optional<Duration> retryAfter;
 };
 
-/** Blocking access to the store. Implementations say whether they are thread safe. */
+/** Blocking access to the store. Each implementation documents its thread safety. */
 class PlatformStore {
  public:
   virtual ~PlatformStore() = default;
 
   virtual Result<ObjectList, StoreError> list(Collection collection) = 0;
   /**
-   * Reads a collection in bounded parts, so that the whole never has to fit in memory.
-   * @param after name that ended the previous page; empty for the first.
-   * @param limit highest number of objects in the page.
+   * Reads one page of a collection, so that the complete collection never has to fit in memory.
+   * @param after last name of the previous page; empty for the first page.
+   * @param limit maximum number of objects on the page.
    */
   virtual Result<ObjectPage, StoreError> listPage(Collection collection, const std::string& after,
                                                   size_t limit);
   virtual Result<StoredObject, StoreError> get(Collection collection, const std::string& name) = 0;
   /**
    * Creates or replaces an object.
-   * @param object its version is the expected current one; 0 demands that it does not exist.
+   * @param object its version is the expected current one; 0 requires that the object does not
+   * exist.
    * @return the new version.
    */
   virtual Result<uint64_t, StoreError> put(const StoredObject& object) = 0;
-  /** Deletes an object at the expected version; @return the version of the deletion. */
+  /** Deletes an object at the expected version. @return the version of the deletion. */
   virtual Result<uint64_t, StoreError> remove(const StoredObject& object) = 0;
-  /** Waits up to `patience` for changes of services, policies and pools after `since`. */
+  /** Waits up to `longPollTimeout` for changes of services, policies and pools after `since`. */
   virtual Result<WatchBatch, StoreError> watch(uint64_t since, Duration longPollTimeout) = 0;
   virtual Result<std::vector<Machine>, StoreError> machines() = 0;
 };
--- a/source/common/platform/read_source.cc
+++ b/source/common/platform/read_source.cc
@@ -16,7 +16,7 @@
       return "reader";
     case ReadCause::kNoPeers:
       return "alone";
-    case ReadCause::kServesPeers:
+    case ReadCause::kServesOthers:
       return "asked";
     case ReadCause::kUnconfirmed:
       return "unconfirmed";
@@ -28,13 +28,14 @@
     : options_(options),
       random_(random),
       startedAt_(now),
-      decideBy_(now + options.rosterWait),
+      rosterDeadline_(now + options.rosterWait),
       confirmedAt_(now) {}
 
 void ReadSource::setRoster(TimePoint now, const ReaderRoster& roster, bool isUpToDate) {
   const bool hadCandidates = !candidates_.empty();
   if (!hasRoster_) {
-    // It could ask nobody before; the list of its start is confirmed within twice the usual time.
+    // No peer could be polled before the roster was known; the list made at the start is
+    // confirmed within twice the usual time.
     const TimePoint latest = isUpToDate ? now : startedAt_ + options_.unconfirmedTimeout;
     confirmedAt_ = std::max(confirmedAt_, std::min(now, latest));
   }
@@ -42,15 +43,15 @@
   readsItself_ = roster.readsItself();
   candidates_ = readsItself_ ? roster.higherRankedReaders() : roster.candidates();
   if (candidates_.empty()) {
-    nextQuestion_ = TimePoint::max();
+    nextRequestAt_ = TimePoint::max();
   } else if (!hadCandidates) {
-    nextQuestion_ = now;
+    nextRequestAt_ = now;
   }
 }
 
 ReadCause ReadSource::cause(TimePoint now) const {
   if (!hasRoster_) {
-    return now < decideBy_ ? ReadCause::kUndecided : ReadCause::kNoPeers;
+    return now < rosterDeadline_ ? ReadCause::kUndecided : ReadCause::kNoPeers;
   }
   if (readsItself_) {
     return ReadCause::kReader;
@@ -59,18 +60,18 @@
     return ReadCause::kNoPeers;
   }
   if (servesOthers(now)) {
-    return ReadCause::kServesPeers;
+    return ReadCause::kServesOthers;
   }
   return isUnconfirmed(now) ? ReadCause::kUnconfirmed : ReadCause::kFollowsPeer;
 }
 
 bool ReadSource::readsStore(TimePoint now) const {
-  const ReadCause why = cause(now);
-  return why != ReadCause::kFollowsPeer && why != ReadCause::kUndecided;
+  const ReadCause readCause = cause(now);
+  return readCause != ReadCause::kFollowsPeer && readCause != ReadCause::kUndecided;
 }
 
 bool ReadSource::servesOthers(TimePoint now) const {
-  return askedAt_ && now - *askedAt_ < options_.servePeersDuration;
+  return lastPeerRequestAt_ && now - *lastPeerRequestAt_ < options_.servePeersDuration;
 }
 
 bool ReadSource::isUnconfirmed(TimePoint now) const {
@@ -85,87 +86,88 @@
 }
 
 TimePoint ReadSource::nextRequestAt(TimePoint now) const {
-  if (candidates_.empty() || (readsItself_ && holding_)) {
+  if (candidates_.empty() || (readsItself_ && synchronized_)) {
     return TimePoint::max();
   }
   if (readsItself_) {
-    return nextQuestion_;
+    return nextRequestAt_;
   }
-  return servesOthers(now) ? std::max(nextQuestion_, *askedAt_ + options_.servePeersDuration)
-                           : nextQuestion_;
+  return servesOthers(now)
+             ? std::max(nextRequestAt_, *lastPeerRequestAt_ + options_.servePeersDuration)
+             : nextRequestAt_;
 }
 
 std::optional<RosterNode> ReadSource::selectPeer(TimePoint now) {
-  if (storeSilent_ && !candidates_.empty()) {
-    asked_ = candidates_.front().name;
+  if (storeUnresponsive_ && !candidates_.empty()) {
+    polledPeer_ = candidates_.front().name;
     return candidates_.front();
   }
-  const auto free = std::find_if(
+  const auto usable = std::find_if(
       candidates_.begin(), candidates_.end(), [this, now](const RosterNode& candidate) {
         const auto penalty = penalties_.find(candidate.name);
         return penalty == penalties_.end() || penalty->second.until <= now;
       });
-  if (free == candidates_.end()) {
-    nextQuestion_ = now + (holding_ ? options_.retryInterval : options_.startingPenalty);
+  if (usable == candidates_.end()) {
+    nextRequestAt_ = now + (synchronized_ ? options_.retryInterval : options_.startingPenalty);
     return std::nullopt;
   }
-  if (asked_ != free->name) {
-    asked_ = free->name;
-    beginnings_ = 0;
+  if (polledPeer_ != usable->name) {
+    polledPeer_ = usable->name;
+    startingTries_ = 0;
     progress_ = 0;
   }
-  return *free;
+  return *usable;
 }
 
 void ReadSource::onConfirmed(TimePoint now, TimePoint confirmedAt) {
-  beginnings_ = 0;
+  startingTries_ = 0;
   if (now - confirmedAt > options_.maxConfirmationAge) {
-    passOver(now, options_.unconfirmedPenalty);
-    askNext(now);
+    skipPeer(now, options_.unconfirmedPenalty);
+    scheduleNextPeer(now);
     return;
   }
-  penalties_.erase(asked_);
-  storeSilent_ = false;
+  penalties_.erase(polledPeer_);
+  storeUnresponsive_ = false;
   confirmedAt_ = std::max(confirmedAt_, confirmedAt);
-  nextQuestion_ = now + jittered(options_.pollInterval, options_.pollJitter, random_);
+  nextRequestAt_ = now + jittered(options_.pollInterval, options_.pollJitter, random_);
 }
 
 bool ReadSource::onPeerStarting(TimePoint now, uint64_t progress) {
-  const bool hasRisen = progress != progress_;
+  const bool hasProgressed = progress != progress_;
   progress_ = progress;
-  beginnings_ = hasRisen ? 0 : beginnings_ + 1;
-  if (beginnings_ < options_.maxStartingPeerTries) {
-    nextQuestion_ = now + options_.startingPeerRetry;
-    return hasRisen;
-  }
-  beginnings_ = 0;
-  passOver(now, options_.unconfirmedPenalty);
-  askNext(now);
-  return hasRisen;
+  startingTries_ = hasProgressed ? 0 : startingTries_ + 1;
+  if (startingTries_ < options_.maxStartingPeerTries) {
+    nextRequestAt_ = now + options_.startingPeerRetry;
+    return hasProgressed;
+  }
+  startingTries_ = 0;
+  skipPeer(now, options_.unconfirmedPenalty);
+  scheduleNextPeer(now);
+  return hasProgressed;
 }
 
 void ReadSource::onFailure(TimePoint now) {
-  if (!holding_) {
-    passOver(now, options_.startingPenalty);
-    askNext(now);
+  if (!synchronized_) {
+    skipPeer(now, options_.startingPenalty);
+    scheduleNextPeer(now);
     return;
   }
-  Penalty& penalty = penalties_[asked_];
+  Penalty& penalty = penalties_[polledPeer_];
   const Duration time = std::max(penalty.next, options_.initialPenalty);
   penalty.next = std::min(time * 2, options_.maxPenalty);
-  passOver(now, time);
-  askNext(now);
+  skipPeer(now, time);
+  scheduleNextPeer(now);
 }
 
-void ReadSource::passOver(TimePoint now, Duration time) {
-  penalties_[asked_].until = now + time;
+void ReadSource::skipPeer(TimePoint now, Duration time) {
+  penalties_[polledPeer_].until = now + time;
 }
 
-void ReadSource::askNext(TimePoint now) {
-  if (holding_) {
-    nextQuestion_ = isUnconfirmed(now) ? now + options_.retryInterval : now;
+void ReadSource::scheduleNextPeer(TimePoint now) {
+  if (synchronized_) {
+    nextRequestAt_ = isUnconfirmed(now) ? now + options_.retryInterval : now;
   } else {
-    nextQuestion_ = storeSilent_ ? now + options_.startingPenalty : now;
+    nextRequestAt_ = storeUnresponsive_ ? now + options_.startingPenalty : now;
   }
 }
 
--- a/source/common/platform/reader_candidacy.cc
+++ b/source/common/platform/reader_candidacy.cc
@@ -9,7 +9,7 @@
 namespace umberhold {
 namespace {
 
-/** Keeps the ranking of readers apart from every other use of rendezvous. */
+/** Seed that makes the ranking of readers independent of other uses of rendezvous hashing. */
 constexpr uint64_t kReaderSeed = 0x7265616465727331ULL;
 
 struct Candidate {
@@ -18,7 +18,7 @@
   ZoneId zone;
 };
 
-bool isBetter(const Candidate& left, const Candidate& right) {
+bool ranksBefore(const Candidate& left, const Candidate& right) {
   return left.score != right.score ? left.score > right.score : left.id < right.id;
 }
 
@@ -35,7 +35,7 @@
   return running.empty() ? joining : running;
 }
 
-/** The best of each zone first, best zone first; then the others. */
+/** Ranks the best member of each zone first, by score; then the other members. */
 std::vector<Candidate> rankForSlot(const std::vector<const Member*>& members, uint8_t slot) {
   const uint64_t slotSeed = mixHash(kReaderSeed, slot);
   std::vector<Candidate> ranked;
@@ -43,16 +43,16 @@
   for (const Member* member : members) {
     ranked.push_back({mixHash(slotSeed, member->id.value), member->id, member->zone});
   }
-  std::sort(ranked.begin(), ranked.end(), isBetter);
+  std::sort(ranked.begin(), ranked.end(), ranksBefore);
   std::set<ZoneId> zones;
-  std::vector<Candidate> firsts;
+  std::vector<Candidate> bestOfZones;
   std::vector<Candidate> others;
   for (const Candidate& candidate : ranked) {
     const bool isFirstOfZone = zones.insert(candidate.zone).second;
-    (isFirstOfZone ? firsts : others).push_back(candidate);
+    (isFirstOfZone ? bestOfZones : others).push_back(candidate);
   }
-  firsts.insert(firsts.end(), others.begin(), others.end());
-  return firsts;
+  bestOfZones.insert(bestOfZones.end(), others.begin(), others.end());
+  return bestOfZones;
 }
 
 }  // namespace
--- a/source/common/platform/reader_candidacy.h
+++ b/source/common/platform/reader_candidacy.h
@@ -1,8 +1,8 @@
 /**
- * @file Which nodes may ask the store for a reader's lease.
+ * @file Determines which nodes may apply for a reader lease.
  *
  * Thousands of nodes must not poll the store. For each slot every region has a few candidates,
- * chosen by rendezvous over its members, in different zones where it has several.
+ * chosen by rendezvous hashing over its members, in different zones if the region has several.
  */
 #pragma once
 
@@ -15,15 +15,15 @@
 
 namespace umberhold {
 
-/** Candidates of a region for each slot. */
+/** Candidates per region and slot. */
 constexpr uint8_t kCandidatesPerRegion = 3;
 
-/** This node's rank among the region's candidates, by slot; nothing where it is no candidate. */
+/** This node's rank among the region's candidates, by slot; nothing where it is not a candidate. */
 using ReaderRanks = std::array<std::optional<uint8_t>, kReaderSlots>;
 
 /**
- * Members that are alive or suspect are ranked; where there are none (the whole region starts),
- * those that join are.
+ * Ranks the members that are alive or suspect; if there are none (the whole region is starting),
+ * ranks the joining members.
  */
 ReaderRanks readerRanks(const MembershipView& view);
 
--- a/source/common/platform/reader_election.cc
+++ b/source/common/platform/reader_election.cc
@@ -5,9 +5,9 @@
 namespace umberhold {
 namespace {
 
-/** A lease that claims to last longer is believed for this long only. */
-constexpr Duration kLongestLease = std::chrono::minutes(2);
-/** How long a node without candidacy waits before it is asked again. */
+/** Upper bound on a lease's stored duration; a longer one is treated as this long. */
+constexpr Duration kMaxLeaseTime = std::chrono::minutes(2);
+/** Wait of a node that is not a candidate. */
 constexpr Duration kIdleWait = std::chrono::seconds(60);
 
 }  // namespace
@@ -18,11 +18,12 @@
 void ReaderElection::setRanks(const ReaderRanks& ranks, TimePoint now) {
   for (uint8_t slot = 0; slot < kReaderSlots; ++slot) {
     if (ranks[slot] && !ranks_[slot]) {
-      // The first look comes soon, but spread out: at a start all candidates come up together.
+      // The first read comes soon but at a random time, because all candidates start together
+      // when the system starts.
       const Duration spread = options_.minPollInterval * (*ranks[slot] + 1);
-      watched_[slot] = Watched{};
-      watched_[slot].nextRead = now + Duration(static_cast<Duration::rep>(random_.below(
-                                          static_cast<uint64_t>(spread.count()) + 1)));
+      slotStates_[slot] = SlotState{};
+      slotStates_[slot].nextReadAt = now + Duration(static_cast<Duration::rep>(random_.below(
+                                               static_cast<uint64_t>(spread.count()) + 1)));
     }
   }
   ranks_ = ranks;
@@ -31,47 +32,48 @@
 void ReaderElection::resign() {
   resigning_ = true;
   if (held_) {
-    held_->nextTry = TimePoint{};
+    held_->nextAttemptAt = TimePoint{};
   }
 }
 
 ElectionAction ReaderElection::next(TimePoint now) {
   if (held_ && now >= held_->validUntil) {
-    lose(now);
+    loseLease(now);
   }
   if (held_) {
-    return nextOfHolder(now);
+    return nextAsHolder(now);
   }
   if (resigning_) {
     return WaitUntil{now + kIdleWait};
   }
-  return nextOfCandidate(now);
+  return nextAsCandidate(now);
 }
 
-void ReaderElection::onRead(TimePoint now, uint8_t slot, const std::optional<ObservedLease>& seen) {
+void ReaderElection::onRead(TimePoint now, uint8_t slot,
+                            const std::optional<ObservedLease>& observed) {
   if (held_ && held_->slot == slot) {
-    readAsHolder(now, seen);
+    readAsHolder(now, observed);
   } else {
-    readAsCandidate(now, slot, seen);
+    readAsCandidate(now, slot, observed);
   }
 }
 
 void ReaderElection::onReadFailed(TimePoint now, uint8_t slot, const StoreError& error) {
   if (held_ && held_->slot == slot) {
-    held_->nextTry = now + renewBackOff_.next(error.retryAfter);
+    held_->nextAttemptAt = now + renewBackOff_.next(error.retryAfter);
     return;
   }
-  if (watched_[slot].heldBefore) {
-    watched_[slot].nextRead = now + renewBackOff_.next(error.retryAfter);
+  if (slotStates_[slot].isFormerHolder) {
+    slotStates_[slot].nextReadAt = now + renewBackOff_.next(error.retryAfter);
     return;
   }
   const TimePoint paced = drawNextRead(now, ranks_[slot].value_or(0));
-  watched_[slot].nextRead = std::max(paced, now + error.retryAfter.value_or(Duration{0}));
+  slotStates_[slot].nextReadAt = std::max(paced, now + error.retryAfter.value_or(Duration{0}));
 }
 
 void ReaderElection::onWritten(TimePoint sentAt, const WriteLease& written, uint64_t version) {
-  watched_[written.slot].claim = false;
-  watched_[written.slot].heldBefore = false;
+  slotStates_[written.slot].mayWrite = false;
+  slotStates_[written.slot].isFormerHolder = false;
   if (written.lease.duration == Duration{0}) {
     held_.reset();
     return;
@@ -79,21 +81,21 @@
   renewBackOff_.reset();
   Held held;
   held.slot = written.slot;
-  held.seen = ObservedLease{version, written.lease};
+  held.observed = ObservedLease{version, written.lease};
   held.validUntil = sentAt + options_.leaseTime;
-  held.nextTry = sentAt + options_.renewInterval;
+  held.nextAttemptAt = sentAt + options_.renewInterval;
   held_ = held;
 }
 
 void ReaderElection::onWriteFailed(TimePoint now, uint8_t slot, const StoreError& error) {
-  watched_[slot].claim = false;
+  slotStates_[slot].mayWrite = false;
   if (!held_ || held_->slot != slot) {
-    // Whatever became of the claim, the next read tells: it may even be in.
+    // The next read shows the result of the write, which may have been applied.
     onReadFailed(now, slot, error);
     return;
   }
   held_->mustRead = error.code != StoreErrorCode::kUnavailable;
-  held_->nextTry = held_->mustRead ? now : now + renewBackOff_.next(error.retryAfter);
+  held_->nextAttemptAt = held_->mustRead ? now : now + renewBackOff_.next(error.retryAfter);
 }
 
 std::optional<uint8_t> ReaderElection::heldSlot(TimePoint now) const {
@@ -103,97 +105,101 @@
   return held_->slot;
 }
 
-ElectionAction ReaderElection::nextOfHolder(TimePoint now) {
-  if (now < held_->nextTry) {
-    return WaitUntil{std::min(held_->nextTry, held_->validUntil)};
+ElectionAction ReaderElection::nextAsHolder(TimePoint now) {
+  if (now < held_->nextAttemptAt) {
+    return WaitUntil{std::min(held_->nextAttemptAt, held_->validUntil)};
   }
   if (held_->mustRead) {
     return ReadLease{held_->slot};
   }
-  WriteLease renewal = claimOf(held_->slot, held_->seen);
+  WriteLease renewal = makeLeaseWrite(held_->slot, held_->observed);
   if (resigning_) {
     renewal.lease.duration = Duration{0};
   }
   return renewal;
 }
 
-ElectionAction ReaderElection::nextOfCandidate(TimePoint now) {
+ElectionAction ReaderElection::nextAsCandidate(TimePoint now) {
   TimePoint earliest = now + kIdleWait;
   for (uint8_t slot = 0; slot < kReaderSlots; ++slot) {
-    const Watched& watched = watched_[slot];
+    const SlotState& slotState = slotStates_[slot];
     if (!ranks_[slot]) {
       continue;
     }
-    if (watched.claim) {
-      return claimOf(slot, watched.seen);
+    if (slotState.mayWrite) {
+      return makeLeaseWrite(slot, slotState.observed);
     }
-    if (watched.nextRead <= now) {
+    if (slotState.nextReadAt <= now) {
       return ReadLease{slot};
     }
-    earliest = std::min(earliest, watched.nextRead);
+    earliest = std::min(earliest, slotState.nextReadAt);
   }
   return WaitUntil{earliest};
 }
 
-void ReaderElection::readAsHolder(TimePoint now, const std::optional<ObservedLease>& seen) {
-  if (!seen || seen->lease.holder != self_ || seen->lease.duration == Duration{0}) {
+void ReaderElection::readAsHolder(TimePoint now, const std::optional<ObservedLease>& observed) {
+  if (!observed || observed->lease.holder != self_ || observed->lease.duration == Duration{0}) {
     const uint8_t slot = held_->slot;
-    lose(now);
-    readAsCandidate(now, slot, seen);
+    loseLease(now);
+    readAsCandidate(now, slot, observed);
     return;
   }
-  held_->seen = *seen;
+  held_->observed = *observed;
   held_->mustRead = false;
-  held_->nextTry = now;
+  held_->nextAttemptAt = now;
 }
 
 void ReaderElection::readAsCandidate(TimePoint now, uint8_t slot,
-                                     const std::optional<ObservedLease>& seen) {
-  Watched& watched = watched_[slot];
-  const bool isUnchanged = seen && watched.seen && seen->version == watched.seen->version;
+                                     const std::optional<ObservedLease>& observed) {
+  SlotState& slotState = slotStates_[slot];
+  const bool isUnchanged =
+      observed && slotState.observed && observed->version == slotState.observed->version;
   if (!isUnchanged) {
-    watched.unchangedSince = now;
+    slotState.unchangedSince = now;
   }
-  watched.seen = seen;
-  watched.heldBefore = watched.heldBefore && seen && seen->lease.holder == self_;
-  watched.nextRead = drawNextRead(now, ranks_[slot].value_or(0));
-  watched.claim = ranks_[slot].has_value() && mayClaim(now, watched);
+  slotState.observed = observed;
+  slotState.isFormerHolder =
+      slotState.isFormerHolder && observed && observed->lease.holder == self_;
+  slotState.nextReadAt = drawNextRead(now, ranks_[slot].value_or(0));
+  slotState.mayWrite = ranks_[slot].has_value() && mayAcquire(now, slotState);
 }
 
-bool ReaderElection::mayClaim(TimePoint now, const Watched& watched) const {
-  if (!watched.seen || watched.seen->lease.duration == Duration{0}) {
+bool ReaderElection::mayAcquire(TimePoint now, const SlotState& slotState) const {
+  if (!slotState.observed || slotState.observed->lease.duration == Duration{0}) {
     return true;
   }
-  const ReaderLease& lease = watched.seen->lease;
+  const ReaderLease& lease = slotState.observed->lease;
   if (lease.holder == self_) {
-    // Left by this node before it lost sight of it, or before it restarted.
+    // Left by this node before its lease expired locally or before it restarted.
     return true;
   }
-  const Duration duration = std::min(lease.duration, kLongestLease);
-  return now - watched.unchangedSince >= duration + options_.takeoverMargin;
+  const Duration duration = std::min(lease.duration, kMaxLeaseTime);
+  return now - slotState.unchangedSince >= duration + options_.takeoverMargin;
 }
 
-void ReaderElection::lose(TimePoint now) {
-  Watched& watched = watched_[held_->slot];
-  watched = Watched{};
-  watched.nextRead = now;
-  watched.heldBefore = true;
+void ReaderElection::loseLease(TimePoint now) {
+  SlotState& slotState = slotStates_[held_->slot];
+  slotState = SlotState{};
+  slotState.nextReadAt = now;
+  slotState.isFormerHolder = true;
   held_.reset();
   renewBackOff_.reset();
 }
 
 TimePoint ReaderElection::drawNextRead(TimePoint now, uint8_t rank) {
-  const auto spread = static_cast<uint64_t>((options_.maxPollInterval - options_.minPollInterval).count());
+  const auto spread =
+      static_cast<uint64_t>((options_.maxPollInterval - options_.minPollInterval).count());
   const Duration wait =
       options_.minPollInterval + Duration(static_cast<Duration::rep>(random_.below(spread + 1)));
   return now + wait * (rank + 1);
 }
 
-WriteLease ReaderElection::claimOf(uint8_t slot, const std::optional<ObservedLease>& seen) const {
+WriteLease ReaderElection::makeLeaseWrite(uint8_t slot,
+                                          const std::optional<ObservedLease>& observed) const {
   WriteLease write;
   write.slot = slot;
-  write.expectedVersion = seen ? seen->version : 0;
-  write.lease = ReaderLease{self_, seen ? seen->lease.renewal + 1 : 1, options_.leaseTime};
+  write.expectedVersion = observed ? observed->version : 0;
+  write.lease = ReaderLease{self_, observed ? observed->lease.renewal + 1 : 1, options_.leaseTime};
   return write;
 }
 
--- a/source/common/platform/reader_election.h
+++ b/source/common/platform/reader_election.h
@@ -1,14 +1,15 @@
 /**
- * @file Decides when a node asks for, renews and gives up a reader's lease. No I/O.
+ * @file Decides when a node acquires, renews and releases a reader lease. No I/O.
  *
- * The caller runs the actions of next() against the store and reports what came back.
+ * The caller executes the actions of next() against the store and reports the results.
  *
- * Rules: every write is conditional on the version last seen. A holder believes in its lease until
- * one lease time after it *sent* its last answered renewal. A candidate takes a lease over only
- * after it saw the same version for the lease time plus a margin, by its own monotonic clock. So,
- * as long as clocks run at about one rate, a slot has one believer at a time. A holder that was
- * paused finds out by its clock or by the refused write; what it does meanwhile is harmless,
- * because records carry versions and its writes are conditional.
+ * Rules: every write is conditional on the version last read. A holder's lease is valid for one
+ * lease time after it *sent* its last acknowledged renewal. A candidate takes over a lease only
+ * after it has observed the same version for the lease time plus a margin, by its own monotonic
+ * clock. As long as clocks run at about the same rate, a slot therefore has at most one valid
+ * holder at a time. A holder that was paused detects the expiry by its clock or by the rejected
+ * write; what it does in between is harmless, because records carry versions and its writes are
+ * conditional.
  */
 #pragma once
 
@@ -26,31 +27,31 @@
 
 namespace umberhold {
 
-/** Times of the election. */
+/** Timing of the election. */
 struct ReaderElectionOptions {
   Duration leaseTime = std::chrono::seconds(15);
-  /** Added by candidates for clocks that run at different rates. */
+  /** Safety margin that candidates add for differences between clock rates. */
   Duration takeoverMargin = std::chrono::seconds(2);
   Duration renewInterval = std::chrono::seconds(5);
   /**
-   * A candidate of rank r looks at a slot every (r + 1) times a random wait between these two. With
-   * 9 regions of 3 candidates a slot that is about 6.6 reads a second for the whole system.
+   * A candidate of rank r reads a slot after (r + 1) times a random delay between these two. With 9
+   * regions of 3 candidates per slot that is about 6.6 reads per second for the whole system.
    */
   Duration minPollInterval = std::chrono::seconds(5);
   Duration maxPollInterval = std::chrono::seconds(10);
-  /** Waits between a holder's tries to renew. */
+  /** Backoff between a holder's attempts to renew. */
   BackOffOptions renewRetry{std::chrono::milliseconds(500), std::chrono::seconds(1)};
 };
 
-/** Nothing to do before then. */
+/** No action before this time. */
 struct WaitUntil {
   TimePoint at;
 };
-/** Get the slot's lease from the store. */
+/** Read the slot's lease from the store. */
 struct ReadLease {
   uint8_t slot = 0;
 };
-/** Put the slot's lease over the expected version. */
+/** Write the slot's lease if its version is the expected one. */
 struct WriteLease {
   uint8_t slot = 0;
   ReaderLease lease;
@@ -58,77 +59,82 @@
 };
 using ElectionAction = std::variant<WaitUntil, ReadLease, WriteLease>;
 
-/** A lease with its version, as read. */
+/** A lease and its version as read from the store. */
 struct ObservedLease {
   uint64_t version = 0;
   ReaderLease lease;
 };
 
-/** One node's part in the election. Not thread safe. */
+/** One node's participation in the election. Not thread safe. */
 class ReaderElection {
  public:
   /** @param random borrowed; must outlive the election. */
   ReaderElection(ReaderElectionOptions options, NodeId self, RandomSource& random);
 
-  /** Says for which slots this node is a candidate; a holder stays one whatever its rank. */
+  /**
+   * Sets the slots for which this node is a candidate; a holder keeps its slot whatever its rank.
+   */
   void setRanks(const ReaderRanks& ranks, TimePoint now);
-  /** The node stops: gives up what it holds and asks for nothing more. */
+  /** Releases the held lease and acquires no further one, because the node stops. */
   void resign();
 
-  /** @return the one thing to do now; its outcome must be reported before the next call. */
+  /** @return the action to execute now; its result must be reported before the next call. */
   ElectionAction next(TimePoint now);
 
-  /** A ReadLease was answered. @param seen nothing where the object does not exist. */
-  void onRead(TimePoint now, uint8_t slot, const std::optional<ObservedLease>& seen);
+  /** Reports the result of a ReadLease. @param observed nothing if the object does not exist. */
+  void onRead(TimePoint now, uint8_t slot, const std::optional<ObservedLease>& observed);
   void onReadFailed(TimePoint now, uint8_t slot, const StoreError& error);
-  /** A WriteLease was answered. @param sentAt instant just before it was sent. */
+  /** Reports a successful WriteLease. @param sentAt time just before the request was sent. */
   void onWritten(TimePoint sentAt, const WriteLease& written, uint64_t version);
   void onWriteFailed(TimePoint now, uint8_t slot, const StoreError& error);
 
-  /** @return the slot that this node may act for now. */
+  /** @return the slot whose lease this node validly holds. */
   std::optional<uint8_t> heldSlot(TimePoint now) const;
-  /** @return whether a resigning node has nothing left to give up. */
+  /** @return whether a resigning node has nothing left to release. */
   bool hasResigned() const { return resigning_ && !held_; }
 
  private:
-  /** What this node holds. */
+  /** The lease that this node holds. */
   struct Held {
     uint8_t slot = 0;
-    ObservedLease seen;
+    ObservedLease observed;
     TimePoint validUntil;
-    TimePoint nextTry;
-    /** The fate of a write is unknown, or it was refused: look before the next one. */
+    TimePoint nextAttemptAt;
+    /**
+     * The result of a write is unknown, or the write was rejected: the lease must be read before
+     * the next write.
+     */
     bool mustRead = false;
   };
-  /** What this node knows of a slot that it does not hold. */
-  struct Watched {
-    TimePoint nextRead;
-    std::optional<ObservedLease> seen;
+  /** State of a slot that this node does not hold. */
+  struct SlotState {
+    TimePoint nextReadAt;
+    std::optional<ObservedLease> observed;
     TimePoint unchangedSince;
-    /** The lease may be claimed over the version seen. */
-    bool claim = false;
+    /** Whether the lease may be acquired by a write conditional on the observed version. */
+    bool mayWrite = false;
     /**
-     * This node held the slot until the store fell silent: it goes on asking at the pace of a
-     * holder, since nobody else can have taken the lease before the store answers.
+     * Whether this node held the slot until the store became unresponsive. It then keeps polling at
+     * a holder's rate, since no other node can have acquired the lease before the store answers.
      */
-    bool heldBefore = false;
+    bool isFormerHolder = false;
   };
 
-  ElectionAction nextOfHolder(TimePoint now);
-  ElectionAction nextOfCandidate(TimePoint now);
-  void readAsHolder(TimePoint now, const std::optional<ObservedLease>& seen);
-  void readAsCandidate(TimePoint now, uint8_t slot, const std::optional<ObservedLease>& seen);
-  bool mayClaim(TimePoint now, const Watched& watched) const;
-  void lose(TimePoint now);
+  ElectionAction nextAsHolder(TimePoint now);
+  ElectionAction nextAsCandidate(TimePoint now);
+  void readAsHolder(TimePoint now, const std::optional<ObservedLease>& observed);
+  void readAsCandidate(TimePoint now, uint8_t slot, const std::optional<ObservedLease>& observed);
+  bool mayAcquire(TimePoint now, const SlotState& slotState) const;
+  void loseLease(TimePoint now);
   TimePoint drawNextRead(TimePoint now, uint8_t rank);
-  WriteLease claimOf(uint8_t slot, const std::optional<ObservedLease>& seen) const;
+  WriteLease makeLeaseWrite(uint8_t slot, const std::optional<ObservedLease>& observed) const;
 
   const ReaderElectionOptions options_;
   const NodeId self_;
   RandomSource& random_;
   BackOff renewBackOff_;
   ReaderRanks ranks_;
-  std::array<Watched, kReaderSlots> watched_;
+  std::array<SlotState, kReaderSlots> slotStates_;
   std::optional<Held> held_;
   bool resigning_ = false;
 };
--- a/source/common/platform/reader_lease.h
+++ b/source/common/platform/reader_lease.h
@@ -1,4 +1,4 @@
-/** @file The lease objects by which at most a few nodes of the whole system read the store. */
+/** @file The lease objects that limit how many nodes of the whole system read the store. */
 #pragma once
 
 #include <cstdint>
@@ -10,17 +10,17 @@
 
 namespace umberhold {
 
-/** Readers in the whole system; each slot is one lease object. */
+/** Maximum number of readers in the whole system; each slot is one lease object. */
 constexpr uint8_t kReaderSlots = 3;
 
-/** One slot's lease (Gray, Cheriton 1989), as it stands in the store. */
+/** One slot's lease (Gray, Cheriton 1989), as stored. */
 struct ReaderLease {
   NodeId holder;
-  /** Grows with every write of the lease. */
+  /** Incremented by every write of the lease. */
   uint64_t renewal = 0;
   /**
-   * How long the lease lasts after each renewal, by each observer's own clock: there is no common
-   * clock, so no instant is written down. 0: the holder gave it up.
+   * Duration of the lease after each renewal, measured by each observer's own clock: there is no
+   * common clock, so no expiry time is stored. 0: the holder released the lease.
    */
   Duration duration{0};
 
@@ -31,7 +31,7 @@
 std::string leaseName(uint8_t slot);
 
 std::string formatLease(const ReaderLease& lease);
-/** @return the lease, or nothing where the specification is none. */
+/** @return the lease, or nothing if the specification is not a valid lease. */
 std::optional<ReaderLease> parseLease(const std::string& specification);
 
 }  // namespace umberhold
--- a/source/common/platform/reader_roster.cc
+++ b/source/common/platform/reader_roster.cc
@@ -9,8 +9,8 @@
 namespace umberhold {
 namespace {
 
-/** Higher capacity first; the hash keeps nodes of neighbouring names apart. */
-bool isAhead(const RosterNode& left, const RosterNode& right) {
+/** Orders by capacity, highest first; the hash spreads nodes with adjacent names. */
+bool ranksBefore(const RosterNode& left, const RosterNode& right) {
   if (left.capacity != right.capacity) {
     return left.capacity > right.capacity;
   }
@@ -38,7 +38,7 @@
   if (readsItself_) {
     return;
   }
-  std::sort(ranked.begin(), ranked.end(), isAhead);
+  std::sort(ranked.begin(), ranked.end(), ranksBefore);
   const auto self =
       static_cast<size_t>(std::find(ranked.begin(), ranked.end(), self_) - ranked.begin());
   const size_t readers = (ranked.size() + options_.nodesPerReader - 1) / options_.nodesPerReader;
--- a/source/common/platform/reader_roster.h
+++ b/source/common/platform/reader_roster.h
@@ -1,10 +1,11 @@
 /**
- * @file Which nodes of a zone read the platform's store for the others.
+ * @file Determines which nodes of a zone read the platform's store on behalf of the others.
  *
- * Nodes are ranked by capacity, then by a hash of their names, so that all that know the same nodes
- * rank them alike without a word. One in every so many, from the front, reads; the others spread
- * over those and know in which order to ask further ones. Nothing breaks where nodes know
- * different lists: more of them read. Decision logic without I/O.
+ * Nodes are ranked by capacity, then by a hash of their names, so that all nodes with the same
+ * membership view compute the same ranking without coordination. One in nodesPerReader nodes, the
+ * highest-ranked ones, are readers; the other nodes are distributed over the readers and have an
+ * ordered list of further candidates. Different membership views are harmless: they only result in
+ * more readers. Pure decision logic without I/O.
  */
 #pragma once
 
@@ -20,42 +21,47 @@
 struct RosterNode {
   std::string name;
   std::string zone;
-  /** Where other nodes ask it. */
+  /** Address on which it serves other nodes. */
   Endpoint peerAddress;
-  /** Thousandths of a processor core that it may use. */
+  /** Available CPU capacity in millicores. */
   uint32_t capacity = 0;
 
   bool operator==(const RosterNode&) const = default;
 };
 
-/** Sizes of the rule. */
+/** Parameters of the roster. */
 struct RosterOptions {
-  /** In a zone with fewer nodes each reads the store itself. */
+  /** In a zone with fewer nodes every node reads the store itself. */
   size_t minZoneNodes = 6;
   size_t nodesPerReader = 32;
-  /** Nodes that one node asks at most, in turn. */
+  /** Maximum number of candidates of one node. */
   size_t maxCandidates = 8;
 };
 
-/** Not thread safe. */
+/** The roster of a zone as seen by one node. Not thread safe. */
 class ReaderRoster {
  public:
   explicit ReaderRoster(RosterNode self, RosterOptions options = {});
 
-  /** Replaces what is known of the nodes. This node and those of other zones are passed over. */
+  /** Replaces the known nodes. This node and nodes of other zones are ignored. */
   void setNodes(const std::vector<RosterNode>& nodes);
 
-  /** @return whether this node is one of the zone's readers, or the zone has none. */
+  /**
+   * @return whether this node is one of the zone's readers, or the zone has no dedicated readers.
+   */
   bool readsItself() const { return readsItself_; }
-  /** @return the nodes to ask, the reader first; empty for a reader. */
+  /** @return the nodes to poll, the assigned reader first; empty for a reader. */
   const std::vector<RosterNode>& candidates() const { return candidates_; }
-  /** @return the readers ranked before this one, for a reader that has nothing yet: one list of the
-   * store serves all readers of a zone. */
+  /**
+   * @return the readers ranked before this one, which a reader without data polls: one list of the
+   * store is enough for all readers of a zone.
+   */
   const std::vector<RosterNode>& higherRankedReaders() const { return readersAhead_; }
   /**
-   * @return how late this node takes the readers' place where none of them tells anything: 0 for
-   * readers and as many nodes behind them, 1 for twice as many, 2 for four times as many. A zone's
-   * nodes that list the store themselves so double with each step, and never come all at once.
+   * @return the step at which this node lists the store itself if no reader supplies data: 0 for
+   * the readers and for as many nodes ranked after them, 1 for twice as many, 2 for four times as
+   * many. The number of nodes of a zone that list the store thus doubles with each step, and they
+   * never all list at once.
    */
   uint32_t fallbackStep() const { return standInStep_; }
 
--- a/source/common/platform/reader_worker.cc
+++ b/source/common/platform/reader_worker.cc
@@ -15,18 +15,18 @@
 namespace umberhold {
 namespace {
 
-/** How often a node without a lease asks for its ranks. */
-constexpr Duration kRanksEvery = std::chrono::seconds(1);
-/** A store whose history is too short for its changes is not listed more often than this. */
-constexpr Duration kRestartEvery = std::chrono::seconds(1);
-/** A watch shorter than this isn't worth its request. */
-constexpr Duration kShortestWatch = std::chrono::milliseconds(10);
+/** Interval at which a node without a lease queries its ranks. */
+constexpr Duration kRanksInterval = std::chrono::seconds(1);
+/** Minimum interval between lists that are restarted because the store's history is too short. */
+constexpr Duration kMinRestartInterval = std::chrono::seconds(1);
+/** Minimum duration of a watch; a shorter one is not worth a request. */
+constexpr Duration kMinWatchDuration = std::chrono::milliseconds(10);
 
 }  // namespace
 
-struct ReaderWorker::Parts {
-  Parts(ReaderWorkerOptions given, NodeId node, PlatformStore& platform, ReaderSink& receiver,
-        uint64_t seed)
+struct ReaderWorker::Impl {
+  Impl(ReaderWorkerOptions given, NodeId node, PlatformStore& platform, ReaderSink& receiver,
+       uint64_t seed)
       : options(given),
         store(platform),
         sink(receiver),
@@ -41,10 +41,10 @@
     return stopping;
   }
 
-  /** Sleeps until then or until stop(). */
+  /** Sleeps until the given time or until stop(). */
   void sleepUntil(TimePoint until) {
     std::unique_lock lock(mutex);
-    wake.wait_for(lock, until - steadyNow(), [this] { return stopping; });
+    stopCondition.wait_for(lock, until - steadyNow(), [this] { return stopping; });
   }
 
   void count(uint64_t ReaderCounters::*counter, uint64_t amount = 1) {
@@ -52,8 +52,8 @@
     counters.*counter += amount;
   }
 
-  /** One turn: the election's next action, or reading until it is due. */
-  void turn() {
+  /** Executes the election's next action, or reads the store until that action is due. */
+  void runStep() {
     const auto before = election.heldSlot(steadyNow());
     election.setRanks(sink.ranks(), steadyNow());
     const ElectionAction action = election.next(steadyNow());
@@ -63,17 +63,17 @@
     } else if (election.heldSlot(steadyNow())) {
       read(wait->at);
     } else {
-      sleepUntil(std::min(wait->at, steadyNow() + kRanksEvery));
+      sleepUntil(std::min(wait->at, steadyNow() + kRanksInterval));
     }
-    noteSlot(before);
+    recordSlot(before);
   }
 
-  void noteSlot(std::optional<uint8_t> before) {
+  void recordSlot(std::optional<uint8_t> before) {
     const auto after = election.heldSlot(steadyNow());
     if (after && !before) {
       LOG(INFO) << "event=reader_lease_taken slot=" << int{*after};
       count(&ReaderCounters::leasesTaken);
-      succeed();  // The store answers again.
+      recordSuccess();  // The store answers again.
     } else if (before && !after) {
       LOG(INFO) << "event=reader_lease_ended slot=" << int{*before};
     }
@@ -81,7 +81,7 @@
     counters.slot = after;
   }
 
-  /** One call to the store; it ends before the election's next action is due. */
+  /** Makes one call to the store, which ends before the election's next action is due. */
   void read(TimePoint until) {
     if (steadyNow() < retryAt) {
       sleepUntil(std::min(until, retryAt));
@@ -89,34 +89,37 @@
     }
     if (mustRestartWatch && steadyNow() < nextPageAt) {
       sleepUntil(std::min(until, nextPageAt));
-    } else if (steadyNow() >= nextPageAt && (lister || steadyNow() >= relistAt)) {
+    } else if (steadyNow() >= nextPageAt && (lister || steadyNow() >= nextListAt)) {
       listPage();
-    } else if (steadyNow() >= machinesAt) {
+    } else if (steadyNow() >= nextMachineListAt) {
       readMachines();
     } else {
-      const TimePoint next = std::min(until, machinesAt);
+      const TimePoint next = std::min(until, nextMachineListAt);
       watch((lister ? std::min(next, nextPageAt) : next) - steadyNow());
     }
   }
 
-  /** The watch starts with the first page, so that news doesn't wait for a long list. */
+  /**
+   * Reads the next page of the list. The watch starts with the first page, so that changes are not
+   * delayed by a long list.
+   */
   void listPage() {
     if (!lister) {
       lister.emplace(store, options.pageSize);
     }
     auto step = lister->step();
     if (!isOk(step)) {
-      fail(errorOf(step));
+      recordFailure(errorOf(step));
       return;
     }
-    succeed();
+    recordSuccess();
     if (mustRestartWatch) {
       watchedVersion = lister->watchStartVersion();
       mustRestartWatch = false;
     }
     nextPageAt = sink.isServing() ? steadyNow() + options.pagePause : steadyNow();
     if (!deliver(valueOf(step).objects)) {
-      startListAnew();
+      restartList();
       return;
     }
     if (valueOf(step).complete) {
@@ -124,7 +127,7 @@
     }
     if (lister->isComplete()) {
       lister.reset();
-      relistAt = steadyNow() + options.relistInterval;
+      nextListAt = steadyNow() + options.relistInterval;
       count(&ReaderCounters::lists);
     }
   }
@@ -132,48 +135,51 @@
   void readMachines() {
     auto machines = store.machines();
     if (!isOk(machines)) {
-      fail(errorOf(machines));
+      recordFailure(errorOf(machines));
       return;
     }
-    succeed();
-    machinesAt = steadyNow() + machinesInterval;
-    machinesInterval = std::min(2 * machinesInterval, options.machineListInterval);
+    recordSuccess();
+    nextMachineListAt = steadyNow() + currentMachineListInterval;
+    currentMachineListInterval =
+        std::min(2 * currentMachineListInterval, options.machineListInterval);
     sink.onMachines(std::move(valueOf(machines)));
   }
 
-  void watch(Duration longest) {
-    if (longest < kShortestWatch) {
-      sleepUntil(steadyNow() + longest);
+  void watch(Duration maxDuration) {
+    if (maxDuration < kMinWatchDuration) {
+      sleepUntil(steadyNow() + maxDuration);
       return;
     }
-    auto batch = store.watch(watchedVersion, std::min(longest, options.maxWatchDuration));
+    auto batch = store.watch(watchedVersion, std::min(maxDuration, options.maxWatchDuration));
     if (!isOk(batch)) {
       if (errorOf(batch).code == StoreErrorCode::kTooOld) {
-        startListAnew();
+        restartList();
         return;
       }
-      fail(errorOf(batch));
+      recordFailure(errorOf(batch));
       return;
     }
-    succeed();
+    recordSuccess();
     count(&ReaderCounters::watches);
     if (deliver(valueOf(batch).events)) {
       watchedVersion = valueOf(batch).version;
     } else {
-      startListAnew();
+      restartList();
     }
   }
 
-  /** What a list under way has found so far may lack events that are gone: begin again. */
-  void startListAnew() {
+  /**
+   * Restarts the list: the part read so far may have missed events that are no longer available.
+   */
+  void restartList() {
     lister.reset();
     mustRestartWatch = true;
-    relistAt = TimePoint{};
-    nextPageAt = std::max(steadyNow(), restartedAt + kRestartEvery);
+    nextListAt = TimePoint{};
+    nextPageAt = std::max(steadyNow(), restartedAt + kMinRestartInterval);
     restartedAt = nextPageAt;
   }
 
-  /** @return whether the sink took the records over. */
+  /** @return whether the sink accepted the records. */
   bool deliver(const std::vector<StoredObject>& objects) {
     std::vector<ConfigRecord> records;
     for (const StoredObject& object : objects) {
@@ -190,12 +196,12 @@
     return records.empty() || sink.onRecords(std::move(records));
   }
 
-  void succeed() {
+  void recordSuccess() {
     backOff.reset();
     retryAt = TimePoint{};
   }
 
-  void fail(const StoreError& error) {
+  void recordFailure(const StoreError& error) {
     count(&ReaderCounters::storeFailures);
     retryAt = steadyNow() + backOff.next(error.retryAfter);
     if (!budget.tryTake(retryAt)) {
@@ -207,7 +213,7 @@
                  << error.detail << "\"";
   }
 
-  /** Gives the lease up: one try, because it runs out by itself. */
+  /** Releases the lease with a single attempt, because it also expires by itself. */
   void resign() {
     election.resign();
     const ElectionAction action = election.next(steadyNow());
@@ -227,44 +233,46 @@
 
   std::optional<StoreLister> lister;
   uint64_t watchedVersion = 0;
-  /** No watch can go on from watchedVersion: the next list gives the version to start from. */
+  /**
+   * No watch can continue from watchedVersion: the next list supplies the version to start from.
+   */
   bool mustRestartWatch = true;
   TimePoint nextPageAt;
   TimePoint restartedAt;
-  TimePoint relistAt;
-  TimePoint machinesAt;
-  /** Doubles from the first reading of the machine list on. */
-  Duration machinesInterval = options.initialMachineListInterval;
+  TimePoint nextListAt;
+  TimePoint nextMachineListAt;
+  /** Doubles after each read of the machine list. */
+  Duration currentMachineListInterval = options.initialMachineListInterval;
   TimePoint retryAt;
 
   mutable std::mutex mutex;
-  std::condition_variable wake;
+  std::condition_variable stopCondition;
   bool stopping = false;
   ReaderCounters counters;
 };
 
 ReaderWorker::ReaderWorker(ReaderWorkerOptions options, NodeId self, PlatformStore& store,
                            ReaderSink& sink, uint64_t seed)
-    : parts_(std::make_unique<Parts>(options, self, store, sink, seed)) {}
+    : impl_(std::make_unique<Impl>(options, self, store, sink, seed)) {}
 
 ReaderWorker::~ReaderWorker() = default;
 
 void ReaderWorker::run() {
-  while (!parts_->isStopping()) {
-    parts_->turn();
+  while (!impl_->isStopping()) {
+    impl_->runStep();
   }
-  parts_->resign();
+  impl_->resign();
 }
 
 void ReaderWorker::stop() {
-  const std::lock_guard lock(parts_->mutex);
-  parts_->stopping = true;
-  parts_->wake.notify_all();
+  const std::lock_guard lock(impl_->mutex);
+  impl_->stopping = true;
+  impl_->stopCondition.notify_all();
 }
 
 ReaderCounters ReaderWorker::counters() const {
-  const std::lock_guard lock(parts_->mutex);
-  return parts_->counters;
+  const std::lock_guard lock(impl_->mutex);
+  return impl_->counters;
 }
 
 }  // namespace umberhold
--- a/source/common/platform/reader_worker.h
+++ b/source/common/platform/reader_worker.h
@@ -1,8 +1,8 @@
 /**
- * @file The blocking half of a reader: election, list, watch and machine list against the store.
+ * @file The blocking part of a reader: election, list, watch and machine list against the store.
  *
- * It runs in a thread of its owner. What it reads goes to a ReaderSink as records; nodes that hold
- * no lease only look at the leases now and then.
+ * It runs in a thread of its owner. The objects that it reads are passed to a ReaderSink as
+ * records. Nodes without a lease only poll the leases occasionally.
  */
 #pragma once
 
@@ -19,63 +19,69 @@
 
 namespace umberhold {
 
-/** Takes what a reader reads; called from the worker's thread. */
+/** Receives the objects that a reader reads; called from the worker's thread. */
 class ReaderSink {
  public:
   virtual ~ReaderSink() = default;
-  /** @return this node's candidacy now; asked at least once a second while the node holds nothing.
+  /**
+   * @return this node's current candidacy; called at least once a second while the node holds no
+   * lease.
    */
   virtual ReaderRanks ranks() = 0;
   /**
-   * New records, in the order of the store.
-   * @return whether they were taken over; if not, the worker lists the store again.
+   * Receives new records, in the order of the store.
+   * @return whether the records were accepted; if not, the worker lists the store again.
    */
   virtual bool onRecords(std::vector<ConfigRecord> records) = 0;
-  /** A kind was listed whole; the records themselves came before. */
+  /** Receives the summary of a complete list of one kind, after its records. */
   virtual void onListed(ListSummary summary) = 0;
   virtual void onMachines(std::vector<Machine> machines) = 0;
-  /** @return whether this node already takes packets; a list is then read at a gentle pace. */
+  /** @return whether this node already processes packets; if so, a list is read at a low rate. */
   virtual bool isServing() { return true; }
 };
 
-/** How the worker paces itself. */
+/** Timing and sizes of the worker. */
 struct ReaderWorkerOptions {
   ReaderElectionOptions election;
-  /** Objects of one list request; they bound the memory that a list takes. */
+  /** Objects per list request; bounds the memory used by a list. */
   size_t pageSize = 100;
-  /** Time between two pages on a node that serves; the watch goes on meanwhile. */
+  /** Time between two pages on a node that is serving; the watch continues in between. */
   Duration pagePause = std::chrono::milliseconds(500);
   Duration maxWatchDuration = std::chrono::seconds(5);
-  /** Whole list again, whatever the watch said. */
+  /** Interval between complete lists, regardless of the watch. */
   Duration relistInterval = std::chrono::hours(6);
   Duration machineListInterval = std::chrono::seconds(30);
   /**
-   * First interval between two readings of the machine list; it doubles up to machineListInterval. A
-   * system that starts registers its machines while the first reader already reads them, and
-   * regions without a contact wait for the next reading.
+   * Initial interval between two reads of the machine list; doubles up to machineListInterval. In a
+   * system that starts, machines register while the first reader already reads the list, and
+   * regions without a contact wait for the next read.
    */
   Duration initialMachineListInterval = std::chrono::seconds(1);
-  /** Three readers in the whole system can't flood a store that comes back, so they may ask often.
+  /**
+   * The maximum delay is short: three readers in the whole system cannot overload a recovering
+   * store.
    */
   BackOffOptions retry{std::chrono::milliseconds(200), std::chrono::seconds(1)};
   RetryBudgetOptions retryBudget{10, std::chrono::seconds(1)};
 };
 
-/** What a worker did so far. */
+/** Counters of a worker. */
 struct ReaderCounters {
   uint64_t lists = 0;
   uint64_t watches = 0;
   uint64_t records = 0;
-  /** Objects of the store that have no valid specification; their last valid version stays in
-   * force. */
+  /** Objects without a valid specification; their last valid version stays in effect. */
   uint64_t unreadable = 0;
   uint64_t storeFailures = 0;
   uint64_t leasesTaken = 0;
-  /** Slot held at the end of the last step. */
+  /** Slot held after the last step. */
   std::optional<uint8_t> slot;
 };
 
-/** One node's reader. run() is for one thread; the other calls may come from any. */
+/**
+ * One node's reader. run() must be called by one thread; the other functions may be called from any
+ * thread.
+ */
 class ReaderWorker {
  public:
   /** @param store and sink are borrowed and must outlive the worker. */
@@ -85,15 +91,18 @@
   ReaderWorker(const ReaderWorker&) = delete;
   ReaderWorker& operator=(const ReaderWorker&) = delete;
 
-  /** Works until stop(); gives its lease up at the end. */
+  /** Runs until stop(); releases the lease at the end. */
   void run();
-  /** Ends run() after its current call to the store: at most the longest watch and a time limit. */
+  /**
+   * Ends run() after its current call to the store: after at most the longest watch plus a call
+   * timeout.
+   */
   void stop();
   ReaderCounters counters() const;
 
  private:
-  struct Parts;
-  std::unique_ptr<Parts> parts_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace umberhold
--- a/source/common/platform/retry.cc
+++ b/source/common/platform/retry.cc
@@ -5,7 +5,10 @@
 namespace umberhold {
 namespace {
 
-/** Spreads callers that all got the same Retry-After. */
+/**
+ * Divisor of the random delay that is added to Retry-After, so that clients with the same
+ * Retry-After do not retry together.
+ */
 constexpr int kRetryAfterSpread = 4;
 
 Duration drawUpTo(Duration maxDelay, RandomSource& random) {
@@ -41,18 +44,18 @@
 
 Duration RetryBudget::waitTime(TimePoint now) {
   refill(now);
-  return tokens_ > 0 ? Duration{0} : *counted_ + options_.refill - now;
+  return tokens_ > 0 ? Duration{0} : *refilledAt_ + options_.refill - now;
 }
 
 void RetryBudget::refill(TimePoint now) {
-  if (!counted_ || tokens_ == options_.burst) {
-    counted_ = now;
+  if (!refilledAt_ || tokens_ == options_.burst) {
+    refilledAt_ = now;
     return;
   }
-  const auto earned = std::max<Duration::rep>((now - *counted_) / options_.refill, 0);
+  const auto earned = std::max<Duration::rep>((now - *refilledAt_) / options_.refill, 0);
   tokens_ = static_cast<uint32_t>(
       std::min<Duration::rep>(options_.burst, static_cast<Duration::rep>(tokens_) + earned));
-  *counted_ += earned * options_.refill;
+  *refilledAt_ += earned * options_.refill;
 }
 
 }  // namespace umberhold
--- a/source/common/platform/retry.h
+++ b/source/common/platform/retry.h
@@ -1,4 +1,4 @@
-/** @file Pacing of repeated calls: jittered exponential back-off and a retry budget. */
+/** @file Retry pacing: jittered exponential backoff and a retry budget. */
 #pragma once
 
 #include <cstdint>
@@ -9,27 +9,28 @@
 
 namespace umberhold {
 
-/** Shape of a back-off. */
+/** Parameters of a backoff. */
 struct BackOffOptions {
   Duration initialDelay = std::chrono::milliseconds(200);
   Duration maxDelay = std::chrono::seconds(10);
 };
 
 /**
- * Waits between the tries of one task: doubling up to the longest, each drawn from the upper half
- * of its range ("equal jitter"), so that callers that failed together don't come back together.
+ * Delays between the attempts of one task: they double up to the maximum, and each is drawn from
+ * the upper half of its range ("equal jitter"), so that clients that failed together do not retry
+ * together.
  */
 class BackOff {
  public:
-  /** @param random borrowed; must outlive the back-off. */
+  /** @param random borrowed; must outlive the backoff. */
   BackOff(BackOffOptions options, RandomSource& random);
 
   /**
-   * @param retryAfter what the server asked for; the wait is never shorter.
-   * @return how long to wait before the next try.
+   * @param retryAfter delay requested by the server; the returned delay is never shorter.
+   * @return the delay before the next attempt.
    */
   Duration next(std::optional<Duration> retryAfter = std::nullopt);
-  /** A try succeeded: the next failure starts again at the initial wait. */
+  /** Resets the delay to its initial value after a successful attempt. */
   void reset() { current_ = options_.initialDelay; }
 
  private:
@@ -38,22 +39,22 @@
   Duration current_;
 };
 
-/** Shape of a retry budget. */
+/** Parameters of a retry budget. */
 struct RetryBudgetOptions {
-  /** Retries that may follow each other at once. */
+  /** Maximum number of retries in a burst. */
   uint32_t burst = 10;
-  /** Time in which one more retry is earned. */
+  /** Time after which one more retry is added to the budget. */
   Duration refill = std::chrono::seconds(2);
 };
 
-/** Token bucket that bounds the retries of all tasks together, however many fail. */
+/** Token bucket that bounds the retries of all tasks together, however many of them fail. */
 class RetryBudget {
  public:
   explicit RetryBudget(RetryBudgetOptions options);
 
-  /** @return whether a retry may be made now; takes it off the budget if so. */
+  /** @return whether a retry is allowed now; if so, it is deducted from the budget. */
   bool tryTake(TimePoint now);
-  /** @return how long until tryTake succeeds; 0 if it would now. */
+  /** @return the time until tryTake() succeeds; 0 if it would succeed now. */
   Duration waitTime(TimePoint now);
 
  private:
@@ -61,8 +62,8 @@
 
   const RetryBudgetOptions options_;
   uint32_t tokens_;
-  /** Instant up to which refills are counted. */
-  std::optional<TimePoint> counted_;
+  /** Time up to which refills were added. */
+  std::optional<TimePoint> refilledAt_;
 };
 
 }  // namespace umberhold
--- a/source/common/platform/seed_requests.h
+++ b/source/common/platform/seed_requests.h
@@ -1,9 +1,10 @@
 /**
- * @file Which seed a node asks that starts while the store is silent, and when.
+ * @file Decides which seed a node contacts when it starts while the store is unresponsive, and
+ * when.
  *
- * Seeds are asked in turn, one with each probe of the store, so that a start in an outage costs
- * other machines no more than it costs the store. One that has to prepare its answer first is asked
- * again as soon as it should have. Decision logic without I/O.
+ * Seeds are contacted in turn, one with each probe of the store, so that a start during an outage
+ * puts no more load on other machines than on the store. A seed that has to prepare its answer
+ * first is contacted again when the answer should be ready. Pure decision logic without I/O.
  */
 #pragma once
 
@@ -15,27 +16,32 @@
 
 namespace umberhold {
 
-/** Not thread safe. */
+/** Schedules requests to seeds. Not thread safe. */
 class SeedRequests {
  public:
-  /** Until a seed is asked again that prepares its answer: encoding 10,000 hosts takes 28 ms of a
-   * core (host_state_benchmark). */
+  /**
+   * Delay before the next request to a seed that prepares its answer: encoding 10,000 hosts takes
+   * 28 ms of CPU time (host_state_benchmark).
+   */
   static constexpr Duration kPreparation = std::chrono::milliseconds(50);
 
-  /** @return the number of the seed to ask; the caller takes it modulo the number of seeds. */
+  /** @return the index of the seed to contact; the caller takes it modulo the number of seeds. */
   size_t seed() const { return seed_; }
-  /** @param nextProbe when the store is probed next. */
+  /** @param nextProbe time of the next probe of the store. */
   bool isDue(TimePoint now, TimePoint nextProbe) const {
     return now >= std::min(nextProbe, preparedAt_.value_or(nextProbe));
   }
-  /** @param needed whether a seed's answer is still of use. @return when a question is due beside
-   * those with each probe; nothing where none is. */
+  /**
+   * @param needed whether a seed's answer is still useful.
+   * @return the time of a request in addition to those sent with each probe; nothing if there is
+   * none.
+   */
   std::optional<TimePoint> nextRequestAt(bool needed) const {
     return needed ? preparedAt_ : std::nullopt;
   }
-  /** The seed has to prepare its answer. */
+  /** Reports that the seed is preparing its answer. */
   void onPreparing(TimePoint now) { preparedAt_ = now + kPreparation; }
-  /** The seed gave nothing: the next one is asked. */
+  /** Reports that the seed failed: the next seed is contacted. */
   void onFailed() {
     preparedAt_.reset();
     ++seed_;
--- a/source/common/platform/steady_now.h
+++ b/source/common/platform/steady_now.h
@@ -1,4 +1,6 @@
-/** @file The monotonic clock for this subsystem's blocking half; its decision logic takes instants.
+/**
+ * @file Monotonic clock for the blocking part of this subsystem; its decision logic takes time
+ * points as arguments.
  */
 #pragma once
 
@@ -8,7 +10,7 @@
 
 namespace umberhold {
 
-/** @return the current instant of this process's monotonic clock. */
+/** @return the current time of the process's monotonic clock. */
 inline TimePoint steadyNow() {
   return TimePoint(
       std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch()));
--- a/source/common/platform/store_json.cc
+++ b/source/common/platform/store_json.cc
@@ -20,8 +20,10 @@
   return StoreError{StoreErrorCode::kMalformedAnswer, detail, std::nullopt};
 }
 
-/** Parses a JSON object and lets `read` take it apart; every library exception becomes a
- * StoreError. */
+/**
+ * Parses a JSON object and passes it to `read`; every library exception is converted to a
+ * StoreError.
+ */
 template <class Value>
 Result<Value, StoreError> decode(const std::string& text,
                                  const std::function<Value(const Object::Ptr&)>& read) {
@@ -99,7 +101,10 @@
   return history;
 }
 
-/** The specification was checked when it was stored; an unreadable one becomes an empty object. */
+/**
+ * Converts the specification, which was validated when it was stored; an unparsable one becomes an
+ * empty object.
+ */
 Object::Ptr specificationToJson(const std::string& specification) {
   try {
     return Poco::JSON::Parser().parse(specification).extract<Object::Ptr>();
--- a/source/common/platform/store_json.h
+++ b/source/common/platform/store_json.h
@@ -1,8 +1,8 @@
 /**
- * @file JSON bodies of the platform's object API (docs/PLATFORM_API.md), both directions.
+ * @file JSON bodies of the platform's object API (docs/PLATFORM_API.md), encoding and decoding.
  *
- * Reading is tolerant of unknown keys, because the store is not ours; a missing or mistyped key is
- * StoreErrorCode::kMalformedAnswer.
+ * Decoding tolerates unknown keys, because the store is a third-party system; a missing or mistyped
+ * key is StoreErrorCode::kMalformedAnswer.
  */
 #pragma once
 
@@ -16,14 +16,14 @@
 
 namespace umberhold {
 
-/** Body of a PUT: what to write, and over which version. */
+/** Body of a PUT: the new content and the expected version. */
 struct PutBody {
   uint64_t expectedVersion = 0;
   std::vector<ChangeEntry> history;
   std::string specification;
 };
 
-/** @return the collection of a URL part, or nothing for an unknown one. */
+/** @return the collection for a URL segment, or nothing if it is unknown. */
 std::optional<Collection> parseCollection(std::string_view text);
 
 Result<std::string, StoreError> encodePutBody(const PutBody& body);
@@ -46,7 +46,7 @@
 std::string encodeVersion(uint64_t version);
 Result<uint64_t, StoreError> decodeVersion(const std::string& text);
 
-/** @param code snake_case error code, @param message for people. */
+/** @param code snake_case error code. @param message human-readable text. */
 std::string encodeError(const std::string& code, const std::string& message);
 
 }  // namespace umberhold
--- a/source/common/platform/store_lister.cc
+++ b/source/common/platform/store_lister.cc
@@ -28,7 +28,7 @@
   if (after_.empty()) {
     summary_ = ListSummary{kKinds[collection_].kind, page.version, {}};
     if (collection_ == 0) {
-      watchFrom_ = page.version;
+      watchStartVersion_ = page.version;
     }
   }
   for (const StoredObject& object : page.objects) {
--- a/source/common/platform/store_lister.h
+++ b/source/common/platform/store_lister.h
@@ -1,4 +1,4 @@
-/** @file Reads services and policies page by page, remembering how far it came. */
+/** @file Reads services and policies page by page and keeps the current position. */
 #pragma once
 
 #include <cstdint>
@@ -11,24 +11,26 @@
 
 namespace umberhold {
 
-/** What one step brought. */
+/** Result of one step. */
 struct ListStep {
   std::vector<StoredObject> objects;
-  /** Set when a kind is complete. */
+  /** Set when the list of a kind is complete. */
   std::optional<ListSummary> complete;
 };
 
-/** One pass over the collections of configuration; a failed step can be repeated. */
+/** One pass over the configuration collections; a failed step can be repeated. */
 class StoreLister {
  public:
-  /** @param store borrowed. @param pageSize objects read at once; they bound the memory used. */
+  /** @param store borrowed. @param pageSize objects per request; bounds the memory used. */
   StoreLister(PlatformStore& store, size_t pageSize) : store_(store), pageSize_(pageSize) {}
 
-  /** Reads the next page; not to be called once isComplete(). */
+  /** Reads the next page; must not be called once isComplete(). */
   Result<ListStep, StoreError> step();
   bool isComplete() const { return collection_ == kCollectionCount; }
-  /** @return where a watch must start to miss nothing: the version of the very first page. */
-  uint64_t watchStartVersion() const { return watchFrom_; }
+  /**
+   * @return the version at which a watch must start to miss no change: that of the very first page.
+   */
+  uint64_t watchStartVersion() const { return watchStartVersion_; }
 
  private:
   static constexpr size_t kCollectionCount = 2;
@@ -38,7 +40,7 @@
   size_t collection_ = 0;
   std::string after_;
   ListSummary summary_;
-  uint64_t watchFrom_ = 0;
+  uint64_t watchStartVersion_ = 0;
 };
 
 }  // namespace umberhold
--- a/source/common/platform/store_liveness.cc
+++ b/source/common/platform/store_liveness.cc
@@ -8,12 +8,12 @@
 namespace umberhold {
 namespace {
 
-/** Long enough for calls to be on their way before the probe. */
-constexpr Duration kResumePause = std::chrono::milliseconds(20);
-/** Of the wait after each further probe without an answer. */
-constexpr int kGrowth = 3;
-/** Of a start that are followed by the shortest wait. */
-constexpr uint32_t kFirstMisses = 10;
+/** Delay of a probe that is due soon: pending calls must be sent before it. */
+constexpr Duration kProbeDelay = std::chrono::milliseconds(20);
+/** Growth factor of the delay after each further unanswered probe. */
+constexpr int kMissDelayGrowth = 3;
+/** Number of unanswered probes after a start that are followed by the shortest delay. */
+constexpr uint32_t kShortDelayMisses = 10;
 
 }  // namespace
 
@@ -21,38 +21,39 @@
     : options_(options),
       random_(random),
       nextProbe_(now + jittered(options.first, options.jitter, random)),
-      afterMiss_(options.intervalAfterMiss) {}
+      delayAfterMiss_(options.intervalAfterMiss) {}
 
 WaitingCalls StoreLiveness::onProbe(TimePoint now, bool answered) {
   const Duration usual = serving_ ? options_.servingInterval : options_.interval;
-  nextProbe_ = now + jittered(answered ? usual : pauseAfterMiss(), options_.jitter, random_);
+  nextProbe_ = now + jittered(answered ? usual : nextDelayAfterMiss(), options_.jitter, random_);
   if (answered) {
-    afterMiss_ = options_.intervalAfterMiss;
+    delayAfterMiss_ = options_.intervalAfterMiss;
   }
-  const bool wasSilent = std::exchange(silent_, !answered);
-  return answered && wasSilent ? WaitingCalls::kRenew : WaitingCalls::kKeep;
+  const bool wasUnresponsive = std::exchange(unresponsive_, !answered);
+  return answered && wasUnresponsive ? WaitingCalls::kRenew : WaitingCalls::kKeep;
 }
 
-Duration StoreLiveness::pauseAfterMiss() {
+Duration StoreLiveness::nextDelayAfterMiss() {
   if (starting_) {
-    return ++startingMisses_ <= kFirstMisses ? options_.startingIntervalAfterMiss
-                                             : options_.maxStartingInterval;
+    return ++startingMisses_ <= kShortDelayMisses ? options_.startingIntervalAfterMiss
+                                                  : options_.maxStartingInterval;
   }
   if (following_ && !serving_) {
     return options_.maxIntervalAfterMiss;
   }
-  const Duration longest =
+  const Duration maximum =
       serving_ ? options_.servingIntervalAfterMiss : options_.maxIntervalAfterMiss;
-  return std::min(longest, std::exchange(afterMiss_, std::min(afterMiss_ * kGrowth, longest)));
+  return std::min(maximum, std::exchange(delayAfterMiss_,
+                                         std::min(delayAfterMiss_ * kMissDelayGrowth, maximum)));
 }
 
 void StoreLiveness::probeSoon(TimePoint now) {
-  nextProbe_ = std::min(nextProbe_, now + kResumePause);
+  nextProbe_ = std::min(nextProbe_, now + kProbeDelay);
 }
 
 void StoreLiveness::resume(TimePoint now) {
-  silent_ = false;
-  nextProbe_ = now + kResumePause;
+  unresponsive_ = false;
+  nextProbe_ = now + kProbeDelay;
 }
 
 }  // namespace umberhold
--- a/source/common/platform/store_liveness.h
+++ b/source/common/platform/store_liveness.h
@@ -1,10 +1,10 @@
 /**
- * @file Whether the store still answers, found out by small calls of its own.
+ * @file Detects whether the store is responsive, by small dedicated probes.
  *
- * A waiting watch says nothing for many seconds, whether nothing changes or its answer is lost: a
- * store that falls silent keeps its connections, and never answers what it was asked meanwhile.
- * Small probes at a short interval notice the silence; once they are answered again, every call
- * that was waiting must be made again. Decision logic without I/O.
+ * A pending watch receives nothing for many seconds, both when nothing changes and when its answer
+ * is lost: a store that becomes unresponsive keeps its connections open and never answers the
+ * requests that it received meanwhile. Small probes at a short interval detect this; once they are
+ * answered again, every pending call must be repeated. Pure decision logic without I/O.
  */
 #pragma once
 
@@ -15,70 +15,90 @@
 
 namespace umberhold {
 
-/** Pace of the probes. */
+/** Timing of the probes. */
 struct StoreLivenessOptions {
-  /** From the start to the first probe: longer than a list takes from a store that works. */
+  /** From the start to the first probe: longer than a healthy store takes for a list. */
   Duration first = std::chrono::milliseconds(300);
-  /** Between probes that are answered: with its jitter, one is sent in any silence of a second. */
+  /**
+   * Interval between probes that are answered: with jitter, at least one probe is sent in any
+   * unresponsive period of one second.
+   */
   Duration interval = std::chrono::milliseconds(800);
-  /** The same while other nodes rely on this one's reading: each probe confirms it to them. */
+  /**
+   * Interval while other nodes rely on this node's reads: each answered probe confirms their state.
+   */
   Duration servingInterval = std::chrono::milliseconds(500);
-  /** After a probe without an answer. Three times as long after each further one, unless other
-   * nodes rely on this one's reading. */
+  /**
+   * Interval after an unanswered probe. It triples after each further one, unless other nodes rely
+   * on this node's reads.
+   */
   Duration intervalAfterMiss = std::chrono::milliseconds(300);
   Duration maxIntervalAfterMiss = std::chrono::milliseconds(1200);
-  /** The same while other nodes rely on this one's reading. */
+  /** Interval after an unanswered probe while other nodes rely on this node's reads. */
   Duration servingIntervalAfterMiss = std::chrono::milliseconds(500);
-  /** The same while the process knows nothing yet, so that it can't serve before the store is back:
-   * for the first ones, and the longest. */
+  /**
+   * Intervals after an unanswered probe while the process holds no data yet, so that it cannot
+   * serve before the store recovers: for the first probes, and the maximum.
+   */
   Duration startingIntervalAfterMiss = std::chrono::milliseconds(100);
   Duration maxStartingInterval = std::chrono::milliseconds(250);
-  /** Intervals vary by up to this part, so that nodes that started together don't gather. */
+  /** Fraction by which intervals vary, so that nodes that started together do not synchronize. */
   double jitter = 0.2;
 };
 
-/** What a probe's end means for calls that wait. */
+/** What the result of a probe means for pending calls. */
 enum class WaitingCalls : uint8_t {
-  /** They may go on waiting. */
+  /** Pending calls may continue to wait. */
   kKeep,
-  /** They may never be answered: end them and make them again. */
+  /** Pending calls may never be answered: they must be ended and repeated. */
   kRenew,
 };
 
-/** Not thread safe. */
+/** Schedules probes and tracks whether the store answers. Not thread safe. */
 class StoreLiveness {
  public:
-  /** @param random borrowed; must outlive it. */
+  /** @param random borrowed; must outlive this object. */
   StoreLiveness(TimePoint now, StoreLivenessOptions options, RandomSource& random);
 
-  /** @return when to probe next. */
+  /** @return the time of the next probe. */
   TimePoint nextProbe() const { return nextProbe_; }
-  /** Calls begin to wait after a time without any: nothing is known, and a probe is due soon. */
+  /**
+   * Restarts probing when calls are pending again after a time without any: the state of the store
+   * is unknown, and a probe is due soon.
+   */
   void resume(TimePoint now);
-  /** Whether other nodes rely on this one's reading. */
+  /** Sets whether other nodes rely on this node's reads. */
   void setServing(bool serving) { serving_ = serving; }
-  /** Whether this node hears from a reader that the store is back: it needs no hurry itself. */
+  /**
+   * Sets whether a reader notifies this node when the store recovers: frequent probes are then
+   * unnecessary.
+   */
   void setFollowing(bool following) { following_ = following; }
-  /** Whether the process knows nothing yet. */
+  /** Sets whether the process holds no data yet. */
   void setStarting(bool starting) { starting_ = starting; }
-  /** Calls wait that a probe can vouch for: others wait for that. */
+  /**
+   * Schedules a probe soon, because pending calls need the confirmation that an answered probe
+   * gives.
+   */
   void probeSoon(TimePoint now);
-  /** A probe ended. @param answered whether with an answer that a healthy store gives. */
+  /**
+   * Reports the end of a probe. @param answered whether it was answered as a healthy store does.
+   */
   WaitingCalls onProbe(TimePoint now, bool answered);
-  /** @return whether the last probe had no answer. */
-  bool isUnresponsive() const { return silent_; }
+  /** @return whether the last probe was unanswered. */
+  bool isUnresponsive() const { return unresponsive_; }
 
  private:
-  /** @return how long to wait after a probe without an answer. */
-  Duration pauseAfterMiss();
+  /** @return the delay after an unanswered probe. */
+  Duration nextDelayAfterMiss();
 
   const StoreLivenessOptions options_;
   RandomSource& random_;
   TimePoint nextProbe_;
-  bool silent_ = false;
-  /** How long to wait after the next miss. */
-  Duration afterMiss_;
-  /** Misses in a row while starting. */
+  bool unresponsive_ = false;
+  /** Delay after the next unanswered probe. */
+  Duration delayAfterMiss_;
+  /** Consecutive unanswered probes while starting. */
   uint32_t startingMisses_ = 0;
   bool serving_ = false;
   bool starting_ = false;
--- a/source/common/platform/store_read_status.h
+++ b/source/common/platform/store_read_status.h
@@ -1,4 +1,4 @@
-/** @file How a process's reading of the platform's store goes, for logs and metrics. */
+/** @file Status of a process's reads from the platform's store, for logs and metrics. */
 #pragma once
 
 #include <cstdint>
@@ -8,28 +8,30 @@
 
 namespace umberhold {
 
-/** A snapshot. */
+/** A snapshot of the status. */
 struct StoreReadStatus {
   uint64_t lists = 0;
   uint64_t watches = 0;
-  /** Calls without a whole answer of use. */
+  /** Calls without a complete, usable response. */
   uint64_t failures = 0;
-  /** Objects that could not be understood. */
+  /** Objects that could not be parsed. */
   uint64_t unreadable = 0;
-  /** Answers of peers by whether they confirmed what this node holds, and their absence. */
+  /**
+   * Peer answers that confirmed this node's state, and requests to peers without such an answer.
+   */
   uint64_t peerConfirmations = 0;
   uint64_t peerFailures = 0;
-  /** Questions of peers that were answered with this node's reading. */
+  /** Peer requests that were answered with this node's state. */
   uint64_t answeredPeerRequests = 0;
-  /** How often all hosts were encoded for peers that were too far behind. */
+  /** Number of times that all hosts were encoded for peers that were too far behind. */
   uint64_t hostCopies = 0;
-  /** Whether this node reads the store itself at present; otherwise it follows a peer. */
+  /** Whether this node currently reads the store itself; otherwise it follows a peer. */
   bool readsStore = true;
-  /** Nodes of this node's zone that are known, itself included. */
+  /** Known nodes of this node's zone, itself included. */
   uint32_t zoneNodes = 1;
-  /** Whether calls fail at present. */
+  /** Whether calls are currently failing. */
   bool failing = false;
-  /** When the store last answered. */
+  /** Time of the store's last answer. */
   std::optional<TimePoint> lastAnswerAt;
   /** The operator's version of the effective configuration, and when it was read; 0 for none. */
   uint64_t configurationVersion = 0;
--- a/source/common/platform/stored_catalog.cc
+++ b/source/common/platform/stored_catalog.cc
@@ -12,8 +12,8 @@
 namespace {
 
 template <class Object>
-void addReadable(const StoredObject& object, Result<Object, ObjectError> parsed,
-                 std::vector<CatalogChange>& changes) {
+void addParsed(const StoredObject& object, Result<Object, ObjectError> parsed,
+               std::vector<CatalogChange>& changes) {
   if (isOk(parsed)) {
     changes.push_back(std::move(valueOf(parsed)));
     return;
@@ -30,9 +30,9 @@
   if (isDeleted(object)) {
     changes.push_back(DeletedObject{object.collection, object.name});
   } else if (isPool) {
-    addReadable(object, parseHostPool(object.name, object.specification), changes);
+    addParsed(object, parseHostPool(object.name, object.specification), changes);
   } else {
-    addReadable(object, parseService(object.name, object.specification), changes);
+    addParsed(object, parseService(object.name, object.specification), changes);
   }
 }
 
@@ -59,12 +59,12 @@
   if (!isOk(batch)) {
     return errorOf(batch);
   }
-  CatalogChanges news;
-  news.version = valueOf(batch).version;
+  CatalogChanges update;
+  update.version = valueOf(batch).version;
   for (const StoredObject& object : valueOf(batch).events) {
-    add(object, news.changes);
+    add(object, update.changes);
   }
-  return news;
+  return update;
 }
 
 }  // namespace umberhold
--- a/source/common/platform/stored_catalog.h
+++ b/source/common/platform/stored_catalog.h
@@ -1,4 +1,4 @@
-/** @file The catalogue as the product's own objects in the platform's store hold it. */
+/** @file Catalog source that reads the product's own objects in the platform's store. */
 #pragma once
 
 #include "common/platform/catalog_source.h"
@@ -6,7 +6,7 @@
 
 namespace umberhold {
 
-/** Objects that can't be read are logged and passed over. As thread safe as its store. */
+/** Objects that cannot be parsed are logged and skipped. As thread safe as its store. */
 class StoredCatalog : public CatalogSource {
  public:
   /** @param store borrowed. */
--- a/source/common/platform/stored_object_record.cc
+++ b/source/common/platform/stored_object_record.cc
@@ -27,7 +27,7 @@
 }  // namespace
 
 Result<ConfigRecord, RecordError> toConfigRecord(const StoredObject& object) {
-  // Pools are read by nodes of the strategy "token" themselves; they are not spread.
+  // Nodes with the strategy "token" read pools themselves; pools are not disseminated.
   if (object.collection != Collection::kServices && object.collection != Collection::kPolicies) {
     return RecordError{NotConfiguration{}};
   }
--- a/source/common/platform/stored_object_record.h
+++ b/source/common/platform/stored_object_record.h
@@ -1,4 +1,4 @@
-/** @file From objects of the store to records of the configuration spread. */
+/** @file Converts store objects to records for configuration dissemination. */
 #pragma once
 
 #include <variant>
@@ -11,13 +11,13 @@
 
 namespace umberhold {
 
-/** The object's collection holds no configuration. */
+/** The object's collection does not hold configuration. */
 struct NotConfiguration {};
 
-/** Why an object has no record. */
+/** Why an object cannot be converted. */
 using RecordError = std::variant<ObjectError, EncodeError, NotConfiguration>;
 
-/** @return the record of an object at its version; a tombstone where it is deleted. */
+/** @return the record of an object at its version; a tombstone if the object is deleted. */
 Result<ConfigRecord, RecordError> toConfigRecord(const StoredObject& object);
 
 }  // namespace umberhold
--- a/source/common/platform/zone_evacuations.cc
+++ b/source/common/platform/zone_evacuations.cc
@@ -17,16 +17,16 @@
   knownUpTo_ = std::max(knownUpTo_, version);
 }
 
-void ZoneEvacuations::onSnapshot(const EvacuatedZones& whole, uint64_t version) {
+void ZoneEvacuations::onSnapshot(const EvacuatedZones& snapshot, uint64_t version) {
   if (version < knownUpTo_) {
     return;
   }
   knownUpTo_ = version;
-  for (const std::string& zone : whole.zones) {
+  for (const std::string& zone : snapshot.zones) {
     set(zone, {version, true});
   }
   for (const auto& [zone, state] : zones_) {
-    if (!whole.zones.contains(zone)) {
+    if (!snapshot.zones.contains(zone)) {
       set(zone, {version, false});
     }
   }
--- a/source/common/platform/zone_evacuations.h
+++ b/source/common/platform/zone_evacuations.h
@@ -1,8 +1,8 @@
 /**
- * @file Which zones are evacuated, as news of it comes from several sources out of order.
+ * @file Tracks which zones are evacuated from updates that several sources deliver out of order.
  *
- * An evacuation begins, ends, and may begin again; lists, watches and peers tell of it at different
- * times. Each piece of news carries the store's version, and older news never replaces newer.
+ * An evacuation starts, ends, and may start again; lists, watches and peers report it at different
+ * times. Each update carries the store's version, and an older update never replaces a newer one.
  */
 #pragma once
 
@@ -15,17 +15,22 @@
 
 namespace umberhold {
 
-/** No I/O, not thread safe. */
+/** The evacuated zones. No I/O, not thread safe. */
 class ZoneEvacuations {
  public:
   /** @param version of the store at the change. */
   void onStarted(const std::string& zone, uint64_t version);
   void onEnded(const std::string& zone, uint64_t version);
-  /** Nothing but what was read happened up to the version: a list or a watch's answer ended. */
+  /**
+   * Reports that all changes up to the version have been applied: a list or a watch's answer is
+   * complete.
+   */
   void onKnownUpTo(uint64_t version);
-  /** All evacuations as of the version: zones that it lacks are not evacuated any more. One that is
-   * older than what is known tells nothing, also of zones that are not known. */
-  void onSnapshot(const EvacuatedZones& whole, uint64_t version);
+  /**
+   * Applies the complete set of evacuated zones at the version: zones that it lacks are not
+   * evacuated. A snapshot older than the known state is ignored, also for zones that are not known.
+   */
+  void onSnapshot(const EvacuatedZones& snapshot, uint64_t version);
 
   EvacuatedZones evacuated() const;
   /** @return whether evacuated() has changed since the last call. */
--- a/test/common/platform/host_copy_test.cc
+++ b/test/common/platform/host_copy_test.cc
@@ -1,4 +1,4 @@
-/** @file All hosts in parts, however many there are. */
+/** @file Snapshot of all hosts in parts, for any number of hosts. */
 #include "common/platform/host_copy.h"
 
 #include <algorithm>
@@ -13,28 +13,28 @@
 
 namespace {
 
-/** Twice as many as the largest deployment has; a single message holds about half of them. */
-constexpr uint64_t kManyHosts = 20000;
+/** Twice the size of the largest deployment; a single message holds about half of these hosts. */
+constexpr uint64_t kHostCount = 20000;
 
 HostEvent host(uint64_t number) {
-  HostEvent made;
-  made.pool = "dispatch";
-  made.host.name = "i-5f0c3e9a77b1" + std::to_string(number);
-  made.host.zone = "megenagna";
-  made.host.endpoint = Endpoint{0x0A000000 + static_cast<uint32_t>(number), 8080};
-  made.host.incarnation = number * 0x9E3779B97F4A7C15U;
-  made.host.bornMilliseconds = 1764000000000 + number;
-  made.version = number;
-  made.madeAt = number;
-  return made;
+  HostEvent result;
+  result.pool = "dispatch";
+  result.host.name = "i-5f0c3e9a77b1" + std::to_string(number);
+  result.host.zone = "megenagna";
+  result.host.endpoint = Endpoint{0x0A000000 + static_cast<uint32_t>(number), 8080};
+  result.host.incarnation = number * 0x9E3779B97F4A7C15U;
+  result.host.bornMilliseconds = 1764000000000 + number;
+  result.version = number;
+  result.madeAt = number;
+  return result;
 }
 
 std::vector<HostEvent> hosts(uint64_t count) {
-  std::vector<HostEvent> made;
+  std::vector<HostEvent> result;
   for (uint64_t number = 1; number <= count; ++number) {
-    made.push_back(host(number));
+    result.push_back(host(number));
   }
-  return made;
+  return result;
 }
 
 std::vector<HostEvent> hostsOf(const HostCopy& copy) {
@@ -51,19 +51,19 @@
 
 TEST_GROUP(HostCopy){};
 
-TEST(HostCopy, HoldsMoreHostsThanOneMessage) {
-  const auto all = hosts(kManyHosts);
+TEST(HostCopy, HoldsMoreHostsThanFitOneMessage) {
+  const auto all = hosts(kHostCount);
   PeerChanges inOneMessage;
   inOneMessage.events = all;
   CHECK_FALSE(isOk(encodePeerChanges(inOneMessage)));
-  const auto copy = makeHostCopy(kManyHosts, all);
+  const auto copy = makeHostCopy(kHostCount, all);
   CHECK_TRUE(isOk(copy));
-  LONGS_EQUAL(kManyHosts / kHostsPerCopyPart, valueOf(copy).parts.size());
+  LONGS_EQUAL(kHostCount / kHostsPerCopyPart, valueOf(copy).parts.size());
   CHECK_TRUE(hostsOf(valueOf(copy)) == all);
 }
 
-TEST(HostCopy, EachPartIsFarBelowTheLongestMessage) {
-  const auto copy = makeHostCopy(kManyHosts, hosts(kManyHosts));
+TEST(HostCopy, EachPartIsFarBelowTheMessageLimit) {
+  const auto copy = makeHostCopy(kHostCount, hosts(kHostCount));
   for (const std::string& part : valueOf(copy).parts) {
     const auto expanded = expandPayload(part);
     CHECK_TRUE(isOk(expanded));
@@ -71,14 +71,14 @@
   }
 }
 
-TEST(HostCopy, OfNoHostsHasOnePart) {
+TEST(HostCopy, HasOnePartWithoutHosts) {
   const auto copy = makeHostCopy(7, {});
   CHECK_TRUE(isOk(copy));
   LONGS_EQUAL(1, valueOf(copy).parts.size());
   CHECK_TRUE(hostsOf(valueOf(copy)).empty());
 }
 
-TEST(HostCopy, TheLastTwoAreKept) {
+TEST(HostCopy, KeepsTheLastTwoCopies) {
   HostCopies copies;
   POINTERS_EQUAL(nullptr, copies.latest());
   for (const uint64_t version : {3, 5, 8}) {
--- a/test/common/platform/host_event_log_test.cc
+++ b/test/common/platform/host_event_log_test.cc
@@ -1,4 +1,4 @@
-/** @file What a reader can tell of the changes after a version. */
+/** @file Which changes after a version a reader can supply. */
 #include "common/platform/host_event_log.h"
 
 // Last, because its macros replace operator new.
@@ -9,17 +9,17 @@
 namespace {
 
 HostEvent event(uint64_t version) {
-  HostEvent made;
-  made.host.name = "i-" + std::to_string(version);
-  made.version = version;
-  return made;
+  HostEvent result;
+  result.host.name = "i-" + std::to_string(version);
+  result.version = version;
+  return result;
 }
 
 }  // namespace
 
 TEST_GROUP(HostEventLog){};
 
-TEST(HostEventLog, GivesTheEventsAfterAVersion) {
+TEST(HostEventLog, ReturnsTheEventsAfterAVersion) {
   HostEventLog log;
   log.beginAt(10);
   for (const uint64_t version : {11, 12, 15}) {
@@ -30,7 +30,7 @@
   CHECK_TRUE(log.since(15)->empty());
 }
 
-TEST(HostEventLog, SaysSoWhereItReachesNotFarEnoughBack) {
+TEST(HostEventLog, ReturnsNothingForVersionsBeforeItsStart) {
   HostEventLog log(2);
   CHECK_FALSE(log.since(0).has_value());
   log.beginAt(10);
@@ -42,8 +42,11 @@
   CHECK_EQUAL(2U, log.since(11)->size());
 }
 
-/** A whole list of an older version than the log's: what came after it must not be missed. */
-TEST(HostEventLog, NeverBeginsBeforeWhatItHasTold) {
+/**
+ * A complete list may be older than the log: the events after the list's version must not be
+ * missed.
+ */
+TEST(HostEventLog, NeverStartsBeforeItsLastEvent) {
   HostEventLog log;
   log.beginAt(10);
   log.add(event(15));
@@ -54,9 +57,11 @@
   CHECK_FALSE(log.since(14).has_value());
 }
 
-/** A store that forgets its history makes its readers list: their followers need the difference,
- * not everything. */
-TEST(HostEventLog, AListLeavesThoseWhoWereAsFarAsTheListerWithADifference) {
+/**
+ * A store that loses its history makes its readers list: their followers need a delta, not a full
+ * copy.
+ */
+TEST(HostEventLog, APeerAtTheListersVersionGetsADelta) {
   HostEventLog log;
   log.beginAt(10);
   log.add(event(11));
@@ -68,8 +73,8 @@
   CHECK_EQUAL(1U, log.since(20)->size());
 }
 
-/** It may know of a host that came and went, which no list shows. */
-TEST(HostEventLog, WhoIsWithinAGapNeedsEverything) {
+/** Such a peer may hold a host that was added and removed in between, which no list shows. */
+TEST(HostEventLog, APeerWithinAGapNeedsAFullCopy) {
   HostEventLog log;
   log.beginAt(10);
   log.onSkipped(12, 20);
@@ -78,15 +83,15 @@
   }
 }
 
-TEST(HostEventLog, AListOfWhoKnewNothingIsABeginning) {
+TEST(HostEventLog, StartsAtAListWithoutEarlierState) {
   HostEventLog log;
   log.onSkipped(0, 20);
   CHECK_FALSE(log.reaches(0));
   CHECK_TRUE(log.reaches(20));
 }
 
-/** Who was told the outcome alone can't tell more to others. */
-TEST(HostEventLog, AGapIsPassedOnWithTheEvents) {
+/** A node that received only the net result cannot supply the single changes to others. */
+TEST(HostEventLog, PassesGapsOnWithTheEvents) {
   HostEventLog lister;
   lister.beginAt(10);
   lister.onSkipped(12, 20);
@@ -103,14 +108,14 @@
   LONGS_EQUAL(1, follower.gapsAfter(0).size());
 }
 
-TEST(HostEventLog, KeepsFewGaps) {
-  constexpr uint64_t kMany = 100;
+TEST(HostEventLog, BoundsTheNumberOfGaps) {
+  constexpr uint64_t kGapCount = 100;
   HostEventLog log;
   log.beginAt(0);
-  for (uint64_t gap = 0; gap < kMany; ++gap) {
+  for (uint64_t gap = 0; gap < kGapCount; ++gap) {
     log.onSkipped(gap * 10 + 5, gap * 10 + 10);
   }
   CHECK_FALSE(log.reaches(0));
-  CHECK_TRUE(log.reaches(kMany * 10 - 10));
-  CHECK_FALSE(log.reaches(kMany * 10 - 3));
+  CHECK_TRUE(log.reaches(kGapCount * 10 - 10));
+  CHECK_FALSE(log.reaches(kGapCount * 10 - 3));
 }
--- a/test/common/platform/host_presence_test.cc
+++ b/test/common/platform/host_presence_test.cc
@@ -1,4 +1,4 @@
-/** @file Which hosts take new flows while registrations come, vanish and return. */
+/** @file Which hosts receive new flows while registrations appear, vanish and return. */
 #include "common/platform/host_presence.h"
 
 #include <CppUTest/TestHarness.h>
@@ -21,14 +21,14 @@
   }
 
   HostRegistration registration(int index, HostState state = HostState::kActive) {
-    HostRegistration made;
-    made.pool = "dispatch";
-    made.host.name = nameOf(index);
-    made.host.state = state;
-    made.version = ++version;
-    made.madeAt = made.version;
-    made.host.endpoint = {0x0A000000U + static_cast<uint32_t>(index), 80};
-    return made;
+    HostRegistration result;
+    result.pool = "dispatch";
+    result.host.name = nameOf(index);
+    result.host.state = state;
+    result.version = ++version;
+    result.madeAt = result.version;
+    result.host.endpoint = {0x0A000000U + static_cast<uint32_t>(index), 80};
+    return result;
   }
   void registerHosts(int count) {
     for (int index = 0; index < count; ++index) {
@@ -59,7 +59,7 @@
   }
 };
 
-TEST(HostPresence, AHostThatVanishesAloneDrainsAtOnceAndIsForgottenAfterItsLastFlow) {
+TEST(HostPresence, SingleVanishedHostDrainsAndIsDroppedAfterRetention) {
   registerHosts(14);
   remove(3);
   settle();
@@ -73,14 +73,14 @@
   CHECK_FALSE(presence.nextChange().has_value());
 }
 
-TEST(HostPresence, AHostThatSaysSoDrainsAtOnce) {
+TEST(HostPresence, HostRegisteredAsDrainingDrainsImmediately) {
   registerHosts(4);
   presence.onRegistered(registration(2, HostState::kDraining));
   settle();
   LONGS_EQUAL(3, active());
 }
 
-TEST(HostPresence, ALargePartThatVanishesAtOnceStaysActiveForTheGrace) {
+TEST(HostPresence, MassRemovalKeepsHostsActiveForTheGracePeriod) {
   registerHosts(14);
   for (int index = 0; index < 7; ++index) {
     remove(index);
@@ -94,9 +94,11 @@
   LONGS_EQUAL(7, draining());
 }
 
-/** Guards against flows on leaving hosts: a grace from late news on outlasts the bound of the
- * drain. */
-TEST(HostPresence, TheGraceCountsFromTheEndAndNotFromLateNewsOfIt) {
+/**
+ * Guards against flows on leaving hosts: a grace period that starts with a delayed report would
+ * exceed the bound of the drain.
+ */
+TEST(HostPresence, GracePeriodStartsAtTheEndOfTheRegistrationNotAtALateReport) {
   registerHosts(4);
   const TimePoint lastPresentAt = now;
   now += milliseconds(1500);
@@ -110,7 +112,7 @@
   LONGS_EQUAL(2, active());
 }
 
-TEST(HostPresence, NewsThatAreLaterThanTheGraceTakeAHostOutOfUseAtOnce) {
+TEST(HostPresence, RemovalReportedAfterTheGracePeriodDrainsImmediately) {
   registerHosts(4);
   const TimePoint lastPresentAt = now;
   now += seconds(3);
@@ -120,7 +122,7 @@
   LONGS_EQUAL(2, active());
 }
 
-TEST(HostPresence, HostsThatVanishOneByOneCountAsALargePartTogether) {
+TEST(HostPresence, SuccessiveRemovalsCountAsOneMassRemoval) {
   registerHosts(4);
   remove(0);
   settle();
@@ -131,7 +133,7 @@
   LONGS_EQUAL(4, active());
 }
 
-TEST(HostPresence, ALargePartThatSaidItLeavesDoesNotComeBackByVanishing) {
+TEST(HostPresence, DrainingHostsDoNotBecomeActiveByVanishing) {
   registerHosts(4);
   presence.onRegistered(registration(0, HostState::kDraining));
   presence.onRegistered(registration(1, HostState::kDraining));
@@ -141,7 +143,7 @@
   LONGS_EQUAL(2, active());
 }
 
-TEST(HostPresence, AHostThatVanishesInAnOutagesAftermathStaysActiveForTheGrace) {
+TEST(HostPresence, HostThatVanishesAfterAnOutageStaysActiveForTheGracePeriod) {
   registerHosts(14);
   presence.onOutage();
   now += seconds(5);
@@ -160,7 +162,7 @@
   LONGS_EQUAL(12, active());
 }
 
-TEST(HostPresence, AHostThatRegistersAnewWithinTheGraceNeverStopped) {
+TEST(HostPresence, HostThatRegistersAgainWithinTheGracePeriodStaysActive) {
   registerHosts(4);
   presence.onOutage();
   presence.onRecovered(now);
@@ -176,37 +178,37 @@
   CHECK_FALSE(presence.nextChange().has_value());
 }
 
-TEST(HostPresence, OldNewsTakeNothingBack) {
+TEST(HostPresence, OlderVersionsAreIgnored) {
   registerHosts(4);
-  HostRegistration old = registration(0);
+  HostRegistration olderVersion = registration(0);
   presence.onRegistered(registration(0, HostState::kDraining));
-  presence.onRegistered(old);
+  presence.onRegistered(olderVersion);
   presence.onRemoved(now, nameOf(1), 1);
   settle();
   LONGS_EQUAL(3, active());
   CHECK_TRUE(pools["dispatch"].hosts[0].state == HostState::kDraining);
 }
 
-TEST(HostPresence, AListEndsWhatItLacksButNotWhatIsNewer) {
+TEST(HostPresence, ListEndsMissingRegistrationsExceptNewerOnes) {
   registerHosts(6);
-  const uint64_t listed = version;
+  const uint64_t listVersion = version;
   presence.onRegistered(registration(6));
   std::set<std::string> names;
   for (int index = 0; index < 5; ++index) {
     names.insert(nameOf(index));
   }
-  presence.onListed(now, listed, names);
+  presence.onListed(now, listVersion, names);
   settle();
   LONGS_EQUAL(6, active());
   LONGS_EQUAL(1, draining());
 }
 
-TEST(HostPresence, OfTwoHostsWithOneEndpointOnlyTheLaterRegisteredIsThere) {
+TEST(HostPresence, LaterRegisteredHostSupersedesItsEndpointsPreviousHost) {
   HostRegistration crashed = registration(9);
   HostRegistration successor = registration(1);
   successor.host.endpoint = crashed.host.endpoint;
   successor.pool = "mapstore";
-  // In the order of a list: by name, whatever came first.
+  // In the order of a list: by name, regardless of the order of registration.
   presence.onRegistered(successor);
   presence.onRegistered(crashed);
   settle();
@@ -218,7 +220,7 @@
   LONGS_EQUAL(1, pools["mapstore"].hosts.size());
 }
 
-TEST(HostPresence, ALateWriteOfAnEarlierLifeDoesNotBringItBack) {
+TEST(HostPresence, DelayedWriteFromBeforeARestartIsIgnored) {
   HostRegistration first = registration(1, HostState::kDraining);
   first.host.bornMilliseconds = 1000;
   presence.onRegistered(first);
@@ -239,30 +241,30 @@
   LONGS_EQUAL(0, active());
 }
 
-TEST(HostPresence, AnEntryWithoutABirthKeepsTheKnownOne) {
-  HostRegistration told = registration(1);
-  told.host.bornMilliseconds = 1000;
-  presence.onRegistered(told);
+TEST(HostPresence, RegistrationWithoutStartTimeKeepsTheKnownOne) {
+  HostRegistration withStartTime = registration(1);
+  withStartTime.host.bornMilliseconds = 1000;
+  presence.onRegistered(withStartTime);
   CHECK_TRUE(presence.onRegistered(registration(1, HostState::kDraining)));
   settle();
   LONGS_EQUAL(1, draining());
   CHECK_TRUE(pools["dispatch"].hosts[0].bornMilliseconds == 1000);
 }
 
-TEST(HostPresence, OfTwoHostsAtOneEndpointTheLaterBornLivesThoughItsEntryIsOlder) {
-  HostRegistration returned = registration(1);
-  returned.host.bornMilliseconds = 3000;
-  HostRegistration between = registration(2);
-  between.host.endpoint = returned.host.endpoint;
-  between.host.bornMilliseconds = 2000;
-  presence.onRegistered(between);
-  presence.onRegistered(returned);
+TEST(HostPresence, LaterStartedHostSupersedesANewerRegistrationOfItsEndpoint) {
+  HostRegistration restarted = registration(1);
+  restarted.host.bornMilliseconds = 3000;
+  HostRegistration otherHost = registration(2);
+  otherHost.host.endpoint = restarted.host.endpoint;
+  otherHost.host.bornMilliseconds = 2000;
+  presence.onRegistered(otherHost);
+  presence.onRegistered(restarted);
   settle();
   LONGS_EQUAL(1, active());
   STRCMP_EQUAL(nameOf(1).c_str(), pools["dispatch"].hosts[0].name.c_str());
 }
 
-TEST(HostPresence, AnEntryOfAPoolThatIsNotConfiguredEndsNobody) {
+TEST(HostPresence, RegistrationInAnUnconfiguredPoolSupersedesNoHost) {
   presence.setConfiguredPools({"dispatch"});
   registerHosts(1);
   HostRegistration foreign = registration(2);
--- a/test/common/platform/http_call_test.cc
+++ b/test/common/platform/http_call_test.cc
@@ -9,12 +9,12 @@
 
 TEST_GROUP_BASE(HttpCall, test::WithoutLeakDetection){};
 
-TEST(HttpCall, AServerThatTakesTheRequestAndNeverAnswersIsALostAnswer) {
-  // The kernel completes the connection, as it does for a process that is stopped.
-  const Poco::Net::ServerSocket silent(Poco::Net::SocketAddress("127.0.0.1", 0));
+TEST(HttpCall, UnansweredRequestIsALostAnswer) {
+  // The kernel accepts the connection, as it does for a stopped process.
+  const Poco::Net::ServerSocket unresponsive(Poco::Net::SocketAddress("127.0.0.1", 0));
   CallLimits limits;
   limits.answer = std::chrono::milliseconds(200);
-  const Endpoint server{0x7F000001, silent.address().port()};
+  const Endpoint server{0x7F000001, unresponsive.address().port()};
   const auto answer = callHttp(server, {"GET", "/", "", {}, {}}, limits);
   CHECK_FALSE(isOk(answer));
   CHECK_TRUE(errorOf(answer).code == StoreErrorCode::kAnswerLost);
--- a/test/common/platform/http_platform_store_test.cc
+++ b/test/common/platform/http_platform_store_test.cc
@@ -1,4 +1,6 @@
-/** @file The HTTP store client against the stand-in platform on loopback: every answer and failure.
+/**
+ * @file The HTTP store client against the platform stand-in on loopback: every response and
+ * failure.
  */
 #include "common/platform/http_platform_store.h"
 
@@ -16,16 +18,16 @@
 
 namespace {
 
-/** Limits that end no call which the stand-in answers, however busy the machine. */
-CallLimits ampleLimits() {
+/** Timeouts that no call answered by the stand-in exceeds, even on a busy machine. */
+CallLimits generousLimits() {
   CallLimits limits;
   limits.connect = std::chrono::seconds(20);
   limits.answer = std::chrono::seconds(20);
   return limits;
 }
 
-/** Limits for calls whose answer never comes or comes late. */
-CallLimits quickLimits() {
+/** Timeouts for calls whose response is lost or late. */
+CallLimits shortLimits() {
   CallLimits limits;
   limits.connect = std::chrono::milliseconds(500);
   limits.answer = std::chrono::milliseconds(500);
@@ -49,10 +51,10 @@
   std::unique_ptr<PlatformServer> server =
       std::make_unique<PlatformServer>(PlatformServerOptions{});
   std::unique_ptr<HttpPlatformStore> store =
-      std::make_unique<HttpPlatformStore>(server->api(), ampleLimits());
-  /** Gives up soon. */
-  std::unique_ptr<HttpPlatformStore> hastyStore =
-      std::make_unique<HttpPlatformStore>(server->api(), quickLimits());
+      std::make_unique<HttpPlatformStore>(server->api(), generousLimits());
+  /** A client with short timeouts. */
+  std::unique_ptr<HttpPlatformStore> shortTimeoutStore =
+      std::make_unique<HttpPlatformStore>(server->api(), shortLimits());
 
   uint64_t mustPut(const StoredObject& object) {
     const auto version = store->put(object);
@@ -67,7 +69,7 @@
   }
 };
 
-TEST(HttpPlatformStore, RefusesAChangeOverAnotherVersionThanTheCurrent) {
+TEST(HttpPlatformStore, RejectsAChangeWithAnOutdatedExpectedVersion) {
   const uint64_t first = mustPut(makeObject("dispatch", 0));
   checkError(StoreErrorCode::kConflict, store->put(makeObject("dispatch", 0)));
   checkError(StoreErrorCode::kConflict, store->put(makeObject("mapstore", first)));
@@ -92,7 +94,7 @@
   checkError(StoreErrorCode::kNotFound, store->remove(makeObject(name, version)));
 }
 
-TEST(HttpPlatformStore, RejectsWhatIsNoJsonBeforeSendingIt) {
+TEST(HttpPlatformStore, RejectsInvalidJsonBeforeSending) {
   checkError(StoreErrorCode::kRejected, store->put(makeObject("dispatch", 0, "{broken")));
   CHECK_EQUAL(0U, server->state().counters.put.load());
 }
@@ -109,13 +111,13 @@
   CHECK_TRUE(isOk(last));
   CHECK_EQUAL(1U, valueOf(last).objects.size());
   CHECK_TRUE(valueOf(last).next.empty());
-  const auto whole = store->list(Collection::kServices);
-  CHECK_TRUE(isOk(whole));
-  CHECK_EQUAL(5U, valueOf(whole).objects.size());
-  CHECK_EQUAL(5U, valueOf(whole).version);
+  const auto fullList = store->list(Collection::kServices);
+  CHECK_TRUE(isOk(fullList));
+  CHECK_EQUAL(5U, valueOf(fullList).objects.size());
+  CHECK_EQUAL(5U, valueOf(fullList).version);
 }
 
-TEST(HttpPlatformStore, WatchTellsChangesAndDeletionsInOrder) {
+TEST(HttpPlatformStore, WatchReportsChangesAndDeletionsInOrder) {
   const uint64_t first = mustPut(makeObject("dispatch", 0));
   const uint64_t second = mustPut(makeObject("dispatch", first));
   CHECK_TRUE(isOk(store->remove(makeObject("dispatch", second))));
@@ -142,7 +144,7 @@
   CHECK_EQUAL(1U, server->state().counters.mostOpenWatches.load());
 }
 
-TEST(HttpPlatformStore, LeaseWritesWakeNoWatch) {
+TEST(HttpPlatformStore, LeaseWritesEndNoWatch) {
   StoredObject lease = makeObject("reader-0", 0);
   lease.collection = Collection::kLeases;
   const uint64_t version = mustPut(lease);
@@ -162,34 +164,34 @@
   CHECK_TRUE(isOk(store->watch(first + 1, std::chrono::milliseconds(20))));
 }
 
-TEST(HttpPlatformStore, ALostAnswerLeavesTheChangeIn) {
+TEST(HttpPlatformStore, ChangeIsAppliedWhenItsAnswerIsLost) {
   FaultSettings faults;
   faults.loseAnswersNext = 1;
   server->setFaults(faults);
-  checkError(StoreErrorCode::kAnswerLost, hastyStore->put(makeObject("dispatch", 0)));
+  checkError(StoreErrorCode::kAnswerLost, shortTimeoutStore->put(makeObject("dispatch", 0)));
   CHECK_TRUE(isOk(store->get(Collection::kServices, "dispatch")));
 }
 
-TEST(HttpPlatformStore, ALostRequestLooksTheSameButTheChangeIsNotIn) {
+TEST(HttpPlatformStore, ChangeIsNotAppliedWhenItsRequestIsLost) {
   FaultSettings faults;
   faults.loseRequestsNext = 1;
   server->setFaults(faults);
-  checkError(StoreErrorCode::kAnswerLost, hastyStore->put(makeObject("dispatch", 0)));
+  checkError(StoreErrorCode::kAnswerLost, shortTimeoutStore->put(makeObject("dispatch", 0)));
   checkError(StoreErrorCode::kNotFound, store->get(Collection::kServices, "dispatch"));
 }
 
-TEST(HttpPlatformStore, ALateChangeTakesEffectAfterItsCallerGaveUp) {
+TEST(HttpPlatformStore, DelayedChangeIsAppliedAfterItsCallerTimedOut) {
   FaultSettings faults;
   faults.lateChangesNext = 1;
   faults.lateBy = std::chrono::milliseconds(200);
   server->setFaults(faults);
-  checkError(StoreErrorCode::kAnswerLost, hastyStore->put(makeObject("dispatch", 0)));
+  checkError(StoreErrorCode::kAnswerLost, shortTimeoutStore->put(makeObject("dispatch", 0)));
   const auto batch = store->watch(0, std::chrono::seconds(20));
   CHECK_TRUE(isOk(batch));
   CHECK_EQUAL(1U, valueOf(batch).events.size());
 }
 
-TEST(HttpPlatformStore, UnavailableStoreSaysWhenToComeBackAndRunsNothing) {
+TEST(HttpPlatformStore, UnavailableStoreReturnsRetryAfterAndAppliesNothing) {
   FaultSettings faults;
   faults.outage = Outage::kUnavailable;
   faults.retryAfterSeconds = 7;
@@ -214,7 +216,7 @@
   FaultSettings faults;
   faults.slow = std::chrono::milliseconds(900);
   server->setFaults(faults);
-  checkError(StoreErrorCode::kAnswerLost, hastyStore->put(makeObject("dispatch", 0)));
+  checkError(StoreErrorCode::kAnswerLost, shortTimeoutStore->put(makeObject("dispatch", 0)));
 }
 
 TEST(HttpPlatformStore, MachineListLagsBehindRegistrations) {
