--- a/test/common/platform/object_json_test.cc
+++ b/test/common/platform/object_json_test.cc
@@ -1,4 +1,4 @@
-/** @file Strict reading of specifications, and their round trip. */
+/** @file Strict parsing of specifications, and round trips. */
 #include "common/platform/object_json.h"
 
 #include <rapidcheck.h>
@@ -15,14 +15,15 @@
     R"("probe":"10.0.0.1:9001","zone":"bole","state":"draining","drain_deadline":1700000000,)"
     R"("connection_limit":1500,"weight":50}]})";
 
-/** The complete specification with one text replaced. */
-std::string with(const std::string& from, const std::string& to) {
+/** @return the complete specification with one substring replaced. */
+std::string withReplaced(const std::string& from, const std::string& to) {
   std::string text = kComplete;
   const size_t at = text.find(from);
   return at == std::string::npos ? "" : text.replace(at, from.size(), to);
 }
 
-void checkRefused(ObjectErrorCode code, const std::string& path, const std::string& specification) {
+void checkRejected(ObjectErrorCode code, const std::string& path,
+                   const std::string& specification) {
   const auto service = parseService("dispatch", specification);
   CHECK_FALSE(isOk(service));
   STRCMP_EQUAL(std::string(toString(code)).c_str(),
@@ -34,35 +35,38 @@
 
 TEST_GROUP(ObjectJson){};
 
-TEST(ObjectJson, NamesThePlaceOfEveryFault) {
-  checkRefused(ObjectErrorCode::kSyntax, "", "{\"region\":");
-  checkRefused(ObjectErrorCode::kSyntax, "", "[]");
-  checkRefused(ObjectErrorCode::kUnknownKey, "sharts", with("shards", "sharts"));
-  checkRefused(ObjectErrorCode::kUnknownKey, "hosts[0].wait", with("weight", "wait"));
-  checkRefused(ObjectErrorCode::kMissingKey, "port", with("\"port\":7000,", ""));
-  checkRefused(ObjectErrorCode::kMissingKey, "hosts[0].zone", with("\"zone\":\"bole\",", ""));
-  checkRefused(ObjectErrorCode::kWrongType, "port", with("7000", "\"7000\""));
-  checkRefused(ObjectErrorCode::kWrongType, "port", with("7000", "true"));
-  checkRefused(ObjectErrorCode::kWrongType, "port", with("7000", "7000.5"));
-  checkRefused(ObjectErrorCode::kWrongType, "region", with("\"addis\"", "5"));
-  checkRefused(ObjectErrorCode::kWrongType, "hosts[0]", with("[{", "[7,{"));
-  checkRefused(ObjectErrorCode::kOutOfRange, "port", with("7000", "65536"));
-  checkRefused(ObjectErrorCode::kOutOfRange, "port", with("7000", "0"));
-  checkRefused(ObjectErrorCode::kOutOfRange, "shards", with("\"shards\":5", "\"shards\":65"));
-  checkRefused(ObjectErrorCode::kOutOfRange, "hosts[0].weight",
-               with("\"weight\":50", "\"weight\":-1"));
-  checkRefused(ObjectErrorCode::kOutOfRange, "hosts[0].connection_limit",
-               with("1500", "18446744073709551615"));
-  checkRefused(ObjectErrorCode::kInvalidValue, "protocol", with("udp", "sctp"));
-  checkRefused(ObjectErrorCode::kInvalidValue, "address", with("10.9.0.1", "10.9.0"));
-  checkRefused(ObjectErrorCode::kInvalidValue, "hosts[0].address", with("10.0.0.1:9000", "h:1"));
-  checkRefused(ObjectErrorCode::kInvalidValue, "hosts[0].state", with("draining", "gone"));
-  checkRefused(ObjectErrorCode::kInvalidValue, "hosts[0].incarnation",
-               with("\"weight\":50", "\"incarnation\":\"xyz\""));
-  checkRefused(ObjectErrorCode::kMissingKey, "groups[0].pool",
-               with("\"shards\":5", "\"shards\":5,\"groups\":[{}]"));
-  checkRefused(ObjectErrorCode::kInvalidValue, "requests",
-               with("\"shards\":5", "\"shards\":5,\"requests\":\"often\""));
+TEST(ObjectJson, ReportsThePathOfEveryError) {
+  checkRejected(ObjectErrorCode::kSyntax, "", "{\"region\":");
+  checkRejected(ObjectErrorCode::kSyntax, "", "[]");
+  checkRejected(ObjectErrorCode::kUnknownKey, "sharts", withReplaced("shards", "sharts"));
+  checkRejected(ObjectErrorCode::kUnknownKey, "hosts[0].wait", withReplaced("weight", "wait"));
+  checkRejected(ObjectErrorCode::kMissingKey, "port", withReplaced("\"port\":7000,", ""));
+  checkRejected(ObjectErrorCode::kMissingKey, "hosts[0].zone",
+                withReplaced("\"zone\":\"bole\",", ""));
+  checkRejected(ObjectErrorCode::kWrongType, "port", withReplaced("7000", "\"7000\""));
+  checkRejected(ObjectErrorCode::kWrongType, "port", withReplaced("7000", "true"));
+  checkRejected(ObjectErrorCode::kWrongType, "port", withReplaced("7000", "7000.5"));
+  checkRejected(ObjectErrorCode::kWrongType, "region", withReplaced("\"addis\"", "5"));
+  checkRejected(ObjectErrorCode::kWrongType, "hosts[0]", withReplaced("[{", "[7,{"));
+  checkRejected(ObjectErrorCode::kOutOfRange, "port", withReplaced("7000", "65536"));
+  checkRejected(ObjectErrorCode::kOutOfRange, "port", withReplaced("7000", "0"));
+  checkRejected(ObjectErrorCode::kOutOfRange, "shards",
+                withReplaced("\"shards\":5", "\"shards\":65"));
+  checkRejected(ObjectErrorCode::kOutOfRange, "hosts[0].weight",
+                withReplaced("\"weight\":50", "\"weight\":-1"));
+  checkRejected(ObjectErrorCode::kOutOfRange, "hosts[0].connection_limit",
+                withReplaced("1500", "18446744073709551615"));
+  checkRejected(ObjectErrorCode::kInvalidValue, "protocol", withReplaced("udp", "sctp"));
+  checkRejected(ObjectErrorCode::kInvalidValue, "address", withReplaced("10.9.0.1", "10.9.0"));
+  checkRejected(ObjectErrorCode::kInvalidValue, "hosts[0].address",
+                withReplaced("10.0.0.1:9000", "h:1"));
+  checkRejected(ObjectErrorCode::kInvalidValue, "hosts[0].state", withReplaced("draining", "gone"));
+  checkRejected(ObjectErrorCode::kInvalidValue, "hosts[0].incarnation",
+                withReplaced("\"weight\":50", "\"incarnation\":\"xyz\""));
+  checkRejected(ObjectErrorCode::kMissingKey, "groups[0].pool",
+                withReplaced("\"shards\":5", "\"shards\":5,\"groups\":[{}]"));
+  checkRejected(ObjectErrorCode::kInvalidValue, "requests",
+                withReplaced("\"shards\":5", "\"shards\":5,\"requests\":\"often\""));
 }
 
 TEST(ObjectJson, ReadsEveryField) {
@@ -88,7 +92,7 @@
   CHECK_TRUE(expected == valueOf(service));
 }
 
-TEST(ObjectJson, LeavesOutWhatHasADefault) {
+TEST(ObjectJson, AppliesDefaultsToAbsentFields) {
   const auto service =
       parseService("docs", R"({"region":"hobart","address":"10.9.0.2","port":443,"protocol":"tcp",)"
                            R"("hosts":[{"name":"a","address":"10.0.0.2:1","zone":"north"}]})");
@@ -101,7 +105,7 @@
   CHECK_EQUAL(3, valueOf(service).shardCount);
 }
 
-TEST(ObjectJson, PolicySourceSurvivesQuotesAndLines) {
+TEST(ObjectJson, PolicySourceWithQuotesAndNewlinesRoundTrips) {
   const Policy policy{"p", "function weigh(host)\n  return \"\\\"\xC3\xA9\" and 1\nend\t"};
   const auto read = parsePolicy("p", formatPolicy(policy));
   CHECK_TRUE(isOk(read));
@@ -110,10 +114,10 @@
   CHECK_FALSE(isOk(parsePolicy("p", "{}")));
 }
 
-/** rapidcheck keeps its configuration in statics. */
+/** rapidcheck keeps its configuration in static variables. */
 TEST_GROUP_BASE(ObjectJsonProperty, test::WithoutLeakDetection){};
 
-TEST(ObjectJsonProperty, WhatIsWrittenReadsTheSame) {
+TEST(ObjectJsonProperty, ServicesRoundTrip) {
   const bool held = rc::check("service round trip", [] {
     Service service;
     service.name = "round-trip";
@@ -141,7 +145,7 @@
   CHECK_TRUE(held);
 }
 
-TEST(ObjectJson, GroupsAndIncarnationsSurviveTheRoundTrip) {
+TEST(ObjectJson, GroupsAndIncarnationsRoundTrip) {
   Service service;
   service.name = "pickup";
   service.region = "addis";
--- a/test/common/platform/read_source_test.cc
+++ b/test/common/platform/read_source_test.cc
@@ -1,4 +1,4 @@
-/** @file Whether a node reads the store or follows a peer, and which. */
+/** @file Whether a node reads the store or follows a peer, and which peer. */
 #include "common/platform/read_source.h"
 
 // Last, because its macros replace operator new.
@@ -26,7 +26,7 @@
   TimePoint now = kStart;
   ReadSource source{kStart, options, random};
 
-  /** Seven nodes; the larger the number, the later it is asked. @param self 1 to 7. */
+  /** Sets a roster of seven nodes; a higher number ranks lower. @param self 1 to 7. */
   void setRoster(int self, bool isUpToDate = false) {
     std::vector<RosterNode> all;
     for (int number = 1; number <= 7; ++number) {
@@ -37,8 +37,8 @@
     source.setRoster(now, roster, isUpToDate);
   }
   std::string peer() {
-    const auto asked = source.selectPeer(now);
-    return asked ? asked->name : "none";
+    const auto selected = source.selectPeer(now);
+    return selected ? selected->name : "none";
   }
   void confirm(Duration age = Duration{0}) {
     peer();
@@ -50,7 +50,7 @@
   }
 };
 
-TEST(ReadSource, WaitsAShortWhileForARosterAndThenReads) {
+TEST(ReadSource, WaitsForARosterAndThenReadsTheStore) {
   checkCause(ReadCause::kUndecided);
   CHECK_FALSE(source.readsStore(now));
   now += options.rosterWait;
@@ -58,13 +58,13 @@
   CHECK_TRUE(source.readsStore(now));
 }
 
-TEST(ReadSource, AReaderReadsAndAsksNobody) {
+TEST(ReadSource, ReaderReadsTheStoreAndPollsNoPeer) {
   setRoster(1);
   checkCause(ReadCause::kReader);
   CHECK_TRUE(source.nextRequestAt(now) == TimePoint::max());
 }
 
-TEST(ReadSource, TheOthersAskTheReader) {
+TEST(ReadSource, OtherNodesPollTheReader) {
   setRoster(5);
   checkCause(ReadCause::kFollowsPeer);
   CHECK_TRUE(source.nextRequestAt(now) == now);
@@ -74,7 +74,7 @@
   CHECK_TRUE(source.nextRequestAt(now) <= now + options.pollInterval * 11 / 10);
 }
 
-TEST(ReadSource, WithoutAYoungConfirmationTheStoreIsRead) {
+TEST(ReadSource, ReadsTheStoreWithoutARecentConfirmation) {
   setRoster(5);
   confirm();
   now += options.unconfirmedTimeout;
@@ -86,8 +86,7 @@
   checkCause(ReadCause::kFollowsPeer);
 }
 
-/** The age of the peer's own confirmation counts, not that of its answer. */
-TEST(ReadSource, ANodeThatLearntLateWhomToAskHasTimeToAskBeforeItReads) {
+TEST(ReadSource, LateRosterLeavesTimeToPollBeforeReading) {
   now += seconds(1);
   setRoster(5);
   now += milliseconds(1500);
@@ -96,7 +95,7 @@
   CHECK_TRUE(source.readsStore(now));
 }
 
-TEST(ReadSource, ANodeThatLearntVeryLateWhomToAskReadsWithinTwiceTheTime) {
+TEST(ReadSource, VeryLateRosterLeadsToReadingWithinTwiceTheTimeout) {
   now += milliseconds(3500);
   setRoster(5);
   CHECK_FALSE(source.readsStore(now));
@@ -104,7 +103,8 @@
   CHECK_TRUE(source.readsStore(now));
 }
 
-TEST(ReadSource, AnOldConfirmationCountsFromItsOwnTime) {
+/** The age of the peer's own confirmation counts, not that of its answer. */
+TEST(ReadSource, ConfirmationCountsFromItsOwnTime) {
   setRoster(5);
   now += seconds(10);
   confirm(options.maxConfirmationAge);
@@ -113,7 +113,7 @@
   CHECK_TRUE(source.readsStore(now));
 }
 
-TEST(ReadSource, APeerWhoseReadingIsNotConfirmedIsPassedOver) {
+TEST(ReadSource, SkipsAPeerWithoutARecentConfirmation) {
   setRoster(5);
   now += seconds(10);
   confirm(options.maxConfirmationAge + milliseconds(1));
@@ -123,7 +123,7 @@
   STRCMP_EQUAL("node-1", peer().c_str());
 }
 
-TEST(ReadSource, AfterAFailureTheNextCandidateIsAskedAtOnce) {
+TEST(ReadSource, PollsTheNextCandidateImmediatelyAfterAFailure) {
   setRoster(5);
   confirm();
   now += options.pollInterval;
@@ -135,7 +135,7 @@
   STRCMP_EQUAL("node-3", peer().c_str());
 }
 
-TEST(ReadSource, AFailingPeerIsAskedEverMoreSeldom) {
+TEST(ReadSource, FailingPeerIsSkippedForIncreasingTimes) {
   source.onSynchronized();
   setRoster(5);
   Duration penalty = options.initialPenalty;
@@ -154,7 +154,7 @@
   STRCMP_EQUAL("node-1", peer().c_str());
 }
 
-TEST(ReadSource, WhereNobodyCanBeAskedItWaitsBetweenQuestions) {
+TEST(ReadSource, WaitsBetweenRequestsWhenAllPeersAreSkipped) {
   source.onSynchronized();
   setRoster(5);
   for (int failures = 0; failures < 6; ++failures) {
@@ -165,8 +165,11 @@
   CHECK_TRUE(source.nextRequestAt(now) == now + options.retryInterval);
 }
 
-/** All peers may be dark: each costs its time-out, and the node's own bound must not wait. */
-TEST(ReadSource, WhileTheStoreIsReadAnywayQuestionsAreSeldom) {
+/**
+ * If all peers are unreachable, each request costs a timeout; the bound on the node's staleness
+ * must not depend on that.
+ */
+TEST(ReadSource, PollsRarelyWhileReadingTheStoreAnyway) {
   setRoster(5);
   source.onSynchronized();
   now += options.unconfirmedTimeout + milliseconds(1);
@@ -175,8 +178,8 @@
   CHECK_TRUE(source.nextRequestAt(now) == now + options.retryInterval);
 }
 
-/** A peer that refuses may be starting, too: all machines may start at once. */
-TEST(ReadSource, ANodeThatHasNothingAsksPeersAgainSoon) {
+/** A peer that rejects the request may be starting, too: all machines may start at once. */
+TEST(ReadSource, NodeWithoutDataPollsPeersAgainSoon) {
   setRoster(5);
   for (int number = 1; number <= 6; ++number) {
     CHECK_FALSE(peer() == "none");
@@ -189,7 +192,7 @@
   STRCMP_EQUAL("node-1", peer().c_str());
 }
 
-TEST(ReadSource, AnotherReaderAsksThoseBeforeItWhileItHasNothing) {
+TEST(ReadSource, ReaderWithoutDataPollsHigherRankedReaders) {
   rosterOptions.nodesPerReader = 2;
   setRoster(3);
   checkCause(ReadCause::kReader);
@@ -200,7 +203,7 @@
   STRCMP_EQUAL("node-2", peer().c_str());
   source.onFailure(now);
   STRCMP_EQUAL("none", peer().c_str());
-  // Others that ask it meanwhile don't keep it from asking.
+  // Requests from other nodes do not keep it from polling.
   source.onPeerRequest(now);
   CHECK_TRUE(source.nextRequestAt(now) <= now + options.startingPenalty);
   CHECK_FALSE(source.listsImmediately(now));
@@ -208,7 +211,7 @@
   CHECK_TRUE(source.nextRequestAt(now) == TimePoint::max());
 }
 
-TEST(ReadSource, OnlyTheFirstReaderAndNodesThatAreAskedListAtOnce) {
+TEST(ReadSource, OnlyTheFirstReaderAndPolledNodesListImmediately) {
   CHECK_FALSE(source.listsImmediately(now));
   setRoster(1);
   CHECK_TRUE(source.listsImmediately(now));
@@ -220,8 +223,10 @@
   CHECK_TRUE(source.listsImmediately(now));
 }
 
-/** Its list may take long: going on to the next reader would only make that one list, too. */
-TEST(ReadSource, APeerThatGetsOnIsWaitedFor) {
+/**
+ * The peer's list may take long: going on to the next reader would only make that one list as well.
+ */
+TEST(ReadSource, KeepsPollingAStartingPeerThatMakesProgress) {
   setRoster(5);
   for (uint64_t progress = 1; progress <= 3 * options.maxStartingPeerTries; ++progress) {
     STRCMP_EQUAL("node-1", peer().c_str());
@@ -235,7 +240,7 @@
   STRCMP_EQUAL("node-2", peer().c_str());
 }
 
-TEST(ReadSource, APeerThatBeginsToReadIsAskedAgainSoonButNotForever) {
+TEST(ReadSource, SkipsAStartingPeerWithoutProgressAfterSeveralTries) {
   setRoster(5);
   for (uint32_t tries = 1; tries < options.maxStartingPeerTries; ++tries) {
     STRCMP_EQUAL("node-1", peer().c_str());
@@ -248,8 +253,8 @@
   STRCMP_EQUAL("node-2", peer().c_str());
 }
 
-/** In an outage each further candidate would call the store in vain. */
-TEST(ReadSource, WhereTheStoreIsSilentOnlyTheReaderIsAsked) {
+/** In an outage every further candidate would call the store in vain. */
+TEST(ReadSource, PollsOnlyTheReaderWhileTheStoreIsUnresponsive) {
   setRoster(5);
   source.onSynchronized();
   now += options.unconfirmedTimeout + milliseconds(1);
@@ -267,11 +272,11 @@
   STRCMP_EQUAL("node-2", peer().c_str());
 }
 
-TEST(ReadSource, ANodeThatIsAskedReadsForAsLongAsItIsAsked) {
+TEST(ReadSource, PolledNodeReadsTheStoreWhileItIsPolled) {
   setRoster(5);
   confirm();
   source.onPeerRequest(now);
-  checkCause(ReadCause::kServesPeers);
+  checkCause(ReadCause::kServesOthers);
   CHECK_TRUE(source.readsStore(now));
   CHECK_TRUE(source.servesOthers(now));
   CHECK_TRUE(source.nextRequestAt(now) >= now + options.servePeersDuration);
@@ -283,25 +288,25 @@
 }
 
 /**
- * The bound of decision 0018: from the last confirmation by a reader that dies to the reading of
- * the store, whatever the other candidates do.
+ * The bound of decision 0018: from the last confirmation by a reader that then fails until the node
+ * reads the store, whatever the other candidates do.
  */
-TEST(ReadSource, ALostReaderIsMadeUpForWithinItsBound) {
+TEST(ReadSource, ReplacesAFailedReaderWithinItsBound) {
   setRoster(5);
   confirm();
   const TimePoint lost = now;
   while (!source.readsStore(now)) {
     now = std::max(now + milliseconds(1), std::min(source.nextRequestAt(now), now + seconds(1)));
     if (now >= source.nextRequestAt(now) && source.selectPeer(now)) {
-      now += milliseconds(750);  // The time-out of a peer that is dark.
+      now += milliseconds(750);  // The timeout of an unreachable peer.
       source.onFailure(now);
     }
     CHECK_TRUE(now < lost + options.unconfirmedTimeout + seconds(1));
   }
 }
 
-/** It started in an outage, and knows nobody before the store answers again. */
-TEST(ReadSource, ANodeThatReadUntilItKnewWhomToAskLeavesPeersTheTimeToConfirm) {
+/** The node started during an outage and has no roster until the store answers again. */
+TEST(ReadSource, FirstRosterOfAnUpToDateNodeLeavesPeersTimeToConfirm) {
   now = kStart + seconds(20);
   setRoster(5, true);
   checkCause(ReadCause::kFollowsPeer);
@@ -309,7 +314,7 @@
   checkCause(ReadCause::kUnconfirmed);
 }
 
-TEST(ReadSource, ANodeWhoseListIsOldReadsWhereNoPeerHasConfirmedIt) {
+TEST(ReadSource, NodeWithAnOldListReadsTheStoreWithoutAConfirmation) {
   now = kStart + seconds(20);
   setRoster(5, false);
   checkCause(ReadCause::kUnconfirmed);
--- a/test/common/platform/reader_candidacy_test.cc
+++ b/test/common/platform/reader_candidacy_test.cc
@@ -1,4 +1,4 @@
-/** @file Few candidates a region, spread over zones, the same on every node. */
+/** @file Candidates are few per region, spread over zones, and the same on every node. */
 #include "common/platform/reader_candidacy.h"
 
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** A view with members 1 to n in three zones, seen from one of them. */
+/** A membership view with members 1 to n in three zones, as seen by one of them. */
 class FixedView : public MembershipView {
  public:
   FixedView(uint32_t count, MemberState state) {
@@ -36,7 +36,7 @@
   NodeId selfId{1};
 };
 
-/** Candidates of each slot by rank, as the nodes themselves see it. */
+/** @return the candidates of each slot by rank, as computed by the nodes themselves. */
 std::vector<std::map<uint8_t, NodeId>> allCandidates(FixedView& view) {
   std::vector<std::map<uint8_t, NodeId>> slots(kReaderSlots);
   for (const auto& [id, member] : view.members) {
@@ -81,7 +81,7 @@
   }
 }
 
-TEST(ReaderCandidacy, JoiningMembersCountOnlyWhereNobodyElseRuns) {
+TEST(ReaderCandidacy, JoiningMembersCountOnlyWithoutRunningMembers) {
   FixedView starting(6, MemberState::kJoining);
   CHECK_EQUAL(3U, allCandidates(starting)[0].size());
   starting.members[NodeId{4}].state = MemberState::kAlive;
--- a/test/common/platform/reader_election_property.cc
+++ b/test/common/platform/reader_election_property.cc
@@ -1,6 +1,6 @@
 /**
- * @file The election under pauses, clocks of different rates, lost, slow and late calls: a slot
- * never has two believers, and once the faults end every slot is held.
+ * @file The election under pauses, different clock rates, and lost, slow and delayed calls: a slot
+ * never has two holders, and once the faults end every slot is held.
  */
 #include <rapidcheck.h>
 
@@ -21,7 +21,7 @@
 constexpr Duration kStep = 50ms;
 constexpr Duration kCallLimit = 5s;
 
-/** Slots of the store, with conditional writes. */
+/** Lease slots of the store, with conditional writes. */
 class SimulatedStore {
  public:
   std::optional<ObservedLease> read(uint8_t slot) const { return slots_[slot]; }
@@ -40,14 +40,14 @@
   uint64_t version_ = 0;
 };
 
-/** How bad the world is. */
+/** Fault rates of a run. */
 struct Faults {
   double loss = 0;
   double pause = 0;
-  Duration slowest{0};
+  Duration maxDelay{0};
 };
 
-/** A call on its way. */
+/** A call in progress. */
 struct Call {
   ElectionAction action;
   TimePoint sentAt;
@@ -56,11 +56,11 @@
   bool requestLost = false;
   bool answerLost = false;
   bool hasArrived = false;
-  std::optional<ObservedLease> seen;
+  std::optional<ObservedLease> observed;
   std::optional<uint64_t> written;
 };
 
-/** One node with a clock of its own rate and offset. */
+/** A node whose clock has its own rate and offset. */
 class SimulatedNode {
  public:
   SimulatedNode(uint32_t id, uint64_t seed)
@@ -87,7 +87,7 @@
     }
   }
 
-  std::optional<uint8_t> believedSlot(Duration at) const {
+  std::optional<uint8_t> heldSlot(Duration at) const {
     return at < pausedUntil_ ? std::nullopt : election_.heldSlot(localTime(at));
   }
 
@@ -105,33 +105,33 @@
     Call call;
     call.action = action;
     call.sentAt = localTime(at);
-    const auto delay = static_cast<uint64_t>(faults.slowest.count()) + 1;
+    const auto delay = static_cast<uint64_t>(faults.maxDelay.count()) + 1;
     call.arrives = at + Duration(static_cast<Duration::rep>(random_.below(delay)));
     call.answered = call.arrives + Duration(static_cast<Duration::rep>(random_.below(delay)));
     call.requestLost = random_.unit() < faults.loss;
     call.answerLost = random_.unit() < faults.loss;
-    underWay_.push_back(std::make_shared<Call>(call));
-    call_ = underWay_.back();
+    inFlight_.push_back(std::make_shared<Call>(call));
+    call_ = inFlight_.back();
     callEnds_ = at + kCallLimit;
   }
 
-  /** Requests arrive whether or not their sender still waits, or runs at all. */
+  /** Delivers due requests, even if their sender has given up waiting or is paused. */
   void deliverRequests(Duration at, SimulatedStore& store) {
-    std::erase_if(underWay_, [&](const std::shared_ptr<Call>& call) {
+    std::erase_if(inFlight_, [&](const std::shared_ptr<Call>& call) {
       if (at < call->arrives) {
         return false;
       }
       if (!call->requestLost) {
-        arrive(*call, store);
+        execute(*call, store);
       }
       return true;
     });
   }
 
-  static void arrive(Call& call, SimulatedStore& store) {
+  static void execute(Call& call, SimulatedStore& store) {
     call.hasArrived = true;
-    if (const auto* toRead = std::get_if<ReadLease>(&call.action)) {
-      call.seen = store.read(toRead->slot);
+    if (const auto* readAction = std::get_if<ReadLease>(&call.action)) {
+      call.observed = store.read(readAction->slot);
     } else {
       call.written = store.write(std::get<WriteLease>(call.action));
     }
@@ -144,9 +144,9 @@
     }
     const std::shared_ptr<Call> call = std::exchange(call_, nullptr);
     const StoreError lost{StoreErrorCode::kAnswerLost, "", {}};
-    if (const auto* toRead = std::get_if<ReadLease>(&call->action)) {
-      isAnswered ? election_.onRead(localTime(at), toRead->slot, call->seen)
-                 : election_.onReadFailed(localTime(at), toRead->slot, lost);
+    if (const auto* readAction = std::get_if<ReadLease>(&call->action)) {
+      isAnswered ? election_.onRead(localTime(at), readAction->slot, call->observed)
+                 : election_.onReadFailed(localTime(at), readAction->slot, lost);
       return;
     }
     const auto& write = std::get<WriteLease>(call->action);
@@ -166,15 +166,15 @@
   Duration pausedUntil_{0};
   std::shared_ptr<Call> call_;
   Duration callEnds_{0};
-  std::vector<std::shared_ptr<Call>> underWay_;
+  std::vector<std::shared_ptr<Call>> inFlight_;
 };
 
-/** @return how many nodes believe in each slot. */
-std::map<uint8_t, int> believers(const std::vector<std::unique_ptr<SimulatedNode>>& nodes,
-                                 Duration at) {
+/** @return the number of nodes that consider themselves the holder of each slot. */
+std::map<uint8_t, int> holderCounts(const std::vector<std::unique_ptr<SimulatedNode>>& nodes,
+                                    Duration at) {
   std::map<uint8_t, int> counts;
   for (const auto& node : nodes) {
-    if (const auto slot = node->believedSlot(at)) {
+    if (const auto slot = node->heldSlot(at)) {
       ++counts[*slot];
     }
   }
@@ -185,14 +185,14 @@
 
 TEST_GROUP_BASE(ReaderElectionProperty, test::WithoutLeakDetection){};
 
-TEST(ReaderElectionProperty, ASlotNeverHasTwoBelieversAndAllAreHeldInTheEnd) {
-  const bool held = rc::check("one believer a slot", [] {
+TEST(ReaderElectionProperty, SlotHasAtMostOneHolderAndAllAreHeldAfterTheFaults) {
+  const bool held = rc::check("at most one holder per slot", [] {
     const auto seed = *rc::gen::arbitrary<uint64_t>();
     const auto nodeCount = *rc::gen::inRange<uint32_t>(3, 13);
     Faults faults;
     faults.loss = *rc::gen::inRange(0, 50) / 100.0;
     faults.pause = *rc::gen::inRange(0, 10) / 1000.0;
-    faults.slowest = std::chrono::milliseconds(*rc::gen::inRange(1, 6000));
+    faults.maxDelay = std::chrono::milliseconds(*rc::gen::inRange(1, 6000));
     SimulatedStore store;
     std::vector<std::unique_ptr<SimulatedNode>> nodes;
     for (uint32_t id = 1; id <= nodeCount; ++id) {
@@ -206,11 +206,11 @@
       for (const auto& node : nodes) {
         node->step(at, store, current);
       }
-      for (const auto& [slot, count] : believers(nodes, at)) {
+      for (const auto& [slot, count] : holderCounts(nodes, at)) {
         RC_ASSERT(count <= 1);
       }
     }
-    RC_ASSERT(believers(nodes, at - kStep).size() == size_t{kReaderSlots});
+    RC_ASSERT(holderCounts(nodes, at - kStep).size() == size_t{kReaderSlots});
   });
   CHECK_TRUE(held);
 }
--- a/test/common/platform/reader_election_test.cc
+++ b/test/common/platform/reader_election_test.cc
@@ -1,4 +1,4 @@
-/** @file Rules of the reader election, one by one. */
+/** @file Each rule of the reader election. */
 #include "common/platform/reader_election.h"
 
 #include <variant>
@@ -20,7 +20,7 @@
   static ObservedLease leaseOf(uint32_t holder, uint64_t version) {
     return {version, {NodeId{holder}, version, 15s}};
   }
-  /** Waits until the election wants something, and returns it. */
+  /** Advances the clock until the election has an action, and returns it. */
   ElectionAction nextAction() {
     ElectionAction action = election.next(now);
     while (const auto* wait = std::get_if<WaitUntil>(&action)) {
@@ -37,17 +37,17 @@
     CHECK_TRUE(std::holds_alternative<WriteLease>(action));
     return std::get<WriteLease>(action);
   }
-  /** Becomes holder of slot 0 at version 10. */
-  void takeSlot() {
+  /** Makes the node the holder of slot 0 at version 10. */
+  void acquireSlot() {
     election.setRanks({0, std::nullopt, std::nullopt}, now);
     expectRead();
     election.onRead(now, 0, std::nullopt);
-    const WriteLease claim = expectWrite();
-    election.onWritten(now, claim, 10);
+    const WriteLease acquisition = expectWrite();
+    election.onWritten(now, acquisition, 10);
   }
 };
 
-TEST(ReaderElection, ANodeThatIsNoCandidateNeverAsks) {
+TEST(ReaderElection, NonCandidateNeverReads) {
   election.setRanks({}, now);
   for (int round = 0; round < 100; ++round) {
     const ElectionAction action = election.next(now);
@@ -56,19 +56,19 @@
   }
 }
 
-TEST(ReaderElection, TakesASlotThatNobodyEverHeld) {
+TEST(ReaderElection, AcquiresASlotThatWasNeverHeld) {
   election.setRanks({0, std::nullopt, std::nullopt}, now);
   expectRead();
   election.onRead(now, 0, std::nullopt);
-  const WriteLease claim = expectWrite();
-  CHECK_EQUAL(0U, claim.expectedVersion);
-  CHECK_EQUAL(1U, claim.lease.holder.value);
+  const WriteLease acquisition = expectWrite();
+  CHECK_EQUAL(0U, acquisition.expectedVersion);
+  CHECK_EQUAL(1U, acquisition.lease.holder.value);
   CHECK_FALSE(election.heldSlot(now).has_value());
-  election.onWritten(now, claim, 10);
+  election.onWritten(now, acquisition, 10);
   CHECK_TRUE(election.heldSlot(now) == uint8_t{0});
 }
 
-TEST(ReaderElection, ARivalsLeaseIsTakenOnlyAfterItStoodStillForTheWholeTime) {
+TEST(ReaderElection, TakesOverALeaseOnlyAfterItStayedUnchangedForTheFullTime) {
   election.setRanks({0, std::nullopt, std::nullopt}, now);
   expectRead();
   election.onRead(now, 0, leaseOf(2, 5));
@@ -82,7 +82,7 @@
   CHECK_EQUAL(5U, std::get<WriteLease>(action).expectedVersion);
 }
 
-TEST(ReaderElection, ARenewedLeaseIsNeverTaken) {
+TEST(ReaderElection, NeverTakesOverARenewedLease) {
   election.setRanks({0, std::nullopt, std::nullopt}, now);
   for (uint64_t version = 1; version < 200; ++version) {
     expectRead();
@@ -90,17 +90,17 @@
   }
 }
 
-TEST(ReaderElection, ALeaseThatWasGivenUpIsTakenAtOnce) {
+TEST(ReaderElection, AcquiresAReleasedLeaseImmediately) {
   election.setRanks({0, std::nullopt, std::nullopt}, now);
   expectRead();
-  ObservedLease seen = leaseOf(2, 5);
-  seen.lease.duration = Duration{0};
-  election.onRead(now, 0, seen);
+  ObservedLease observed = leaseOf(2, 5);
+  observed.lease.duration = Duration{0};
+  election.onRead(now, 0, observed);
   CHECK_EQUAL(5U, expectWrite().expectedVersion);
 }
 
-TEST(ReaderElection, RenewsOverItsOwnVersionAndAsksForNoSecondSlot) {
-  takeSlot();
+TEST(ReaderElection, RenewsItsOwnVersionAndAcquiresNoSecondSlot) {
+  acquireSlot();
   election.setRanks({0, 0, 0}, now);
   for (uint64_t version = 10; version < 20; ++version) {
     const WriteLease renewal = expectWrite();
@@ -110,8 +110,8 @@
   }
 }
 
-TEST(ReaderElection, AHolderThatWasPausedNoLongerBelievesInItsLease) {
-  takeSlot();
+TEST(ReaderElection, PausedHoldersLeaseExpires) {
+  acquireSlot();
   now += options.leaseTime;
   CHECK_FALSE(election.heldSlot(now).has_value());
   expectRead();
@@ -119,8 +119,8 @@
   CHECK_FALSE(election.heldSlot(now).has_value());
 }
 
-TEST(ReaderElection, AHolderWhoseWriteIsRefusedLooksAndStepsBack) {
-  takeSlot();
+TEST(ReaderElection, HolderWithARejectedWriteReadsAndLosesTheLease) {
+  acquireSlot();
   const WriteLease renewal = expectWrite();
   election.onWriteFailed(now, renewal.slot, conflict);
   expectRead();
@@ -128,35 +128,35 @@
   CHECK_FALSE(election.heldSlot(now).has_value());
 }
 
-TEST(ReaderElection, ALostAnswerDoesNotProlongTheLeaseUntilAWriteIsAnswered) {
-  takeSlot();
-  const TimePoint taken = now;
+TEST(ReaderElection, LostAnswerDoesNotExtendTheLease) {
+  acquireSlot();
+  const TimePoint acquiredAt = now;
   const WriteLease renewal = expectWrite();
   election.onWriteFailed(now, renewal.slot, lost);
   expectRead();
   election.onRead(now, 0, ObservedLease{11, renewal.lease});
   CHECK_TRUE(election.heldSlot(now) == uint8_t{0});
-  CHECK_FALSE(election.heldSlot(taken + options.leaseTime).has_value());
+  CHECK_FALSE(election.heldSlot(acquiredAt + options.leaseTime).has_value());
   CHECK_EQUAL(11U, expectWrite().expectedVersion);
 }
 
-TEST(ReaderElection, AClaimWhoseAnswerWasLostIsFoundByItsNextLook) {
+TEST(ReaderElection, NextReadFindsAnAcquisitionWhoseAnswerWasLost) {
   election.setRanks({0, std::nullopt, std::nullopt}, now);
   expectRead();
   election.onRead(now, 0, std::nullopt);
-  const WriteLease claim = expectWrite();
+  const WriteLease acquisition = expectWrite();
   election.onWriteFailed(now, 0, lost);
   CHECK_FALSE(election.heldSlot(now).has_value());
   expectRead();
-  election.onRead(now, 0, ObservedLease{10, claim.lease});
+  election.onRead(now, 0, ObservedLease{10, acquisition.lease});
   const WriteLease again = expectWrite();
   CHECK_EQUAL(10U, again.expectedVersion);
-  CHECK_EQUAL(claim.lease.renewal + 1, again.lease.renewal);
+  CHECK_EQUAL(acquisition.lease.renewal + 1, again.lease.renewal);
 }
 
-TEST(ReaderElection, AnUnreachableStoreCostsTheLeaseOnlyWhenItsTimeIsOver) {
-  takeSlot();
-  const TimePoint taken = now;
+TEST(ReaderElection, UnreachableStoreEndsTheLeaseOnlyAtItsExpiry) {
+  acquireSlot();
+  const TimePoint acquiredAt = now;
   int tries = 0;
   while (election.heldSlot(now)) {
     const ElectionAction action = nextAction();
@@ -165,13 +165,13 @@
       ++tries;
     }
   }
-  CHECK_TRUE(now - taken >= options.leaseTime);
+  CHECK_TRUE(now - acquiredAt >= options.leaseTime);
   CHECK_TRUE(tries > 3);
   CHECK_TRUE(tries < 30);
 }
 
-TEST(ReaderElection, AfterALongOutageTheFormerHolderIsBackWithinSeconds) {
-  takeSlot();
+TEST(ReaderElection, FormerHolderReacquiresTheLeaseSoonAfterALongOutage) {
+  acquireSlot();
   const TimePoint outageEnd = now + 60s;
   while (now < outageEnd) {
     const ElectionAction action = nextAction();
@@ -183,17 +183,17 @@
   }
   CHECK_FALSE(election.heldSlot(now).has_value());
   expectRead();
-  // The last failed try was at most one wait after the end of the outage.
+  // The last failed attempt was at most one delay after the end of the outage.
   CHECK_TRUE(now - outageEnd <= 2 * options.renewRetry.maxDelay);
   election.onRead(now, 0, leaseOf(1, 10));
-  const WriteLease claim = expectWrite();
-  CHECK_EQUAL(10U, claim.expectedVersion);
-  election.onWritten(now, claim, 11);
+  const WriteLease acquisition = expectWrite();
+  CHECK_EQUAL(10U, acquisition.expectedVersion);
+  election.onWritten(now, acquisition, 11);
   CHECK_TRUE(election.heldSlot(now) == uint8_t{0});
 }
 
-TEST(ReaderElection, AFormerHolderThatFindsARivalIsAnOrdinaryCandidateAgain) {
-  takeSlot();
+TEST(ReaderElection, FormerHolderThatFindsAnotherHolderPollsAsACandidate) {
+  acquireSlot();
   ElectionAction action = nextAction();
   while (std::holds_alternative<WriteLease>(action)) {
     election.onWriteFailed(now, 0, unavailable);
@@ -201,27 +201,27 @@
   }
   CHECK_FALSE(election.heldSlot(now).has_value());
   election.onRead(now, 0, leaseOf(2, 11));
-  const TimePoint seen = now;
+  const TimePoint observedAt = now;
   expectRead();
-  CHECK_TRUE(now - seen >= options.minPollInterval);
+  CHECK_TRUE(now - observedAt >= options.minPollInterval);
 }
 
-TEST(ReaderElection, AStoreThatAsksForPatienceIsLeftAlone) {
+TEST(ReaderElection, RespectsTheStoresRetryAfter) {
   election.setRanks({0, std::nullopt, std::nullopt}, now);
   expectRead();
-  const TimePoint asked = now;
+  const TimePoint failedAt = now;
   election.onReadFailed(now, 0, {StoreErrorCode::kUnavailable, "", Duration(60s)});
   expectRead();
-  CHECK_TRUE(now - asked >= 60s);
+  CHECK_TRUE(now - failedAt >= 60s);
 }
 
-TEST(ReaderElection, AResigningHolderGivesItsLeaseUp) {
-  takeSlot();
+TEST(ReaderElection, ResigningHolderReleasesItsLease) {
+  acquireSlot();
   election.resign();
   CHECK_FALSE(election.hasResigned());
-  const WriteLease farewell = expectWrite();
-  CHECK_TRUE(farewell.lease.duration == Duration{0});
-  election.onWritten(now, farewell, 11);
+  const WriteLease release = expectWrite();
+  CHECK_TRUE(release.lease.duration == Duration{0});
+  election.onWritten(now, release, 11);
   CHECK_TRUE(election.hasResigned());
   CHECK_TRUE(std::holds_alternative<WaitUntil>(election.next(now)));
 }
--- a/test/common/platform/reader_roster_test.cc
+++ b/test/common/platform/reader_roster_test.cc
@@ -1,4 +1,4 @@
-/** @file Which nodes of a zone read for the others. */
+/** @file Which nodes of a zone read the store for the others. */
 #include "common/platform/reader_roster.h"
 
 #include <map>
@@ -17,11 +17,11 @@
 }
 
 std::vector<RosterNode> nodes(int count) {
-  std::vector<RosterNode> made;
+  std::vector<RosterNode> result;
   for (int number = 1; number <= count; ++number) {
-    made.push_back(node(number));
+    result.push_back(node(number));
   }
-  return made;
+  return result;
 }
 
 ReaderRoster rosterOf(const RosterNode& self, const std::vector<RosterNode>& known) {
@@ -30,7 +30,7 @@
   return roster;
 }
 
-/** @return the names of the nodes that read. */
+/** @return the names of the nodes that read the store. */
 std::set<std::string> readersOf(const std::vector<RosterNode>& all) {
   std::set<std::string> readers;
   for (const RosterNode& self : all) {
@@ -45,36 +45,36 @@
 
 TEST_GROUP(ReaderRoster){};
 
-TEST(ReaderRoster, InASmallZoneEveryNodeReads) {
+TEST(ReaderRoster, EveryNodeOfASmallZoneReads) {
   CHECK_EQUAL(5U, readersOf(nodes(5)).size());
   const ReaderRoster roster = rosterOf(node(1), nodes(5));
   CHECK_TRUE(roster.candidates().empty());
 }
 
-TEST(ReaderRoster, OneNodeInThirtyTwoReadsAndTheOthersAskIt) {
+TEST(ReaderRoster, OneNodeInThirtyTwoReadsAndTheOthersPollIt) {
   CHECK_EQUAL(1U, readersOf(nodes(6)).size());
   CHECK_EQUAL(1U, readersOf(nodes(32)).size());
   const auto all = nodes(100);
   const auto readers = readersOf(all);
   CHECK_EQUAL(4U, readers.size());
-  std::set<std::string> asked;
+  std::set<std::string> polled;
   for (const RosterNode& self : all) {
     const ReaderRoster roster = rosterOf(self, all);
     if (!roster.readsItself()) {
-      asked.insert(roster.candidates().front().name);
+      polled.insert(roster.candidates().front().name);
       CHECK_EQUAL(8U, roster.candidates().size());
     }
   }
-  CHECK_TRUE(asked == readers);
+  CHECK_TRUE(polled == readers);
 }
 
-TEST(ReaderRoster, TheLargestNodesRead) {
+TEST(ReaderRoster, NodesWithTheHighestCapacityRead) {
   auto all = nodes(20);
   all[11].capacity = 500;
   CHECK_TRUE(readersOf(all) == std::set<std::string>{"node-12"});
 }
 
-TEST(ReaderRoster, NodesOfOtherZonesAndTheNodeItselfAreNotAsked) {
+TEST(ReaderRoster, CandidatesExcludeOtherZonesAndTheNodeItself) {
   auto all = nodes(8);
   for (int number = 20; number < 40; ++number) {
     all.push_back(node(number, "piassa", 900));
@@ -88,16 +88,19 @@
   }
 }
 
-/** A node whose own entry is not there yet, or says otherwise, ranks itself all the same. */
-TEST(ReaderRoster, ANodeThatIsNotListedCountsItself) {
+/** A node whose own entry is missing or outdated still ranks itself. */
+TEST(ReaderRoster, NodeMissingFromTheListRanksItself) {
   auto others = nodes(6);
   others.erase(others.begin());
   const RosterNode self = node(1, "bole", 900);
   CHECK_TRUE(rosterOf(self, others).readsItself());
 }
 
-/** All that list the store at once are bounded by the step, whatever the size of the zone. */
-TEST(ReaderRoster, StandInsDoubleWithEachStep) {
+/**
+ * The fallback step bounds the number of nodes that list the store at once, whatever the size of
+ * the zone.
+ */
+TEST(ReaderRoster, NodesPerFallbackStepDouble) {
   const auto all = nodes(500);
   std::map<uint32_t, size_t> byStep;
   for (const RosterNode& self : all) {
@@ -111,7 +114,7 @@
   }
 }
 
-TEST(ReaderRoster, ReadersKnowThoseBeforeThem) {
+TEST(ReaderRoster, ReadersKnowHigherRankedReaders) {
   const auto all = nodes(100);
   std::set<size_t> counts;
   for (const RosterNode& self : all) {
--- a/test/common/platform/reader_worker_test.cc
+++ b/test/common/platform/reader_worker_test.cc
@@ -1,4 +1,7 @@
-/** @file The reader against the stand-in platform: election, list, watch, too old, outage, stop. */
+/**
+ * @file The reader against the platform stand-in: election, list, watch, lost history, outage,
+ * stop.
+ */
 #include "common/platform/reader_worker.h"
 
 #include <atomic>
@@ -22,14 +25,14 @@
 
 namespace {
 
-/** Keeps the newest record of each key, as a node's record store would. */
+/** Keeps the newest record of each key, as a node's record store does. */
 class CollectingSink : public ReaderSink {
  public:
   ReaderRanks ranks() override { return {0, 0, 0}; }
   bool onRecords(std::vector<ConfigRecord> records) override {
     const std::lock_guard lock(mutex_);
-    if (refusals > 0) {
-      --refusals;
+    if (rejections > 0) {
+      --rejections;
       return false;
     }
     for (ConfigRecord& record : records) {
@@ -51,7 +54,7 @@
       }
     }
   }
-  bool isServing() override { return isGentle; }
+  bool isServing() override { return servesPackets; }
   void onMachines(std::vector<Machine> machines) override {
     const std::lock_guard lock(mutex_);
     machines_ = std::move(machines);
@@ -66,9 +69,9 @@
     return machines_.size();
   }
 
-  std::atomic<bool> isGentle = false;
-  /** Hand-overs to refuse from now on. */
-  std::atomic<int> refusals = 0;
+  std::atomic<bool> servesPackets = false;
+  /** Number of deliveries still to be rejected. */
+  std::atomic<int> rejections = 0;
 
  private:
   std::mutex mutex_;
@@ -76,7 +79,7 @@
   std::vector<Machine> machines_;
 };
 
-ReaderWorkerOptions quickOptions() {
+ReaderWorkerOptions shortIntervalOptions() {
   ReaderWorkerOptions options;
   options.election.leaseTime = 2s;
   options.election.takeoverMargin = 200ms;
@@ -92,11 +95,11 @@
   return options;
 }
 
-/** A node's reader in a thread of its own. */
+/** A node's reader in a dedicated thread. */
 struct RunningReader {
-  RunningReader(uint32_t id, const Endpoint& platform, bool isGentle = false)
-      : store(platform), worker(quickOptions(), NodeId{id}, store, sink, id) {
-    sink.isGentle = isGentle;
+  RunningReader(uint32_t id, const Endpoint& platform, bool servesPackets = false)
+      : store(platform), worker(shortIntervalOptions(), NodeId{id}, store, sink, id) {
+    sink.servesPackets = servesPackets;
     thread = std::thread([this] { worker.run(); });
   }
   ~RunningReader() { stop(); }
@@ -112,7 +115,7 @@
   std::thread thread;
 };
 
-/** Generous: only a reader that never gets there runs into it. */
+/** Waits for the condition, with a timeout that only a reader without progress exceeds. */
 void waitFor(const std::function<bool()>& condition) {
   const auto deadline = std::chrono::steady_clock::now() + 30s;
   while (!condition() && std::chrono::steady_clock::now() < deadline) {
@@ -159,7 +162,7 @@
   CHECK_EQUAL(1U, reader.worker.counters().lists);
 }
 
-TEST(ReaderWorker, NewsDoesNotWaitForALongListOnANodeThatServes) {
+TEST(ReaderWorker, ChangesAreNotDelayedByALongListOnAServingNode) {
   for (int index = 0; index < 5; ++index) {
     put("service-" + std::to_string(index), 0, specification(7000 + index));
   }
@@ -171,17 +174,17 @@
   CHECK_EQUAL(0U, reader.sink.find("service-3").version);
 }
 
-TEST(ReaderWorker, RecordsThatTheNodeDidNotTakeComeAgain) {
+TEST(ReaderWorker, RejectedRecordsAreDeliveredAgain) {
   const uint64_t first = put("dispatch", 0, specification(7000));
   RunningReader reader(1, server->api());
   waitFor([&] { return reader.worker.counters().watches > 0; });
-  reader.sink.refusals = 1;
+  reader.sink.rejections = 1;
   const uint64_t second = put("dispatch", first, specification(7001));
   waitFor([&] { return reader.sink.find("dispatch").version == second; });
-  CHECK_EQUAL(0, reader.sink.refusals.load());
+  CHECK_EQUAL(0, reader.sink.rejections.load());
 }
 
-TEST(ReaderWorker, AnUnreadableObjectLeavesTheOthersInForce) {
+TEST(ReaderWorker, UnreadableObjectDoesNotAffectOthers) {
   put("broken", 0, R"({"nonsense":1})");
   put("sound", 0, specification(7000));
   RunningReader reader(1, server->api());
@@ -190,7 +193,7 @@
   CHECK_EQUAL(1U, reader.worker.counters().unreadable);
 }
 
-TEST(ReaderWorker, AfterAnOutageLongerThanTheHistoryItListsAndFindsDeletions) {
+TEST(ReaderWorker, ListsAndDetectsDeletionsAfterAnOutageLongerThanTheHistory) {
   const uint64_t kept = put("kept", 0, specification(7000));
   const uint64_t gone = put("gone", 0, specification(7001));
   RunningReader reader(1, server->api());
@@ -207,12 +210,12 @@
   waitFor([&] { return reader.sink.find("gone").deleted; });
   waitFor([&] { return reader.sink.find("kept").version == changed; });
   CHECK_TRUE(reader.sink.find("gone").version > gone);
-  // The services are listed before the policies; a list counts when both are through.
+  // Services are listed before policies; a list counts when both are complete.
   waitFor([&] { return reader.worker.counters().lists >= 2; });
   CHECK_EQUAL(2U, reader.worker.counters().lists);
 }
 
-TEST(ReaderWorker, AtMostThreeOfManyNodesWatchAndALeavingOneIsReplaced) {
+TEST(ReaderWorker, AtMostThreeNodesWatchAndALeavingOneIsReplaced) {
   put("dispatch", 0, specification(7000));
   std::vector<std::unique_ptr<RunningReader>> readers;
   for (uint32_t id = 1; id <= 6; ++id) {
@@ -238,7 +241,7 @@
   CHECK_EQUAL(3U, server->state().counters.mostOpenWatches.load());
 }
 
-TEST(ReaderWorker, ASlowStoreAndLostAnswersDoNotStopTheNews) {
+TEST(ReaderWorker, DeliversChangesDespiteASlowStoreAndLostAnswers) {
   FaultSettings faults;
   faults.slow = 20ms;
   faults.loseAnswersProbability = 0.5;
--- a/test/common/platform/retry_test.cc
+++ b/test/common/platform/retry_test.cc
@@ -1,4 +1,4 @@
-/** @file Back-off and retry budget. */
+/** @file Backoff and retry budget. */
 #include "common/platform/retry.h"
 
 #include <CppUTest/TestHarness.h>
@@ -11,7 +11,7 @@
   TimePoint start{1h};
 };
 
-TEST(Retry, WaitsDoubleWithinTheirJitterUpToTheLongest) {
+TEST(Retry, DelaysDoubleWithJitterUpToTheMaximum) {
   BackOff backOff({100ms, 1s}, random);
   for (const Duration range : {100ms, 200ms, 400ms, 800ms, 1000ms, 1000ms}) {
     const Duration wait = backOff.next();
@@ -22,7 +22,7 @@
   CHECK_TRUE(backOff.next() <= 100ms);
 }
 
-TEST(Retry, NeverComesBackBeforeTheServerAskedFor) {
+TEST(Retry, NeverRetriesBeforeRetryAfter) {
   BackOff backOff({100ms, 1s}, random);
   for (int round = 0; round < 100; ++round) {
     const Duration wait = backOff.next(Duration(7s));
@@ -31,13 +31,13 @@
   }
 }
 
-TEST(Retry, CallersThatFailedTogetherDoNotComeBackTogether) {
+TEST(Retry, ClientsThatFailedTogetherDoNotRetryTogether) {
   BackOff left({1s, 10s}, random);
   BackOff right({1s, 10s}, random);
   CHECK_TRUE(left.next() != right.next());
 }
 
-TEST(Retry, BudgetBoundsRetriesAndEarnsThemBack) {
+TEST(Retry, BudgetBoundsRetriesAndRefills) {
   RetryBudget budget({3, 2s});
   for (int retry = 0; retry < 3; ++retry) {
     CHECK_TRUE(budget.tryTake(start));
--- a/test/common/platform/seed_requests_test.cc
+++ b/test/common/platform/seed_requests_test.cc
@@ -1,4 +1,4 @@
-/** @file Which seed a node asks that starts while the store is silent, and when. */
+/** @file Which seed a starting node contacts while the store is unresponsive, and when. */
 #include "common/platform/seed_requests.h"
 
 #include <CppUTest/TestHarness.h>
@@ -10,35 +10,35 @@
 TEST_GROUP(SeedRequests) {
   const TimePoint start{seconds(100)};
   const TimePoint nextProbe{start + milliseconds(400)};
-  SeedRequests questions;
+  SeedRequests requests;
 };
 
-TEST(SeedRequests, OneIsAskedWithEachProbe) {
-  CHECK_FALSE(questions.isDue(start, nextProbe));
-  CHECK_TRUE(questions.isDue(nextProbe, nextProbe));
-  CHECK_FALSE(questions.nextRequestAt(true).has_value());
+TEST(SeedRequests, ContactsOneSeedWithEachProbe) {
+  CHECK_FALSE(requests.isDue(start, nextProbe));
+  CHECK_TRUE(requests.isDue(nextProbe, nextProbe));
+  CHECK_FALSE(requests.nextRequestAt(true).has_value());
 }
 
-TEST(SeedRequests, ASeedThatPreparesIsAskedAgainSoon) {
-  questions.onPreparing(start);
+TEST(SeedRequests, ContactsAPreparingSeedAgainSoon) {
+  requests.onPreparing(start);
   const TimePoint prepared = start + SeedRequests::kPreparation;
-  CHECK_FALSE(questions.isDue(start, nextProbe));
-  CHECK_TRUE(questions.isDue(prepared, nextProbe));
-  CHECK_TRUE(questions.nextRequestAt(true) == prepared);
-  LONGS_EQUAL(0, questions.seed());
+  CHECK_FALSE(requests.isDue(start, nextProbe));
+  CHECK_TRUE(requests.isDue(prepared, nextProbe));
+  CHECK_TRUE(requests.nextRequestAt(true) == prepared);
+  LONGS_EQUAL(0, requests.seed());
 }
 
-/** Its caller would else wake again and again for a question that is never asked. */
-TEST(SeedRequests, WhereNoAnswerIsNeededAnyMoreNoQuestionIsDue) {
-  questions.onPreparing(start);
-  CHECK_FALSE(questions.nextRequestAt(false).has_value());
-  questions.onAnswered();
-  CHECK_FALSE(questions.nextRequestAt(true).has_value());
+/** Guards against a caller that repeatedly wakes up for a request that is never sent. */
+TEST(SeedRequests, NoRequestIsDueWhenNoAnswerIsNeeded) {
+  requests.onPreparing(start);
+  CHECK_FALSE(requests.nextRequestAt(false).has_value());
+  requests.onAnswered();
+  CHECK_FALSE(requests.nextRequestAt(true).has_value());
 }
 
-TEST(SeedRequests, AfterAFailureTheNextSeedIsAskedWithTheNextProbe) {
-  questions.onPreparing(start);
-  questions.onFailed();
-  LONGS_EQUAL(1, questions.seed());
-  CHECK_FALSE(questions.isDue(start + SeedRequests::kPreparation, nextProbe));
+TEST(SeedRequests, ContactsTheNextSeedWithTheNextProbeAfterAFailure) {
+  requests.onPreparing(start);
+  requests.onFailed();
+  LONGS_EQUAL(1, requests.seed());
+  CHECK_FALSE(requests.isDue(start + SeedRequests::kPreparation, nextProbe));
 }
--- a/test/common/platform/store_liveness_test.cc
+++ b/test/common/platform/store_liveness_test.cc
@@ -1,4 +1,4 @@
-/** @file When waiting calls must be made again. */
+/** @file When pending calls must be repeated, and the timing of probes. */
 #include "common/platform/store_liveness.h"
 
 #include <CppUTest/TestHarness.h>
@@ -18,7 +18,7 @@
   StoreLiveness liveness{kStart, {}, random};
 };
 
-TEST(StoreLiveness, RenewsWaitingCallsOnceAfterASilence) {
+TEST(StoreLiveness, RenewsWaitingCallsOnceAfterUnansweredProbes) {
   TimePoint now = kStart;
   CHECK_TRUE(liveness.onProbe(now, true) == WaitingCalls::kKeep);
   CHECK_TRUE(liveness.onProbe(now, false) == WaitingCalls::kKeep);
@@ -29,7 +29,7 @@
   CHECK_TRUE(liveness.onProbe(now, true) == WaitingCalls::kKeep);
 }
 
-TEST(StoreLiveness, AProbeIsSentInEverySilenceOfASecond) {
+TEST(StoreLiveness, ProbesAtLeastOnceASecond) {
   TimePoint last = kStart;
   for (int probe = 0; probe < 1000; ++probe) {
     liveness.onProbe(last, true);
@@ -38,7 +38,7 @@
   }
 }
 
-TEST(StoreLiveness, ProbesSoonerAfterASilenceAndNeverInStep) {
+TEST(StoreLiveness, ProbesSoonerAfterAMissAndWithJitter) {
   const TimePoint first = liveness.nextProbe();
   liveness.onProbe(kStart, true);
   CHECK_TRUE(liveness.nextProbe() != first);
@@ -48,34 +48,34 @@
   CHECK_TRUE(liveness.nextProbe() <= kStart + milliseconds(360));
 }
 
-TEST(StoreLiveness, ProbesAnAbsentStoreMoreSeldomUnlessOthersRelyOnIt) {
+TEST(StoreLiveness, ProbesAnUnresponsiveStoreLessOftenUnlessServing) {
   TimePoint now = kStart;
-  const auto pauseAfterMiss = [&] {
+  const auto delayAfterMiss = [&] {
     liveness.onProbe(now, false);
     const Duration pause = liveness.nextProbe() - now;
     now = liveness.nextProbe();
     return pause;
   };
   for (int misses = 0; misses < 4; ++misses) {
-    pauseAfterMiss();
+    delayAfterMiss();
   }
-  CHECK_TRUE(pauseAfterMiss() >= milliseconds(960));
-  CHECK_TRUE(pauseAfterMiss() <= milliseconds(1440));
+  CHECK_TRUE(delayAfterMiss() >= milliseconds(960));
+  CHECK_TRUE(delayAfterMiss() <= milliseconds(1440));
   liveness.setServing(true);
-  CHECK_TRUE(pauseAfterMiss() <= milliseconds(600));
+  CHECK_TRUE(delayAfterMiss() <= milliseconds(600));
   liveness.setStarting(true);
-  CHECK_TRUE(pauseAfterMiss() <= milliseconds(120));
+  CHECK_TRUE(delayAfterMiss() <= milliseconds(120));
   liveness.setServing(false);
   liveness.setStarting(false);
   liveness.onProbe(now, true);
   now = liveness.nextProbe();
-  CHECK_TRUE(pauseAfterMiss() <= milliseconds(360));
-  // Its reader tells it that the store is back.
+  CHECK_TRUE(delayAfterMiss() <= milliseconds(360));
+  // Its reader notifies it when the store recovers.
   liveness.setFollowing(true);
-  CHECK_TRUE(pauseAfterMiss() >= milliseconds(960));
+  CHECK_TRUE(delayAfterMiss() >= milliseconds(960));
 }
 
-TEST(StoreLiveness, AStartProbesOftenAtFirst) {
+TEST(StoreLiveness, ProbesOftenAtFirstWhileStarting) {
   liveness.setStarting(true);
   TimePoint now = kStart;
   for (int misses = 0; misses < 10; ++misses) {
@@ -88,7 +88,7 @@
   CHECK_TRUE(liveness.nextProbe() - now <= milliseconds(300));
 }
 
-TEST(StoreLiveness, ProbesSoonWhereCallsWaitToBeVouchedFor) {
+TEST(StoreLiveness, ProbesSoonWhenPendingCallsNeedConfirmation) {
   liveness.onProbe(kStart, true);
   liveness.probeSoon(kStart + milliseconds(100));
   CHECK_TRUE(liveness.nextProbe() <= kStart + milliseconds(150));
--- a/test/common/platform/stored_object_record_test.cc
+++ b/test/common/platform/stored_object_record_test.cc
@@ -1,4 +1,4 @@
-/** @file From store objects to records. */
+/** @file Conversion of store objects to records. */
 #include "common/platform/stored_object_record.h"
 
 #include "common/wire/codec.h"
@@ -55,7 +55,7 @@
   CHECK_TRUE(valueOf(record).key.kind == ObjectKind::kPolicy);
 }
 
-TEST(StoredObjectRecord, AMarkedObjectIsATombstoneToo) {
+TEST(StoredObjectRecord, MarkedObjectsBecomeTombstones) {
   const auto record = toConfigRecord(makeStored(Collection::kServices, R"({"deleted":true})"));
   CHECK_TRUE(isOk(record));
   CHECK_TRUE(valueOf(record).deleted);
--- a/test/common/platform/zone_evacuations_property.cc
+++ b/test/common/platform/zone_evacuations_property.cc
@@ -1,9 +1,9 @@
 /**
- * @file Evacuations as nodes hear of them: watches, lists that lag, peers, outages and restarts, in
- * any order, against the store's history.
+ * @file Evacuations as nodes receive them: watches, stale lists, peers, outages and restarts, in
+ * any order, compared with the store's history.
  *
- * A node that claims to know everything up to a version holds of each zone what the store had at
- * that version or later. After an answer of the store itself it holds what the store has.
+ * A node at a version holds for each zone the store's state at that version or a later one. After
+ * an answer of the store itself it holds the store's current state.
  */
 #include <algorithm>
 #include <map>
@@ -31,7 +31,7 @@
   bool begins = false;
 };
 
-/** The store. */
+/** The store's history. */
 class History {
  public:
   void change(const std::string& zone) {
@@ -61,7 +61,7 @@
   std::vector<Change> changes_;
 };
 
-/** A node with the version that it claims. */
+/** A node and the version up to which its state is complete. */
 struct Node {
   ZoneEvacuations evacuations;
   uint64_t version = 0;
@@ -78,7 +78,7 @@
     evacuations.onKnownUpTo(revision);
     version = revision;
   }
-  /** Events count as of the answer, in their order, as the adapter hands them on. */
+  /** Applies events in order, all at the version of the answer, as the adapter does. */
   void watch(const History& history) {
     for (const Change& change : history.changes()) {
       if (change.revision > version && change.begins) {
@@ -94,7 +94,7 @@
     evacuations.onSnapshot(history.evacuatedAt(history.revision()), history.revision());
     version = history.revision();
   }
-  void ask(const Node& peer) {
+  void applyPeerAnswer(const Node& peer) {
     evacuations.onSnapshot(peer.evacuations.evacuated(), peer.version);
     version = std::max(version, peer.version);
   }
@@ -109,14 +109,17 @@
   }
 };
 
-/** @return whether the node holds what the store has. */
+/** @return whether the node holds the store's current state. */
 bool isCurrent(const Node& node, const History& history) {
   return node.evacuations.evacuated() == history.evacuatedAt(history.revision());
 }
 
-/** One thing that happens to a node. @return whether it knows what it should right after it. */
-bool happen(Node& node, const std::vector<Node>& nodes, const History& history,
-            RandomSource& random) {
+/**
+ * Applies one random event to a node. @return whether the node's state is as required right after
+ * it.
+ */
+bool applyRandomEvent(Node& node, const std::vector<Node>& nodes, const History& history,
+                      RandomSource& random) {
   const double choice = random.unit();
   if (choice < 0.3) {
     node.watch(history);
@@ -132,22 +135,22 @@
   }
   const Node& peer = nodes[random.below(kNodes)];
   if (&peer != &node) {
-    node.ask(peer);
+    node.applyPeerAnswer(peer);
   }
   return true;
 }
 
-bool keepsItsPromise(uint64_t seed) {
+bool holdsInvariant(uint64_t seed) {
   RandomSource random(seed);
   const std::vector<std::string> zones{"bole", "piassa", "merkato"};
   History history;
   std::vector<Node> nodes(kNodes);
   for (int step = 0; step < kSteps; ++step) {
-    // Between two of these, nodes may hear nothing for long: an outage.
+    // Nodes may receive nothing for a long time between two changes: an outage.
     if (random.unit() < 0.3) {
       history.change(zones[random.below(zones.size())]);
     }
-    if (!happen(nodes[random.below(kNodes)], nodes, history, random)) {
+    if (!applyRandomEvent(nodes[random.below(kNodes)], nodes, history, random)) {
       return false;
     }
     for (const Node& node : nodes) {
@@ -165,8 +168,8 @@
 
 TEST_GROUP(ZoneEvacuationsProperty){};
 
-TEST(ZoneEvacuationsProperty, NoNodeIsEverOlderThanItClaims) {
+TEST(ZoneEvacuationsProperty, NodeStateIsNeverOlderThanItsVersion) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    CHECK_TRUE_TEXT(keepsItsPromise(seed), ("seed " + std::to_string(seed)).c_str());
+    CHECK_TRUE_TEXT(holdsInvariant(seed), ("seed " + std::to_string(seed)).c_str());
   }
 }
--- a/test/common/platform/zone_evacuations_test.cc
+++ b/test/common/platform/zone_evacuations_test.cc
@@ -1,4 +1,4 @@
-/** @file Which zones are evacuated, as news comes out of order. */
+/** @file Which zones are evacuated when updates arrive out of order. */
 #include "common/platform/zone_evacuations.h"
 
 #include <CppUTest/TestHarness.h>
@@ -13,7 +13,7 @@
   }
 };
 
-TEST(ZoneEvacuations, BeginEndAndBeginAgain) {
+TEST(ZoneEvacuations, StartsEndsAndStartsAgain) {
   CHECK_FALSE(evacuations.takeChange());
   evacuations.onStarted("bole", 10);
   CHECK_TRUE(evacuations.takeChange());
@@ -27,7 +27,7 @@
   CHECK_FALSE(evacuations.takeChange());
 }
 
-TEST(ZoneEvacuations, OlderNewsReplacesNothing) {
+TEST(ZoneEvacuations, OlderUpdatesAreIgnored) {
   evacuations.onEnded("bole", 20);
   evacuations.onStarted("bole", 10);
   CHECK_FALSE(isEvacuated("bole"));
@@ -36,7 +36,7 @@
   CHECK_TRUE(isEvacuated("piassa"));
 }
 
-TEST(ZoneEvacuations, AWholeEndsTheOthersButNotNewerOnes) {
+TEST(ZoneEvacuations, SnapshotEndsMissingZonesExceptNewerOnes) {
   evacuations.onStarted("bole", 10);
   evacuations.onStarted("merkato", 40);
   evacuations.onSnapshot({{"piassa"}}, 30);
@@ -45,8 +45,8 @@
   CHECK_TRUE(isEvacuated("merkato"));
 }
 
-/** A node whose list did not hold the zone any more, and a peer that lags. */
-TEST(ZoneEvacuations, AWholeThatIsOlderThanWhatIsKnownTellsNothing) {
+/** A node whose list lacks a zone must not accept an older state from a peer that is behind. */
+TEST(ZoneEvacuations, SnapshotOlderThanTheKnownStateIsIgnored) {
   evacuations.onKnownUpTo(35);
   evacuations.onSnapshot({{"bole"}}, 30);
   CHECK_FALSE(isEvacuated("bole"));
@@ -54,8 +54,8 @@
   CHECK_TRUE(isEvacuated("bole"));
 }
 
-/** Events of one watch come in order, and all as of the answer. */
-TEST(ZoneEvacuations, OfTheSameVersionTheLastCounts) {
+/** The events of one watch arrive in order, all with the version of the answer. */
+TEST(ZoneEvacuations, LastUpdateOfAVersionApplies) {
   evacuations.onSnapshot({{"bole"}}, 40);
   evacuations.onEnded("bole", 50);
   evacuations.onStarted("bole", 50);
@@ -65,8 +65,8 @@
   CHECK_FALSE(isEvacuated("piassa"));
 }
 
-TEST(ZoneEvacuations, AnEndIsKnownByTheVersionOfItsBeginning) {
-  // A store may tell an object that is gone with the version of its last change.
+TEST(ZoneEvacuations, EndWithTheVersionOfItsStartIsApplied) {
+  // A store may report a deleted object with the version of its last change.
   evacuations.onStarted("bole", 10);
   evacuations.onEnded("bole", 10);
   CHECK_FALSE(isEvacuated("bole"));
