--- a/source/common/platform/read_source.cc
+++ b/source/common/platform/read_source.cc
@@ -71,7 +71,7 @@
 }
 
 bool ReadSource::servesOthers(TimePoint now) const {
-  return lastPeerRequestAt_ && now - *lastPeerRequestAt_ < options_.servePeersDuration;
+  return lastPeerRequestAt_ && now - *lastPeerRequestAt_ < options_.serveOthersDuration;
 }
 
 bool ReadSource::isUnconfirmed(TimePoint now) const {
@@ -93,7 +93,7 @@
     return nextRequestAt_;
   }
   return servesOthers(now)
-             ? std::max(nextRequestAt_, *lastPeerRequestAt_ + options_.servePeersDuration)
+             ? std::max(nextRequestAt_, *lastPeerRequestAt_ + options_.serveOthersDuration)
              : nextRequestAt_;
 }
 
--- a/source/common/platform/read_source.h
+++ b/source/common/platform/read_source.h
@@ -49,7 +49,7 @@
   /** Interval between requests while the node reads the store for lack of a usable peer. */
   Duration retryInterval = std::chrono::seconds(3);
   /** How long a node keeps reading the store after the last request of a peer. */
-  Duration servePeersDuration = std::chrono::seconds(10);
+  Duration serveOthersDuration = std::chrono::seconds(10);
 };
 
 /** Why a node reads the store, or why it does not. */
--- a/test/common/platform/read_source_test.cc
+++ b/test/common/platform/read_source_test.cc
@@ -279,8 +279,8 @@
   checkCause(ReadCause::kServesOthers);
   CHECK_TRUE(source.readsStore(now));
   CHECK_TRUE(source.servesOthers(now));
-  CHECK_TRUE(source.nextRequestAt(now) >= now + options.servePeersDuration);
-  now += options.servePeersDuration;
+  CHECK_TRUE(source.nextRequestAt(now) >= now + options.serveOthersDuration);
+  now += options.serveOthersDuration;
   checkCause(ReadCause::kUnconfirmed);
   confirm();
   checkCause(ReadCause::kFollowsPeer);
--- a/test/platform/store/zone_reader_test.cc
+++ b/test/platform/store/zone_reader_test.cc
@@ -151,7 +151,7 @@
     options.source.initialPenalty = milliseconds(500);
     options.source.unconfirmedPenalty = milliseconds(300);
     options.source.retryInterval = milliseconds(300);
-    options.source.servePeersDuration = seconds(1);
+    options.source.serveOthersDuration = seconds(1);
     options.registry = {milliseconds(100), seconds(1), milliseconds(200), milliseconds(50)};
     options.settleTime = milliseconds(300);
     options.roster.nodesPerReader = nodesPerReader_;
