--- a/source/common/platform/retry.cc
+++ b/source/common/platform/retry.cc
@@ -5,23 +5,26 @@
 namespace umberhold {
 namespace {
 
-/** Spreads callers that all got the same Retry-After. */
+/**
+ * Divisor of the random delay that is added to Retry-After, so that clients with the same
+ * Retry-After do not retry together.
+ */
 constexpr int kRetryAfterSpread = 4;
 
-Duration drawUpTo(Duration longest, RandomSource& random) {
+Duration drawUpTo(Duration maxDelay, RandomSource& random) {
   return Duration(static_cast<Duration::rep>(
-      random.below(static_cast<uint64_t>(std::max<Duration::rep>(longest.count(), 0)) + 1)));
+      random.below(static_cast<uint64_t>(std::max<Duration::rep>(maxDelay.count(), 0)) + 1)));
 }
 
 }  // namespace
 
 BackOff::BackOff(BackOffOptions options, RandomSource& random)
-    : options_(options), random_(random), current_(options.initial) {}
+    : options_(options), random_(random), current_(options.initialDelay) {}
 
 Duration BackOff::next(std::optional<Duration> retryAfter) {
   const Duration half = current_ / 2;
   const Duration wait = half + drawUpTo(current_ - half, random_);
-  current_ = std::min(current_ * 2, options_.longest);
+  current_ = std::min(current_ * 2, options_.maxDelay);
   if (!retryAfter) {
     return wait;
   }
@@ -41,18 +44,18 @@
 
 Duration RetryBudget::waitTime(TimePoint now) {
   refill(now);
-  return tokens_ > 0 ? Duration{0} : *counted_ + options_.refill - now;
+  return tokens_ > 0 ? Duration{0} : *refilledAt_ + options_.refill - now;
 }
 
 void RetryBudget::refill(TimePoint now) {
-  if (!counted_ || tokens_ == options_.burst) {
-    counted_ = now;
+  if (!refilledAt_ || tokens_ == options_.burst) {
+    refilledAt_ = now;
     return;
   }
-  const auto earned = std::max<Duration::rep>((now - *counted_) / options_.refill, 0);
+  const auto earned = std::max<Duration::rep>((now - *refilledAt_) / options_.refill, 0);
   tokens_ = static_cast<uint32_t>(
       std::min<Duration::rep>(options_.burst, static_cast<Duration::rep>(tokens_) + earned));
-  *counted_ += earned * options_.refill;
+  *refilledAt_ += earned * options_.refill;
 }
 
 }  // namespace umberhold
