--- a/bench/shard_map_benchmark.cc
+++ b/bench/shard_map_benchmark.cc
@@ -38,7 +38,7 @@
     map.onMember(memberOf(id, MemberState::kAlive));
     id = id == kMembers ? 2 : id + 1;
   }
-  benchmark::DoNotOptimize(map.takeChanged());
+  benchmark::DoNotOptimize(map.takeChangedShards());
 }
 BENCHMARK(lossAndJoin)->Unit(benchmark::kMicrosecond);
 
@@ -55,7 +55,7 @@
   const ShardMap map = regionMap();
   const ShardId shard{ServiceId{7 * 0x9E3779B97F4A7C15ULL}, 1};
   for (auto _ : state) {
-    benchmark::DoNotOptimize(map.bestOfEachZone(shard));
+    benchmark::DoNotOptimize(map.highestRankedPerZone(shard));
   }
 }
 BENCHMARK(takeoverCandidates)->Unit(benchmark::kMicrosecond);
--- a/source/common/node/flow_plane.cc
+++ b/source/common/node/flow_plane.cc
@@ -106,8 +106,8 @@
   shards_.leave(now);
 }
 
-std::vector<HeldShard> FlowPlane::heldShards() const {
-  return shards_.heldShards();
+std::vector<PendingHandover> FlowPlane::pendingHandovers() const {
+  return shards_.pendingHandovers();
 }
 
 bool FlowPlane::handedOver() const {
--- a/source/common/node/flow_plane.h
+++ b/source/common/node/flow_plane.h
@@ -38,7 +38,7 @@
   void setCaughtUp();
   void leave(TimePoint now);
   bool handedOver() const;
-  std::vector<HeldShard> heldShards() const;
+  std::vector<PendingHandover> pendingHandovers() const;
   void onProbeResult(TimePoint now, const ProbeResult& result);
   /** Takes a message of messages/shard_messages.h. */
   void onMessage(TimePoint now, const Endpoint& from, NodeId sender, const Message& message);
--- a/source/common/node/node_core.cc
+++ b/source/common/node/node_core.cc
@@ -118,8 +118,8 @@
   parts_->detector.announceReady(now);
 }
 
-std::vector<HeldShard> NodeCore::heldShards() const {
-  return parts_->flows.heldShards();
+std::vector<PendingHandover> NodeCore::pendingHandovers() const {
+  return parts_->flows.pendingHandovers();
 }
 
 void NodeCore::finishLeaving(TimePoint now) {
--- a/source/common/node/node_core.h
+++ b/source/common/node/node_core.h
@@ -26,7 +26,7 @@
 #include "common/packet/packet_path.h"
 #include "common/platform/platform_store.h"
 #include "common/policy/policy_engine.h"
-#include "common/shard/held_shard.h"
+#include "common/shard/pending_handover.h"
 #include "common/shard/shard_counters.h"
 #include "common/wire/message.h"
 #include "common/wire/message_sink.h"
@@ -116,7 +116,7 @@
   void leave(TimePoint now);
 
   /** @return the shards that a leaving node still has to hand over. */
-  std::vector<HeldShard> heldShards() const;
+  std::vector<PendingHandover> pendingHandovers() const;
   NodeReadiness readiness() const;
   /** @return this node's identity and state. */
   const Member& self() const;
--- a/source/common/server/node_metrics.cc
+++ b/source/common/server/node_metrics.cc
@@ -99,7 +99,7 @@
       .add(static_cast<double>(shards.takeoversFromOwner), {metricLabel("from", "owner")})
       .add(static_cast<double>(shards.takeoversFromReplica), {metricLabel("from", "replica")})
       .add(static_cast<double>(shards.takeoversFromOwnState), {metricLabel("from", "own_state")})
-      .add(static_cast<double>(shards.shardsBuiltNew), {metricLabel("from", "nothing")})
+      .add(static_cast<double>(shards.shardsCreated), {metricLabel("from", "nothing")})
       .take();
 }
 
--- a/source/common/server/node_process.cc
+++ b/source/common/server/node_process.cc
@@ -205,14 +205,14 @@
       return;
     }
     nextHeldNote = now + kHeldNoteInterval;
-    const std::vector<HeldShard> held = core.heldShards();
+    const std::vector<PendingHandover> held = core.pendingHandovers();
     const size_t logged = std::min(held.size(), kLoggedShards);
     for (size_t index = 0; index < logged; ++index) {
-      const HeldShard& shard = held[index];
+      const PendingHandover& shard = held[index];
       LOG(INFO) << "event=leave_waits shards=" << held.size()
                 << " service=" << shard.shard.service.value << " shard=" << shard.shard.index
                 << " role=" << toString(shard.role) << " epoch=" << shard.epoch
-                << " flows=" << shard.flows << " gave_way=" << shard.gaveWay
+                << " flows=" << shard.flows << " gave_way=" << shard.fenced
                 << " successor=" << shard.successor.value;
     }
   }
--- a/source/common/shard/local_shard.cc
+++ b/source/common/shard/local_shard.cc
@@ -76,7 +76,7 @@
   for (const NodeId& node : context_.map.ranked(id_, kRankedCandidates)) {
     addUnique(candidates, node);
   }
-  for (const NodeId& node : context_.map.bestOfEachZone(id_)) {
+  for (const NodeId& node : context_.map.highestRankedPerZone(id_)) {
     addUnique(candidates, node);
   }
   context_.view.forEach([&](const Member& member) {
@@ -202,7 +202,7 @@
 }
 
 void LocalShard::buildNew(TimePoint now, bool fresh, bool knowsAllFlows) {
-  ++context_.counters.shardsBuiltNew;
+  ++context_.counters.shardsCreated;
   setBase(now, service_.placement->currentBase());
   markExceptions(now);
   knowsAllFlows_ = knowsAllFlows;
@@ -420,7 +420,7 @@
   return "unknown";
 }
 
-HeldShard LocalShard::heldShard() const {
+PendingHandover LocalShard::pendingHandover() const {
   return {id_, role_, epoch_, context_.flows.flowCount(flowSlot_), fenced_, successor_};
 }
 
--- a/source/common/shard/local_shard.h
+++ b/source/common/shard/local_shard.h
@@ -17,7 +17,7 @@
 
 #include "common/flow/flow_director.h"
 #include "common/placement/base_table.h"
-#include "common/shard/held_shard.h"
+#include "common/shard/pending_handover.h"
 #include "common/shard/hold_queue.h"
 #include "common/shard/host_slots.h"
 #include "common/shard/known_flows.h"
@@ -110,7 +110,7 @@
   /** @return whether a leaving node may forget the shard. */
   bool isHandedOver(TimePoint now) const;
   /** @return what there is to hand over. */
-  HeldShard heldShard() const;
+  PendingHandover pendingHandover() const;
   PlacementExplanation explain(TimePoint now, FlowHash flow) const;
   ShardStats stats(TimePoint now) const;
 
--- a/source/common/shard/held_shard.h
+++ b/source/common/shard/pending_handover.h
@@ -16,13 +16,13 @@
 std::string_view toString(ShardRole role);
 
 /** A shard whose state keeps a leaving node from its end, for the log. */
-struct HeldShard {
+struct PendingHandover {
   ShardId shard;
   ShardRole role = ShardRole::kNone;
   uint32_t epoch = 0;
   uint64_t flows = 0;
   /** The node gave the shard up since it heard of another owner. */
-  bool gaveWay = false;
+  bool fenced = false;
   /** Who may ask for the state. */
   NodeId successor;
 };
--- a/source/common/shard/shard_counters.h
+++ b/source/common/shard/shard_counters.h
@@ -10,7 +10,7 @@
   uint64_t takeoversFromOwner = 0;
   uint64_t takeoversFromReplica = 0;
   uint64_t takeoversFromOwnState = 0;
-  uint64_t shardsBuiltNew = 0;
+  uint64_t shardsCreated = 0;
   uint64_t releases = 0;
   uint64_t fencedByNewerOwner = 0;
   uint64_t refusals = 0;
--- a/source/common/shard/shard_director.cc
+++ b/source/common/shard/shard_director.cc
@@ -196,7 +196,7 @@
 }
 
 void ShardDirector::tickShards(TimePoint now) {
-  for (const ShardId& id : map_.takeChanged()) {
+  for (const ShardId& id : map_.takeChangedShards()) {
     const auto named = map_.lookup(id);
     if (named && named->owner == context_.self() && !context_.leaving) {
       findOrMake(now, id);
@@ -292,16 +292,16 @@
 }
 
 bool ShardDirector::handedOver() const {
-  return heldShards().empty();
+  return pendingHandovers().empty();
 }
 
-std::vector<HeldShard> ShardDirector::heldShards() const {
-  std::vector<HeldShard> held;
+std::vector<PendingHandover> ShardDirector::pendingHandovers() const {
+  std::vector<PendingHandover> held;
   for (const auto& [id, shard] : shards_) {
     const auto named = map_.lookup(id);
     const bool noSuccessor = !named || named->owner == context_.self();
     if (!noSuccessor && !shard->isHandedOver(now_)) {
-      held.push_back(shard->heldShard());
+      held.push_back(shard->pendingHandover());
     }
   }
   return held;
--- a/source/common/shard/shard_director.h
+++ b/source/common/shard/shard_director.h
@@ -71,7 +71,7 @@
   /** @return whether a leaving node holds nothing that a successor still needs. */
   bool handedOver() const;
   /** @return the shards for which handedOver() says no. */
-  std::vector<HeldShard> heldShards() const;
+  std::vector<PendingHandover> pendingHandovers() const;
 
   /** @return the placement of a service that this node has shards of, or nullptr. */
   ServicePlacement* placementOf(ServiceId id);
--- a/source/common/shard/shard_map.cc
+++ b/source/common/shard/shard_map.cc
@@ -178,7 +178,7 @@
   return members;
 }
 
-std::vector<NodeId> ShardMap::bestOfEachZone(const ShardId& shard) const {
+std::vector<NodeId> ShardMap::highestRankedPerZone(const ShardId& shard) const {
   std::vector<LiveMember> best;
   for (const LiveMember& member : members_) {
     const auto sameZone = std::find_if(best.begin(), best.end(), [&](const LiveMember& other) {
@@ -202,7 +202,7 @@
   return ids;
 }
 
-std::vector<ShardId> ShardMap::takeChanged() {
+std::vector<ShardId> ShardMap::takeChangedShards() {
   std::vector<ShardId> changed;
   changed.swap(changed_);
   std::sort(changed.begin(), changed.end());
--- a/source/common/shard/shard_map.h
+++ b/source/common/shard/shard_map.h
@@ -45,12 +45,12 @@
   /** @return up to `limit` live members, best first. */
   std::vector<NodeId> ranked(const ShardId& shard, size_t limit) const;
   /** @return the best-ranked live member of every zone, best first. */
-  std::vector<NodeId> bestOfEachZone(const ShardId& shard) const;
+  std::vector<NodeId> highestRankedPerZone(const ShardId& shard) const;
   /** @return the rendezvous score of a member for a shard; the same on every node. */
   static uint64_t score(const ShardId& shard, NodeId member);
 
   /** @return the shards whose owner or replica changed since the last call from or to this node. */
-  std::vector<ShardId> takeChanged();
+  std::vector<ShardId> takeChangedShards();
   size_t liveMembers() const { return members_.size(); }
   size_t shardCount() const;
 
--- a/test/common/shard/region_test.cc
+++ b/test/common/shard/region_test.cc
@@ -36,7 +36,7 @@
   scenario.region.runFor(std::chrono::seconds(20));
   uint64_t built = 0;
   for (const uint32_t id : scenario.region.runningNodes()) {
-    built += scenario.region.director(id)->counters().shardsBuiltNew;
+    built += scenario.region.director(id)->counters().shardsCreated;
   }
   CHECK_EQUAL(3U, built);
   CHECK(scenario.region.oracle().established() > 1500);
@@ -149,7 +149,7 @@
   scenario.region.runFor(std::chrono::seconds(20));
   for (const uint32_t id : scenario.region.runningNodes()) {
     if (RegionScenario::zoneOf(id) == 1) {
-      CHECK_EQUAL(0U, scenario.region.director(id)->counters().shardsBuiltNew);
+      CHECK_EQUAL(0U, scenario.region.director(id)->counters().shardsCreated);
     }
   }
   scenario.region.healZones();
--- a/test/common/shard/shard_director_test.cc
+++ b/test/common/shard/shard_director_test.cc
@@ -265,7 +265,7 @@
   node.director.onMemberChanged(leaving);
   node.director.leave(node.now);
   CHECK(node.director.handedOver());
-  CHECK(node.director.heldShards().empty());
+  CHECK(node.director.pendingHandovers().empty());
 }
 
 /** Found with whole cores: an owner that had given way to one of the same epoch kept its planned
@@ -278,9 +278,9 @@
   node.openFlow();
   node.deliver(kNewcomer, OwnershipNotice{kShard, 1, false});
   node.leaveBeside(kNewcomer);
-  CHECK_EQUAL(1U, node.director.heldShards().size());
-  CHECK_EQUAL(1U, node.director.heldShards().front().flows);
-  CHECK(node.director.heldShards().front().gaveWay);
+  CHECK_EQUAL(1U, node.director.pendingHandovers().size());
+  CHECK_EQUAL(1U, node.director.pendingHandovers().front().flows);
+  CHECK(node.director.pendingHandovers().front().fenced);
   node.sent.clear();
   node.tick();
   CHECK(node.noticeTo(kNewcomer)->holdsFlows);
@@ -296,7 +296,7 @@
   node.tick();
   node.leaveBeside(kNewcomer);
   CHECK(node.ask(kNewcomer, 0)->role == HeldRole::kOwner);
-  CHECK_EQUAL(1U, node.director.heldShards().size());
+  CHECK_EQUAL(1U, node.director.pendingHandovers().size());
   node.sent.clear();
   node.now += std::chrono::seconds(1);
   node.tick();
@@ -320,10 +320,10 @@
   node.view.apply(leaving);
   node.director.onMemberChanged(leaving);
   node.director.leave(node.now);
-  const std::vector<HeldShard> held = node.director.heldShards();
+  const std::vector<PendingHandover> held = node.director.pendingHandovers();
   CHECK_EQUAL(1U, held.size());
   CHECK(held.front().shard == kShard);
   CHECK(held.front().role == ShardRole::kOwner);
-  CHECK_FALSE(held.front().gaveWay);
+  CHECK_FALSE(held.front().fenced);
   CHECK_FALSE(node.director.handedOver());
 }
--- a/test/common/shard/shard_map_property.cc
+++ b/test/common/shard/shard_map_property.cc
@@ -98,7 +98,7 @@
       }
       const auto id = *rc::gen::inRange<uint32_t>(1, 6);
       map.onMember(memberOf(id, id % 3, static_cast<MemberState>(*rc::gen::inRange(0, 5))));
-      const auto changed = map.takeChanged();
+      const auto changed = map.takeChangedShards();
       for (uint16_t index = 0; index < kShards; ++index) {
         const ShardId shard{kService, index};
         const auto after = map.lookup(shard);
--- a/test/common/shard/zone_cut_test.cc
+++ b/test/common/shard/zone_cut_test.cc
@@ -92,7 +92,7 @@
   }
   scenario.region.runFor(std::chrono::seconds(10));
   for (const uint32_t id : kJoiners) {
-    CHECK_EQUAL(0U, scenario.region.director(id)->counters().shardsBuiltNew);
+    CHECK_EQUAL(0U, scenario.region.director(id)->counters().shardsCreated);
   }
   scenario.region.healZones();
   scenario.region.runFor(std::chrono::seconds(15));
