--- a/source/common/shard/baseline_director.cc
+++ b/source/common/shard/baseline_director.cc
@@ -7,7 +7,7 @@
 namespace umberhold {
 namespace {
 
-constexpr uint8_t kEqualWeight = 255;
+constexpr uint8_t kUniformWeight = 255;
 
 }  // namespace
 
@@ -54,7 +54,7 @@
   std::vector<BaseHost> active;
   for (const HostSpec& host : service.hosts) {
     if (host.state == HostState::kActive) {
-      active.push_back(BaseHost{hostIdOf(id, host.name), kEqualWeight});
+      active.push_back(BaseHost{hostIdOf(id, host.name), kUniformWeight});
     }
   }
   local.table = BaseTable(std::move(active));
--- a/source/common/shard/known_flows.cc
+++ b/source/common/shard/known_flows.cc
@@ -31,24 +31,24 @@
   return std::binary_search(sorted_.begin(), sorted_.end(), fingerprintOf(flow));
 }
 
-void KnownFlowStream::startNumbers() {
+void KnownFlowStream::resetNumbering() {
   // An acknowledgement of the last list must not fit the new one.
   start_ = end() + 1;
   first_ = start_;
   waiting_.clear();
   announced_ = false;
-  onTheWay_ = false;
+  inFlight_ = false;
 }
 
 void KnownFlowStream::restart(std::vector<FlowFingerprint> all) {
-  startNumbers();
+  resetNumbering();
   waiting_.assign(all.begin(), all.end());
-  placedSince_ = end();
+  firstPlacedNumber_ = end();
   state_ = State::kRunning;
 }
 
 void KnownFlowStream::revoke() {
-  startNumbers();
+  resetNumbering();
   state_ = State::kRevoked;
 }
 
@@ -59,31 +59,31 @@
 }
 
 bool KnownFlowStream::needsRenewal(size_t livingFlows) const {
-  return running() && end() - start_ > 2 * livingFlows + kMostEnded;
+  return running() && end() - start_ > 2 * livingFlows + kMaximumEndedFlows;
 }
 
 std::optional<KnownFlowBatch> KnownFlowStream::poll(TimePoint now, ByteBudget& budget,
                                                     ByteBudget& lists) {
   const bool nothingNew = announced_ && waiting_.empty();
   const bool full = waiting_.size() >= kBatchFlows;
-  const Duration usual = full || !announced_ || budget.isAmple(now) ? kPace : kBatchTime;
-  const Duration pause = onTheWay_ ? kResend : (hurries_ ? Duration(0) : usual);
+  const Duration usual = full || !announced_ || budget.isAmple(now) ? kMinimumBatchInterval : kPartialBatchDelay;
+  const Duration pause = inFlight_ ? kResendInterval : (flushRequested_ ? Duration(0) : usual);
   if (state_ == State::kStopped || nothingNew || now - lastSend_ < pause) {
     return std::nullopt;
   }
   const size_t count = std::min(waiting_.size(), kBatchFlows);
   const auto bytes = static_cast<double>(kFixedBytes + kFingerprintBytes * count);
   const bool paid =
-      budget.trySpend(now, bytes) || (first_ < placedSince_ && lists.trySpend(now, bytes));
+      budget.trySpend(now, bytes) || (first_ < firstPlacedNumber_ && lists.trySpend(now, bytes));
   if (!paid) {
     return std::nullopt;
   }
   return makeBatch(now, count);
 }
 
-std::optional<KnownFlowBatch> KnownFlowStream::takeAlong(TimePoint now, ByteBudget& budget) {
+std::optional<KnownFlowBatch> KnownFlowStream::takePiggybackBatch(TimePoint now, ByteBudget& budget) {
   const size_t count = waiting_.size();
-  const bool fits = announced_ && running() && !onTheWay_ && count > 0 && count <= kMostAlong;
+  const bool fits = announced_ && running() && !inFlight_ && count > 0 && count <= kMaximumPiggybackedFlows;
   if (!fits || !budget.trySpend(now, static_cast<double>(kFingerprintBytes * count))) {
     return std::nullopt;
   }
@@ -97,8 +97,8 @@
   // A revoked list ends where it never arrives.
   batch.end = state_ == State::kRevoked ? end() + 1 : end();
   batch.fingerprints.assign(waiting_.begin(), waiting_.begin() + static_cast<ptrdiff_t>(count));
-  onTheWay_ = true;
-  hurries_ = hurries_ && count < waiting_.size();
+  inFlight_ = true;
+  flushRequested_ = flushRequested_ && count < waiting_.size();
   lastSend_ = now;
   return batch;
 }
@@ -110,7 +110,7 @@
   waiting_.erase(waiting_.begin(), waiting_.begin() + static_cast<ptrdiff_t>(next - first_));
   first_ = next;
   announced_ = true;
-  onTheWay_ = false;
+  inFlight_ = false;
 }
 
 void KnownFlowCopy::reset() {
--- a/source/common/shard/known_flows.h
+++ b/source/common/shard/known_flows.h
@@ -41,17 +41,17 @@
 class KnownFlowStream {
  public:
   /** A batch that is not full waits for more flows for this long, where bytes are scarce. */
-  static constexpr Duration kBatchTime = std::chrono::seconds(3);
+  static constexpr Duration kPartialBatchDelay = std::chrono::seconds(3);
   /** Between two full batches, or any two where bytes are ample: until the replica has heard of a
    * flow, the death of its owner makes it look new. */
-  static constexpr Duration kPace = std::chrono::milliseconds(250);
-  static constexpr Duration kResend = std::chrono::seconds(1);
+  static constexpr Duration kMinimumBatchInterval = std::chrono::milliseconds(250);
+  static constexpr Duration kResendInterval = std::chrono::seconds(1);
   static constexpr size_t kBatchFlows = 200;
   /** Flows that go along with a datagram of the replication log. */
-  static constexpr size_t kMostAlong = 50;
+  static constexpr size_t kMaximumPiggybackedFlows = 50;
   /** Flows that ended are still listed; beyond twice the living ones and this the list is renewed.
    */
-  static constexpr size_t kMostEnded = 4096;
+  static constexpr size_t kMaximumEndedFlows = 4096;
 
   /** Starts again with a replica that knows nothing. */
   void restart(std::vector<FlowFingerprint> all);
@@ -62,7 +62,7 @@
   /** A flow was placed; ignored unless running. */
   void add(FlowFingerprint fingerprint);
   /** What waits must be sent at once: a host may have begun to drain. */
-  void hurry() { hurries_ = true; }
+  void requestFlush() { flushRequested_ = true; }
 
   /**
    * @return the batch to send now, if any; its bytes are taken from a budget.
@@ -73,7 +73,7 @@
    * @return what waits, for a datagram that leaves in any case and pays for the fixed part; nothing
    * where it does not fit, a batch is on the way, or the budget has not the bytes.
    */
-  std::optional<KnownFlowBatch> takeAlong(TimePoint now, ByteBudget& budget);
+  std::optional<KnownFlowBatch> takePiggybackBatch(TimePoint now, ByteBudget& budget);
   /** @param next first number that the replica lacks. */
   void onAck(uint32_t next);
 
@@ -84,7 +84,7 @@
  private:
   enum class State : uint8_t { kStopped, kRunning, kRevoked };
 
-  void startNumbers();
+  void resetNumbering();
   /** The first so many that wait are on their way from now on. */
   KnownFlowBatch makeBatch(TimePoint now, size_t count);
   uint32_t end() const { return first_ + static_cast<uint32_t>(waiting_.size()); }
@@ -96,11 +96,11 @@
   uint32_t first_ = 0;
   std::deque<FlowFingerprint> waiting_;
   /** Number of the first flow that was placed after the list was started. */
-  uint32_t placedSince_ = 0;
+  uint32_t firstPlacedNumber_ = 0;
   /** The replica has heard of the list. */
   bool announced_ = false;
-  bool onTheWay_ = false;
-  bool hurries_ = false;
+  bool inFlight_ = false;
+  bool flushRequested_ = false;
   TimePoint lastSend_{};
 };
 
--- a/source/common/shard/local_shard.cc
+++ b/source/common/shard/local_shard.cc
@@ -12,12 +12,12 @@
 /** How many of the best-ranked members are asked for state, besides the best of each zone. */
 constexpr size_t kRankedCandidates = 4;
 /** So long after its creation a service whose shards nobody holds has had no flows. */
-constexpr Duration kNewServiceTime = std::chrono::seconds(10);
+constexpr Duration kNewServicePeriod = std::chrono::seconds(10);
 constexpr Duration kNoticeInterval = std::chrono::milliseconds(500);
 /** So long a former owner that lost its shard says that it has flows which the new one lacks. */
-constexpr Duration kFencedNoticeTime = std::chrono::seconds(5);
+constexpr Duration kFencedNoticePeriod = std::chrono::seconds(5);
 /** A copy that no owner has fed for this long, while no view asked for it, lacks changes. */
-constexpr Duration kReplicaPatience = std::chrono::seconds(2);
+constexpr Duration kReplicaStaleTimeout = std::chrono::seconds(2);
 /** A copy that no owner has fed for this long, and no view asks for, is dropped. */
 constexpr Duration kReplicaLifetime = std::chrono::seconds(120);
 
@@ -39,7 +39,7 @@
   context_.flows.removeShard(flowSlot_);
 }
 
-bool LocalShard::isNamedOwner() const {
+bool LocalShard::isAssignedOwner() const {
   const auto named = context_.map.lookup(id_);
   return named && named->owner == context_.self() && !context_.leaving;
 }
@@ -139,7 +139,7 @@
     if ((context_.mayHaveRivals(now) || nothing->mayHaveRivals) && !fresh) {
       startTakeover(now);
     } else {
-      buildNew(now, fresh, fresh || firstOwner);
+      createEmpty(now, fresh, fresh || firstOwner);
     }
   }
 }
@@ -148,7 +148,7 @@
   const bool superseded = hasState_ && handedOver_ && !fenced_;
   if (superseded) {
     // What this node gave away came back in the content, where it still lives.
-    forgetState();
+    discardState();
   }
   highestEpochSeen_ = std::max(highestEpochSeen_, content.epoch);
   setBase(now, content.base);
@@ -198,10 +198,10 @@
 }
 
 bool LocalShard::isNewService(TimePoint now) const {
-  return service_.bornAt && now - *service_.bornAt < kNewServiceTime;
+  return service_.createdAt && now - *service_.createdAt < kNewServicePeriod;
 }
 
-void LocalShard::buildNew(TimePoint now, bool fresh, bool knowsAllFlows) {
+void LocalShard::createEmpty(TimePoint now, bool fresh, bool knowsAllFlows) {
   ++context_.counters.shardsCreated;
   setBase(now, service_.placement->currentBase());
   markExceptions(now);
@@ -227,9 +227,9 @@
   takeoverSenders_.clear();
   ownedSince_ = now;
   lastBaseAdvance_ = now;
-  cautiousUntil_ = cautious ? now + context_.options.cautiousTime : now;
+  baseOnlyUntil_ = cautious ? now + context_.options.baseOnlyTime : now;
   log_.reset(now);
-  replicaLate_ = false;
+  replicaOverdue_ = false;
   knownFlows_.stop();
   service_.placement->shardOwned(now, id_, permits);
   countEntries(now);
@@ -254,7 +254,7 @@
 
 void LocalShard::release(TimePoint now, NodeId successor) {
   ++context_.counters.releases;
-  std::vector<HoldQueue::Packet> unforwarded = giveUpUnacknowledged(now);
+  std::vector<HoldQueue::Packet> unforwarded = dropUnacknowledged(now);
   releasedPermits_ = service_.placement->handOverPermits(id_);
   service_.placement->shardReleased(now, id_);
   role_ = ShardRole::kReleased;
@@ -276,17 +276,17 @@
   highestEpochSeen_ = std::max(highestEpochSeen_, newerEpoch);
 }
 
-void LocalShard::reconfirm(TimePoint now) {
+void LocalShard::reconfirmOwnership(TimePoint now) {
   if (role_ == ShardRole::kOwner) {
     release(now, context_.self());
     fenced_ = true;
   }
-  if (role_ == ShardRole::kAcquiring || isNamedOwner()) {
+  if (role_ == ShardRole::kAcquiring || isAssignedOwner()) {
     startTakeover(now);
   }
 }
 
-void LocalShard::forgetState() {
+void LocalShard::discardState() {
   context_.flows.removeShard(flowSlot_);
   flowSlot_ = context_.flows.addShard(service_.idleTimeoutSeconds);
   slots_.clear();
@@ -304,7 +304,7 @@
   refused_.expire(now);
   tickReplica(now);
   tickSenders(now);
-  const bool named = isNamedOwner();
+  const bool named = isAssignedOwner();
   switch (role_) {
     case ShardRole::kNone:
       if (named) {
@@ -334,16 +334,16 @@
 
 void LocalShard::tickReleased(TimePoint now) {
   const bool holdsFlows = fenced_ && context_.flows.flowCount(flowSlot_) > 0;
-  const bool due = now - lastNotice_ >= kNoticeInterval && now - releasedAt_ < kFencedNoticeTime;
+  const bool due = now - lastNotice_ >= kNoticeInterval && now - releasedAt_ < kFencedNoticePeriod;
   if (holdsFlows && due) {
     lastNotice_ = now;
     context_.send(successor_, OwnershipNotice{id_, epoch_, true});
   }
   if (context_.leaving && !fenced_ && !handedOver_) {
-    askWhoOwns(now);
+    queryOwner(now);
   }
-  if (now - releasedAt_ >= context_.options.releasedTime) {
-    forgetState();
+  if (now - releasedAt_ >= context_.options.releasedStateLifetime) {
+    discardState();
     role_ = ShardRole::kNone;
   }
 }
@@ -353,7 +353,7 @@
  * epoch. A leaving node hears of a newer owner in no other way: the last acknowledgement of a fetch
  * may be lost, and the successor may have taken a replica's copy instead.
  */
-void LocalShard::askWhoOwns(TimePoint now) {
+void LocalShard::queryOwner(TimePoint now) {
   if (now - lastNotice_ < kNoticeInterval) {
     return;
   }
@@ -385,10 +385,10 @@
   const auto named = context_.map.lookup(id_);
   const bool wanted =
       named && (named->owner == context_.self() || named->replica == context_.self());
-  if (!wanted && now - replica_->lastHeard() >= kReplicaPatience) {
+  if (!wanted && now - replica_->lastOwnerMessage() >= kReplicaStaleTimeout) {
     replica_->setOutdated();
   }
-  if (!wanted && now - replica_->lastHeard() >= kReplicaLifetime) {
+  if (!wanted && now - replica_->lastOwnerMessage() >= kReplicaLifetime) {
     replica_.reset();
   }
 }
@@ -402,8 +402,8 @@
   }
 }
 
-bool LocalShard::isIdle() const {
-  return role_ == ShardRole::kNone && !replica_ && !isNamedOwner();
+bool LocalShard::isUnused() const {
+  return role_ == ShardRole::kNone && !replica_ && !isAssignedOwner();
 }
 
 std::string_view toString(ShardRole role) {
@@ -431,7 +431,7 @@
   // Nobody fetches the state of an owner that gave way: the newer one has its own. It only has to
   // hear that there are flows which it doesn't know.
   const bool gaveWay = fenced_ && successor_ != context_.self();
-  const bool noticed = now - releasedAt_ >= kFencedNoticeTime;
+  const bool noticed = now - releasedAt_ >= kFencedNoticePeriod;
   const bool nothingToGive = gaveWay && (noticed || context_.flows.flowCount(flowSlot_) == 0);
   return role_ != ShardRole::kReleased || handedOver_ || nothingToGive;
 }
--- a/source/common/shard/local_shard.h
+++ b/source/common/shard/local_shard.h
@@ -76,12 +76,12 @@
   FlowDecision decide(TimePoint now, const FlowPacket& packet, std::string_view bytes);
   void tick(TimePoint now);
   /** @return since when a change waits to be sent to the replica; the end of time for none. */
-  TimePoint replicationWaitsSince() const;
+  TimePoint pendingReplicationSince() const;
   /** Tells the replica what it lacks, as far as the node's budget allows. Call it after tick(), the
    * shard that waits longest first. */
   void sendReplication(TimePoint now);
   /** The process was paused: asks whether another node owns the shard by now. */
-  void reconfirm(TimePoint now);
+  void reconfirmOwnership(TimePoint now);
 
   void onTakeoverRequest(TimePoint now, NodeId sender, const TakeoverRequest& request);
   void onTakeoverReply(TimePoint now, NodeId sender, const TakeoverReply& reply);
@@ -91,12 +91,12 @@
   void onReplicaAppend(TimePoint now, NodeId sender, const ReplicaAppend& batch);
   void onReplicaAck(TimePoint now, NodeId sender, const ReplicaAck& ack);
   /** Another node says that it owned the shard at the epoch. */
-  void onOwnerHeard(TimePoint now, NodeId owner, uint32_t epoch);
+  void onOwnerAnnounced(TimePoint now, NodeId owner, uint32_t epoch);
 
   /** Hosts were added, removed or moved, or a drain deadline may have passed. */
   void onHostsChanged(TimePoint now);
   /** The service's configuration changed: the replica must know the flows from before at once. */
-  void hurryKnownFlows() { knownFlows_.hurry(); }
+  void flushKnownFlows() { knownFlows_.requestFlush(); }
   /** The flow table forgot an entry of this shard. */
   void onFlowForgotten(TimePoint now, const FlowEntry& entry);
 
@@ -106,7 +106,7 @@
   /** @return the node that the owner replicates to. */
   std::optional<NodeId> replicaNode() const { return replicaNode_; }
   /** @return whether nothing of the shard is held here and no view gives it to this node. */
-  bool isIdle() const;
+  bool isUnused() const;
   /** @return whether a leaving node may forget the shard. */
   bool isHandedOver(TimePoint now) const;
   /** @return what there is to hand over. */
@@ -116,7 +116,7 @@
 
  private:
   // Roles (local_shard.cc).
-  bool isNamedOwner() const;
+  bool isAssignedOwner() const;
   bool outranksSelf(NodeId node) const;
   /** @return whether this node owned the shard and keeps its state, also while it asks for it back.
    */
@@ -131,16 +131,16 @@
    * @param fresh the service is so new that no flow can exist.
    * @param knowsAllFlows no owner before this one can have placed a flow.
    */
-  void buildNew(TimePoint now, bool fresh, bool knowsAllFlows);
+  void createEmpty(TimePoint now, bool fresh, bool knowsAllFlows);
   bool isNewService(TimePoint now) const;
   void becomeOwner(TimePoint now, bool cautious, const std::vector<HostPermits>& permits);
   void countEntries(TimePoint now);
   void releaseHeld(TimePoint now);
   void release(TimePoint now, NodeId successor);
   void fence(TimePoint now, NodeId newerOwner, uint32_t newerEpoch);
-  void forgetState();
+  void discardState();
   void tickReleased(TimePoint now);
-  void askWhoOwns(TimePoint now);
+  void queryOwner(TimePoint now);
   void tickSenders(TimePoint now);
   void tickReplica(TimePoint now);
   void sendNotice(TimePoint now);
@@ -166,12 +166,12 @@
   FlowDecision accept(TimePoint now, const FlowPacket& packet, std::string_view bytes, HostId host);
   FlowDecision refuse(TimePoint now, const FlowPacket& packet);
   FlowDecision relayTo(NodeId node) const;
-  FlowDecision relayToNamed() const;
+  FlowDecision relayToAssignedOwner() const;
   FlowDecision hold(const FlowPacket& packet, std::string_view bytes);
   FlowDecision forward(uint16_t slot) const;
-  bool isCautious(TimePoint now) const;
+  bool placesAtBaseOnly(TimePoint now) const;
   /** Closing and reset flows no longer count against their host. */
-  void countChange(const FlowEntry& before, const FlowEntry& after);
+  void updateFlowCounts(const FlowEntry& before, const FlowEntry& after);
   void dropEntry(TimePoint now, const FlowEntry& entry);
 
   // Base table and replication (local_shard_replication.cc).
@@ -190,17 +190,17 @@
   /** Lets new flows go on whose records the replica has. */
   void releaseAcknowledged(TimePoint now);
   /** Places new flows at the base that waited for the replica in vain. */
-  void placeOverdue(TimePoint now);
+  void releaseOverdue(TimePoint now);
   /** The node owns the shard no more. @return packets of new flows that were never forwarded. */
-  std::vector<HoldQueue::Packet> giveUpUnacknowledged(TimePoint now);
+  std::vector<HoldQueue::Packet> dropUnacknowledged(TimePoint now);
   void releasePackets(TimePoint now, std::vector<HoldQueue::Packet> packets);
-  void learnAllFlows(TimePoint now);
+  void updateAllFlowsKnown(TimePoint now);
   void streamKnownFlows(TimePoint now);
   /** @return whether it is known of every flow whether it existed. */
   bool knowsOldFlows() const { return knowsAllFlows_ || oldFlows_; }
   std::vector<FlowFingerprint> listKnownFlows(TimePoint now) const;
   /** Flows exist that are neither in the table nor listed. */
-  void forgetWhatIsKnown(TimePoint now);
+  void invalidateKnownFlows(TimePoint now);
 
   ShardContext& context_;
   ServiceRuntime& service_;
@@ -217,16 +217,16 @@
 
   // Owner.
   TimePoint ownedSince_{};
-  TimePoint cautiousUntil_{};
+  TimePoint baseOnlyUntil_{};
   TimePoint lastNotice_{};
   TimePoint lastBaseAdvance_{};
   ReplicationLog log_;
   KnownFlowStream knownFlows_;
   UnacknowledgedFlows unacknowledged_;
   /** When the replica last acknowledged something. */
-  TimePoint replicaHeardAt_{};
+  TimePoint lastReplicaAck_{};
   /** A record waited too long for its acknowledgement, and none has come since. */
-  bool replicaLate_ = false;
+  bool replicaOverdue_ = false;
   std::optional<NodeId> replicaNode_;
   std::unique_ptr<SnapshotSender> replicaSnapshot_;
   uint32_t replicaSnapshotNumber_ = 0;
--- a/source/common/shard/local_shard_messages.cc
+++ b/source/common/shard/local_shard_messages.cc
@@ -43,11 +43,11 @@
   }
 }
 
-void LocalShard::onOwnerHeard(TimePoint now, NodeId owner, uint32_t epoch) {
+void LocalShard::onOwnerAnnounced(TimePoint now, NodeId owner, uint32_t epoch) {
   highestEpochSeen_ = std::max(highestEpochSeen_, epoch);
   lastKnownOwner_ = owner;
   if (takeover_) {
-    takeover_->onOwnerHeard(now, owner, epoch);
+    takeover_->onOwnerAnnounced(now, owner, epoch);
   }
   if (role_ == ShardRole::kOwner &&
       std::make_tuple(epoch, owner) > std::make_tuple(epoch_, context_.self())) {
@@ -59,9 +59,9 @@
 }
 
 void LocalShard::onOwnershipNotice(TimePoint now, NodeId sender, const OwnershipNotice& notice) {
-  onOwnerHeard(now, sender, notice.epoch);
+  onOwnerAnnounced(now, sender, notice.epoch);
   if (role_ == ShardRole::kOwner && notice.holdsFlows) {
-    forgetWhatIsKnown(now);
+    invalidateKnownFlows(now);
   } else if (role_ == ShardRole::kOwner) {
     context_.send(sender, OwnershipNotice{id_, epoch_, false});
   }
@@ -96,7 +96,7 @@
       return;
     }
     takeoverSenders_[sender] = std::make_unique<SnapshotSender>(
-        now, cutSnapshot(SnapshotIdentity{id_, SnapshotPurpose::kTakeover, ack.attempt}, *state));
+        now, splitSnapshot(SnapshotIdentity{id_, SnapshotPurpose::kTakeover, ack.attempt}, *state));
     return;
   }
   if (another) {
@@ -119,7 +119,7 @@
     }
     return;
   }
-  onOwnerHeard(now, sender, chunk.epoch);
+  onOwnerAnnounced(now, sender, chunk.epoch);
   if (role_ == ShardRole::kOwner) {
     context_.send(sender, ReplicaAck{id_, epoch_, 0, false, context_.self(), 0});
     return;
--- a/source/common/shard/local_shard_packets.cc
+++ b/source/common/shard/local_shard_packets.cc
@@ -22,11 +22,11 @@
     case ShardRole::kNone:
       break;
   }
-  if (isNamedOwner()) {
+  if (isAssignedOwner()) {
     startTakeover(now);
     return decideAcquiring(now, packet, bytes);
   }
-  return relayToNamed();
+  return relayToAssignedOwner();
 }
 
 FlowDecision LocalShard::decideAsOwner(TimePoint now, const FlowPacket& packet,
@@ -40,11 +40,11 @@
     return decideUnknown(now, packet, bytes);
   }
   const FlowEntry entry = *context_.flows.touch(now, flowSlot_, packet.hash, packet.phase);
-  countChange(*before, entry);
+  updateFlowCounts(*before, entry);
   return serveEntry(now, packet, bytes, entry);
 }
 
-void LocalShard::countChange(const FlowEntry& before, const FlowEntry& after) {
+void LocalShard::updateFlowCounts(const FlowEntry& before, const FlowEntry& after) {
   const HostId host = slots_.at(after.hostSlot).host;
   if (isOpen(before.state) && !isOpen(after.state)) {
     service_.placement->flowRemoved(id_, host);
@@ -84,7 +84,7 @@
   if (successorLives) {
     return relayTo(successor_);
   }
-  return isNamedOwner() ? hold(packet, bytes) : relayToNamed();
+  return isAssignedOwner() ? hold(packet, bytes) : relayToAssignedOwner();
 }
 
 FlowDecision LocalShard::serveEntry(TimePoint now, const FlowPacket& packet, std::string_view bytes,
@@ -191,17 +191,17 @@
     }
   } else {
     // The base table serves the flow without an entry, but then it must not change under it.
-    forgetWhatIsKnown(now);
+    invalidateKnownFlows(now);
   }
   return forward(*slot);
 }
 
-bool LocalShard::isCautious(TimePoint now) const {
-  return now < cautiousUntil_ || now < context_.cautiousUntil;
+bool LocalShard::placesAtBaseOnly(TimePoint now) const {
+  return now < baseOnlyUntil_ || now < context_.baseOnlyUntil;
 }
 
 FlowDecision LocalShard::placeNew(TimePoint now, const FlowPacket& packet, std::string_view bytes) {
-  if (isCautious(now)) {
+  if (placesAtBaseOnly(now)) {
     return placeAtBase(now, packet, bytes);
   }
   if (!service_.admitting) {
@@ -248,7 +248,7 @@
   service_.placement->flowAdded(id_, host, FlowOrigin::kNew);
   if (flow.exception) {
     ++context_.counters.exceptionsPlaced;
-    const bool heardLately = now - replicaHeardAt_ < UnacknowledgedFlows::kPatience;
+    const bool heardLately = now - lastReplicaAck_ < UnacknowledgedFlows::kPatience;
     const bool waits =
         replicaNode_ && !heardLately && replicationReliable(now) && !unacknowledged_.isFull();
     log_.added(now, PinnedFlow{packet.hash, host});
@@ -286,7 +286,7 @@
   return RelayToNode{node, member->relayEndpoint()};
 }
 
-FlowDecision LocalShard::relayToNamed() const {
+FlowDecision LocalShard::relayToAssignedOwner() const {
   const auto named = context_.map.lookup(id_);
   return named ? relayTo(named->owner) : FlowDecision{DropPacket{DropReason::kNoOwner}};
 }
--- a/source/common/shard/local_shard_replication.cc
+++ b/source/common/shard/local_shard_replication.cc
@@ -63,7 +63,7 @@
   if (!hasWeight(base)) {
     // No flow follows a base table without hosts, so that it may be replaced at any time.
     base = service_.placement->currentBase();
-    log_.loseReplica();
+    log_.markReplicaLost();
   }
   base_ = BaseTable(std::move(base));
 }
@@ -79,7 +79,7 @@
     slot.runs = slot.runs && !gone && !moved;
   }
   if (replica_) {
-    replica_->keepHosts(
+    replica_->retainHosts(
         [this](HostId host) { return !service_.hosts.isGone(host, context_.unixNow); });
   }
   if (role_ != ShardRole::kOwner && !hasState_) {
@@ -90,7 +90,7 @@
   if (nextBase_ && base_.hosts().size() != before) {
     // The table under way may name a host that is gone: start over.
     nextBase_.reset();
-    log_.loseReplica();
+    log_.markReplicaLost();
     replicaSnapshot_.reset();
   }
 }
@@ -148,9 +148,9 @@
 
 void LocalShard::tickReplication(TimePoint now) {
   chooseReplica(now);
-  learnAllFlows(now);
+  updateAllFlowsKnown(now);
   advanceBase(now);
-  placeOverdue(now);
+  releaseOverdue(now);
   if (!replicaNode_) {
     return;
   }
@@ -162,8 +162,8 @@
   streamKnownFlows(now);
 }
 
-TimePoint LocalShard::replicationWaitsSince() const {
-  return role_ == ShardRole::kOwner && replicaNode_ ? log_.waitsSince() : TimePoint::max();
+TimePoint LocalShard::pendingReplicationSince() const {
+  return role_ == ShardRole::kOwner && replicaNode_ ? log_.oldestUrgentChangeTime() : TimePoint::max();
 }
 
 void LocalShard::sendReplication(TimePoint now) {
@@ -174,7 +174,7 @@
   if (!batch) {
     return;
   }
-  if (auto known = knownFlows_.takeAlong(now, context_.knownFlowBudget)) {
+  if (auto known = knownFlows_.takePiggybackBatch(now, context_.knownFlowBudget)) {
     batch->known = std::move(*known);
   }
   context_.send(*replicaNode_, std::move(*batch));
@@ -214,7 +214,7 @@
   return known;
 }
 
-void LocalShard::forgetWhatIsKnown(TimePoint now) {
+void LocalShard::invalidateKnownFlows(TimePoint now) {
   knowsAllFlows_ = false;
   oldFlows_.reset();
   ownedSince_ = now;
@@ -235,10 +235,10 @@
   }
   if (wanted != replicaNode_) {
     replicaNode_ = wanted;
-    replicaHeardAt_ = TimePoint{};
+    lastReplicaAck_ = TimePoint{};
     replicaSnapshot_.reset();
     nextBase_.reset();
-    log_.loseReplica();
+    log_.markReplicaLost();
     knownFlows_.stop();
     markExceptions(now);
   }
@@ -249,7 +249,7 @@
   snapshotCarriesNextBase_ = nextBase_.has_value();
   const SnapshotIdentity identity{id_, SnapshotPurpose::kReplica, ++replicaSnapshotNumber_};
   replicaSnapshot_ =
-      std::make_unique<SnapshotSender>(now, cutSnapshot(identity, content(now, false)));
+      std::make_unique<SnapshotSender>(now, splitSnapshot(identity, content(now, false)));
 }
 
 void LocalShard::pollReplicaSnapshot(TimePoint now) {
@@ -267,7 +267,7 @@
     // The log overflowed meanwhile and the snapshot no longer joins it.
     return;
   }
-  log_.snapshotArrived(now);
+  log_.onSnapshotDelivered(now);
   releaseAcknowledged(now);
   if (nextBase_ && snapshotCarriesNextBase_) {
     finishBaseAdvance(now);
@@ -312,20 +312,20 @@
   if (context_.mayHaveRivals(now)) {
     return false;
   }
-  return replicaNode_ ? log_.current(now) && !replicaLate_ : context_.map.liveMembers() <= 1;
+  return replicaNode_ ? log_.current(now) && !replicaOverdue_ : context_.map.liveMembers() <= 1;
 }
 
 void LocalShard::releaseAcknowledged(TimePoint now) {
-  replicaHeardAt_ = now;
-  replicaLate_ = false;
+  lastReplicaAck_ = now;
+  replicaOverdue_ = false;
   if (log_.synchronised()) {
     releasePackets(now, unacknowledged_.takeAcknowledged(log_.firstSequence()));
   }
 }
 
-void LocalShard::placeOverdue(TimePoint now) {
+void LocalShard::releaseOverdue(TimePoint now) {
   for (UnacknowledgedFlows::Overdue& overdue : unacknowledged_.takeOverdue(now)) {
-    replicaLate_ = true;
+    replicaOverdue_ = true;
     if (const auto entry = context_.flows.find(now, flowSlot_, overdue.flow)) {
       dropEntry(now, *entry);
     }
@@ -333,7 +333,7 @@
   }
 }
 
-std::vector<HoldQueue::Packet> LocalShard::giveUpUnacknowledged(TimePoint now) {
+std::vector<HoldQueue::Packet> LocalShard::dropUnacknowledged(TimePoint now) {
   if (unacknowledged_.isEmpty()) {
     return {};
   }
@@ -355,7 +355,7 @@
   }
 }
 
-void LocalShard::learnAllFlows(TimePoint now) {
+void LocalShard::updateAllFlowsKnown(TimePoint now) {
   const Duration idleTimeout = std::chrono::seconds(service_.idleTimeoutSeconds);
   if (!knowsAllFlows_ && now - ownedSince_ >= idleTimeout) {
     knowsAllFlows_ = true;
@@ -365,7 +365,7 @@
 }
 
 void LocalShard::onReplicaAppend(TimePoint now, NodeId sender, const ReplicaAppend& batch) {
-  onOwnerHeard(now, sender, batch.epoch);
+  onOwnerAnnounced(now, sender, batch.epoch);
   if (role_ == ShardRole::kOwner) {
     context_.send(sender, ReplicaAck{id_, epoch_, 0, false, context_.self(), 0});
     return;
@@ -391,7 +391,7 @@
     return;
   }
   if (ack.needsSnapshot) {
-    log_.loseReplica();
+    log_.markReplicaLost();
     knownFlows_.stop();
   } else {
     log_.onAck(now, ack.nextSequence);
--- a/source/common/shard/replica_copy.cc
+++ b/source/common/shard/replica_copy.cc
@@ -14,7 +14,7 @@
   if (outranks(batch.epoch, sender)) {
     return ReplicaAck{batch.shard, epoch_, 0, false, owner_, 0};
   }
-  lastHeard_ = now;
+  lastOwnerMessage_ = now;
   const bool follows = synchronised_ && batch.epoch == epoch_ && sender == owner_;
   if (!follows) {
     return ReplicaAck{batch.shard, batch.epoch, 0, true, NodeId{}, 0};
@@ -53,31 +53,31 @@
   if (outranks(chunk.epoch, sender)) {
     return std::nullopt;
   }
-  lastHeard_ = now;
+  lastOwnerMessage_ = now;
   const bool alreadyInstalled = synchronised_ && chunk.epoch == epoch_ && sender == owner_ &&
                                 chunk.attempt <= installedAttempt_;
   if (alreadyInstalled) {
     return SnapshotAck{chunk.shard, chunk.purpose, chunk.attempt, chunk.chunks};
   }
-  const bool another = !arriving_ || arriving_->owner != sender ||
-                       arriving_->epoch != chunk.epoch || arriving_->attempt != chunk.attempt;
+  const bool another = !incoming_ || incoming_->owner != sender ||
+                       incoming_->epoch != chunk.epoch || incoming_->attempt != chunk.attempt;
   if (another) {
-    if (arriving_ && arriving_->owner == sender && arriving_->epoch == chunk.epoch &&
-        arriving_->attempt > chunk.attempt) {
+    if (incoming_ && incoming_->owner == sender && incoming_->epoch == chunk.epoch &&
+        incoming_->attempt > chunk.attempt) {
       return std::nullopt;
     }
-    arriving_.emplace(Arriving{sender, chunk.epoch, chunk.attempt, {}});
+    incoming_.emplace(IncomingSnapshot{sender, chunk.epoch, chunk.attempt, {}});
   }
-  arriving_->assembler.accept(chunk);
-  const SnapshotAck answer{chunk.shard, chunk.purpose, chunk.attempt, arriving_->assembler.next()};
-  if (arriving_->assembler.complete()) {
+  incoming_->assembler.accept(chunk);
+  const SnapshotAck answer{chunk.shard, chunk.purpose, chunk.attempt, incoming_->assembler.next()};
+  if (incoming_->assembler.complete()) {
     if (owner_ != sender || epoch_ != chunk.epoch) {
       known_.reset();
     }
     owner_ = sender;
     installedAttempt_ = chunk.attempt;
-    install(now, arriving_->assembler.assemble());
-    arriving_.reset();
+    install(now, incoming_->assembler.assemble());
+    incoming_.reset();
   }
   return answer;
 }
@@ -115,7 +115,7 @@
   return content;
 }
 
-void ReplicaCopy::keepHosts(const std::function<bool(HostId)>& runs) {
+void ReplicaCopy::retainHosts(const std::function<bool(HostId)>& runs) {
   std::erase_if(base_, [&](const BaseHost& entry) { return !runs(entry.host); });
   std::erase_if(pinned_, [&](const auto& entry) { return !runs(entry.second); });
 }
--- a/source/common/shard/replica_copy.h
+++ b/source/common/shard/replica_copy.h
@@ -33,10 +33,10 @@
   uint32_t epoch() const { return epoch_; }
   uint32_t nextSequence() const { return nextSequence_; }
   NodeId owner() const { return owner_; }
-  TimePoint lastHeard() const { return lastHeard_; }
+  TimePoint lastOwnerMessage() const { return lastOwnerMessage_; }
   ShardContent content() const;
   /** Forgets what names a host that no longer runs. */
-  void keepHosts(const std::function<bool(HostId)>& runs);
+  void retainHosts(const std::function<bool(HostId)>& runs);
   void tick(TimePoint now) { refused_.expire(now); }
   size_t pinnedFlows() const { return pinned_.size(); }
 
@@ -50,19 +50,19 @@
   uint32_t nextSequence_ = 0;
   bool synchronised_ = false;
   bool outdated_ = false;
-  TimePoint lastHeard_{};
+  TimePoint lastOwnerMessage_{};
   std::vector<BaseHost> base_;
   std::unordered_map<FlowHash, HostId> pinned_;
   RefusalMemory refused_;
   KnownFlowCopy known_;
   /** The snapshot that is arriving. */
-  struct Arriving {
+  struct IncomingSnapshot {
     NodeId owner;
     uint32_t epoch = 0;
     uint32_t attempt = 0;
     SnapshotAssembler assembler;
   };
-  std::optional<Arriving> arriving_;
+  std::optional<IncomingSnapshot> incoming_;
   uint32_t installedAttempt_ = 0;
 };
 
--- a/source/common/shard/replication_log.cc
+++ b/source/common/shard/replication_log.cc
@@ -18,8 +18,8 @@
   changes_.clear();
   first_ = 1;
   synchronised_ = false;
-  onTheWay_ = false;
-  resendAfter_ = kFirstResend;
+  inFlight_ = false;
+  resendAfter_ = kInitialResendInterval;
   lastSend_ = now;
 }
 
@@ -27,13 +27,13 @@
   first_ = nextSequence();
   changes_.clear();
   synchronised_ = false;
-  onTheWay_ = false;
+  inFlight_ = false;
   return first_;
 }
 
-void ReplicationLog::snapshotArrived(TimePoint now) {
+void ReplicationLog::onSnapshotDelivered(TimePoint now) {
   synchronised_ = true;
-  resendAfter_ = kFirstResend;
+  resendAfter_ = kInitialResendInterval;
   lastSend_ = now;
   // The changes made during the transfer start to wait for their acknowledgement only now.
   for (Change& change : changes_) {
@@ -41,14 +41,14 @@
   }
 }
 
-void ReplicationLog::loseReplica() {
+void ReplicationLog::markReplicaLost() {
   synchronised_ = false;
-  onTheWay_ = false;
+  inFlight_ = false;
 }
 
 void ReplicationLog::append(const Change& change) {
   changes_.push_back(change);
-  if (changes_.size() > kMostChanges) {
+  if (changes_.size() > kMaximumChanges) {
     startSnapshot();
   }
 }
@@ -98,34 +98,34 @@
   return batch;
 }
 
-TimePoint ReplicationLog::waitsSince() const {
+TimePoint ReplicationLog::oldestUrgentChangeTime() const {
   const auto urgent = std::find_if(changes_.begin(), changes_.end(), [](const Change& change) {
     return change.kind != Kind::kRemoved;
   });
   return urgent == changes_.end() ? TimePoint::max() : urgent->when;
 }
 
-bool ReplicationLog::canWait(TimePoint now) const {
-  return now - changes_.front().when < kLongestRemovalWait && waitsSince() == TimePoint::max();
+bool ReplicationLog::canDelay(TimePoint now) const {
+  return now - changes_.front().when < kMaximumRemovalDelay && oldestUrgentChangeTime() == TimePoint::max();
 }
 
 std::optional<ReplicaAppend> ReplicationLog::poll(TimePoint now, ByteBudget& budget,
                                                   const ShardId& shard, uint32_t epoch) {
-  if (!synchronised_ || changes_.empty() || (onTheWay_ && now - lastSend_ < resendAfter_)) {
+  if (!synchronised_ || changes_.empty() || (inFlight_ && now - lastSend_ < resendAfter_)) {
     return std::nullopt;
   }
-  if (canWait(now) || !budget.solvent(now)) {
+  if (canDelay(now) || !budget.solvent(now)) {
     return std::nullopt;
   }
   size_t bytes = 0;
   ReplicaAppend batch = makeBatch(shard, epoch, bytes);
   budget.spend(now, static_cast<double>(bytes));
-  if (onTheWay_) {
-    resendAfter_ = std::min(resendAfter_ * 2, kLongestResend);
+  if (inFlight_) {
+    resendAfter_ = std::min(resendAfter_ * 2, kMaximumResendInterval);
   } else {
     firstSend_ = now;
   }
-  onTheWay_ = true;
+  inFlight_ = true;
   lastSend_ = now;
   return batch;
 }
@@ -137,14 +137,14 @@
   const uint32_t acknowledged = next - first_;
   changes_.erase(changes_.begin(), changes_.begin() + acknowledged);
   first_ = next;
-  onTheWay_ = false;
-  resendAfter_ = kFirstResend;
+  inFlight_ = false;
+  resendAfter_ = kInitialResendInterval;
   lastSend_ = now;
 }
 
 bool ReplicationLog::current(TimePoint now) const {
-  const bool silent = onTheWay_ && now - firstSend_ > kLongestSilence;
-  const bool lags = !changes_.empty() && now - changes_.front().when > kLongestLag;
+  const bool silent = inFlight_ && now - firstSend_ > kMaximumUnacknowledgedTime;
+  const bool lags = !changes_.empty() && now - changes_.front().when > kMaximumLag;
   return synchronised_ && !silent && !lags;
 }
 
--- a/source/common/shard/replication_log.h
+++ b/source/common/shard/replication_log.h
@@ -22,16 +22,16 @@
 /** The log. Not thread safe. */
 class ReplicationLog {
  public:
-  static constexpr Duration kFirstResend = std::chrono::milliseconds(300);
-  static constexpr Duration kLongestResend = std::chrono::seconds(3);
+  static constexpr Duration kInitialResendInterval = std::chrono::milliseconds(300);
+  static constexpr Duration kMaximumResendInterval = std::chrono::seconds(3);
   /** A change that waits longer than this means that the replica can't be relied upon. */
-  static constexpr Duration kLongestLag = std::chrono::seconds(2);
+  static constexpr Duration kMaximumLag = std::chrono::seconds(2);
   /** How long removed flows wait for an added one, to share its datagram. */
-  static constexpr Duration kLongestRemovalWait = std::chrono::seconds(1);
+  static constexpr Duration kMaximumRemovalDelay = std::chrono::seconds(1);
   /** A batch that stays unacknowledged for this long, resends included, means the same as a lag. */
-  static constexpr Duration kLongestSilence = std::chrono::milliseconds(700);
+  static constexpr Duration kMaximumUnacknowledgedTime = std::chrono::milliseconds(700);
   /** Beyond it the log is given up and the replica needs a snapshot. */
-  static constexpr size_t kMostChanges = 8192;
+  static constexpr size_t kMaximumChanges = 8192;
   static constexpr size_t kBatchBytes = 1100;
 
   /** Starts an epoch: the log is empty and the replica has nothing. */
@@ -40,7 +40,7 @@
    */
   uint32_t startSnapshot();
   /** The replica holds the snapshot that startSnapshot() belongs to. */
-  void snapshotArrived(TimePoint now);
+  void onSnapshotDelivered(TimePoint now);
 
   void added(TimePoint now, const PinnedFlow& pinned);
   void removed(TimePoint now, FlowHash flow);
@@ -53,7 +53,7 @@
   /** @param next first sequence that the replica lacks. */
   void onAck(TimePoint now, uint32_t next);
   /** The replica said that it has no base of this epoch. */
-  void loseReplica();
+  void markReplicaLost();
 
   /** @return whether the replica has a base and follows. */
   bool synchronised() const { return synchronised_; }
@@ -63,7 +63,7 @@
    * @return since when a change waits that should not; the end of time for none. Of the logs that
    * share a budget, the one that waits longest goes first.
    */
-  TimePoint waitsSince() const;
+  TimePoint oldestUrgentChangeTime() const;
   uint32_t nextSequence() const { return first_ + static_cast<uint32_t>(changes_.size()); }
   /** @return the sequence of the oldest change that is not acknowledged. */
   uint32_t firstSequence() const { return first_; }
@@ -80,7 +80,7 @@
 
   void append(const Change& change);
   /** @return whether there is nothing but removed flows that may still wait. */
-  bool canWait(TimePoint now) const;
+  bool canDelay(TimePoint now) const;
   ReplicaAppend makeBatch(const ShardId& shard, uint32_t epoch, size_t& bytes) const;
 
   std::deque<Change> changes_;
@@ -89,9 +89,9 @@
   bool synchronised_ = false;
   /** Changes of the batch on the way; 0 for none. */
   TimePoint lastSend_{};
-  bool onTheWay_ = false;
+  bool inFlight_ = false;
   TimePoint firstSend_{};
-  Duration resendAfter_ = kFirstResend;
+  Duration resendAfter_ = kInitialResendInterval;
 };
 
 }  // namespace umberhold
--- a/source/common/shard/shard_context.h
+++ b/source/common/shard/shard_context.h
@@ -30,11 +30,11 @@
   /** Test switch: decide on whichever node a packet reaches, without relaying it to its owner. */
   bool ownerRelay = true;
   /** After a takeover from a dead node's replica, new flows follow the base table for this long. */
-  Duration cautiousTime = std::chrono::seconds(3);
+  Duration baseOnlyTime = std::chrono::seconds(3);
   /** A tick that comes later than this after the last one means that the process was paused. */
   Duration pauseThreshold = std::chrono::seconds(1);
   /** While a whole zone is silent, new flows follow the base table, for at most this long. */
-  Duration zoneCutTime = std::chrono::minutes(5);
+  Duration zonePartitionTimeout = std::chrono::minutes(5);
   /**
    * After a death: a cut shows only as one death after the other. Longer than their spread (3 s).
    */
@@ -42,7 +42,7 @@
   /** After a heal: views and owners of both sides have become one again. */
   Duration healSettleTime = std::chrono::seconds(10);
   /** How long a former owner keeps its state after it handed it over. */
-  Duration releasedTime = std::chrono::seconds(60);
+  Duration releasedStateLifetime = std::chrono::seconds(60);
   /** Shortest time between two changes of a shard's base table. */
   Duration baseAdvanceInterval = std::chrono::seconds(10);
   /** Up to this many flows a hand-over carries every flow, so that the new owner knows them all. */
@@ -74,9 +74,9 @@
   ShardCounters counters;
   UnixSeconds unixNow = 0;
   /** Set after a pause of the process: another node may own what this one thinks it owns. */
-  TimePoint cautiousUntil{};
+  TimePoint baseOnlyUntil{};
   /** A whole zone is silent: its nodes may live on and decide without hearing this side. */
-  bool zoneCutSuspected = false;
+  bool zonePartitionSuspected = false;
   /** The view holds a member that is dead and was not seen leaving. */
   bool memberDied = false;
   /** When a member was last found dead that had not been leaving. */
@@ -85,8 +85,8 @@
   std::optional<TimePoint> lastHeal;
   bool leaving = false;
   /** Senders that this node's view does not hold (yet). */
-  static constexpr size_t kMostStrangers = 1024;
-  std::unordered_map<NodeId, Endpoint> strangers;
+  static constexpr size_t kMaximumUnknownSenders = 1024;
+  std::unordered_map<NodeId, Endpoint> unknownSenders;
 
   NodeId self() const { return view.self(); }
   /**
@@ -96,7 +96,7 @@
   bool mayHaveRivals(TimePoint now) const {
     const bool settling = lastDeath && now - *lastDeath < options.deathSettleTime;
     const bool healing = lastHeal && now - *lastHeal < options.healSettleTime;
-    return zoneCutSuspected || settling || healing;
+    return zonePartitionSuspected || settling || healing;
   }
   /** @return whether messages and packets to the node make sense. */
   bool isReachable(NodeId node) const {
@@ -111,19 +111,19 @@
   }
   void send(NodeId to, MessageBody body) {
     const Member* member = view.find(to);
-    const auto stranger = strangers.find(to);
+    const auto stranger = unknownSenders.find(to);
     if (member != nullptr) {
       sink.send(member->controlEndpoint(), Message{std::move(body)});
-    } else if (stranger != strangers.end()) {
+    } else if (stranger != unknownSenders.end()) {
       sink.send(stranger->second, Message{std::move(body)});
     }
   }
   /** Remembers where a node that the view does not know yet wants its answers. */
-  void noteSender(NodeId sender, const Endpoint& from) {
+  void recordSender(NodeId sender, const Endpoint& from) {
     if (view.find(sender) != nullptr) {
-      strangers.erase(sender);
-    } else if (strangers.size() < kMostStrangers) {
-      strangers[sender] = from;
+      unknownSenders.erase(sender);
+    } else if (unknownSenders.size() < kMaximumUnknownSenders) {
+      unknownSenders[sender] = from;
     }
   }
 };
@@ -138,7 +138,7 @@
   /** What the policy's admit() last said. */
   bool admitting = true;
   /** When the service was created, where this node was ready then: it had no flows before. */
-  std::optional<TimePoint> bornAt;
+  std::optional<TimePoint> createdAt;
 };
 
 }  // namespace umberhold
--- a/source/common/shard/shard_director.cc
+++ b/source/common/shard/shard_director.cc
@@ -10,7 +10,7 @@
 
 constexpr Duration kHostCheckInterval = std::chrono::seconds(1);
 /** A zone of one member that falls silent is more likely dead than cut off. */
-constexpr Duration kSingleMemberZoneTime = std::chrono::seconds(15);
+constexpr Duration kSingleMemberZoneTimeout = std::chrono::seconds(15);
 
 }  // namespace
 
@@ -73,8 +73,8 @@
   runtime->hosts.update(id, *service);
   runtime->idleTimeoutSeconds = service->idleTimeoutSeconds;
   runtime->protocol = service->protocol;
-  if (const auto born = bornServices_.find(id); born != bornServices_.end()) {
-    runtime->bornAt = born->second;
+  if (const auto born = serviceCreationTimes_.find(id); born != serviceCreationTimes_.end()) {
+    runtime->createdAt = born->second;
   }
   ServicePlacementOptions options;
   options.zoneName = context_.options.zoneName;
@@ -97,7 +97,7 @@
 
 FlowDecision ShardDirector::decide(TimePoint now, const FlowPacket& packet,
                                    std::string_view bytes) {
-  noticePause(now);
+  detectPause(now);
   now_ = now;
   const Service* service = services_.find(packet.service);
   if (service == nullptr || service->shardCount == 0) {
@@ -110,16 +110,16 @@
     shard = findOrMake(now, id);
   }
   if (shard != nullptr) {
-    return decideElsewhere(now, packet, bytes, shard->decide(now, packet, bytes));
+    return applyRelayOption(now, packet, bytes, shard->decide(now, packet, bytes));
   }
   const Member* owner = named ? context_.view.find(named->owner) : nullptr;
   if (owner == nullptr) {
     return DropPacket{DropReason::kNoOwner};
   }
-  return decideElsewhere(now, packet, bytes, RelayToNode{owner->id, owner->relayEndpoint()});
+  return applyRelayOption(now, packet, bytes, RelayToNode{owner->id, owner->relayEndpoint()});
 }
 
-FlowDecision ShardDirector::decideElsewhere(TimePoint now, const FlowPacket& packet,
+FlowDecision ShardDirector::applyRelayOption(TimePoint now, const FlowPacket& packet,
                                             std::string_view bytes, FlowDecision decision) {
   const bool relays = std::holds_alternative<RelayToNode>(decision);
   if (relays && !context_.options.ownerRelay) {
@@ -129,59 +129,59 @@
 }
 
 void ShardDirector::tick(TimePoint now, UnixSeconds unixNow) {
-  noticePause(now);
+  detectPause(now);
   lastTick_ = now;
   now_ = now;
   context_.unixNow = unixNow;
   flows_.tick(now);
-  suspectZoneCuts(now);
+  updateZonePartitionSuspicion(now);
   checkHosts(now);
   tickShards(now);
   shareLoads(now);
   requestPermits(now);
-  dropIdleShards();
+  dropUnusedShards();
 }
 
-void ShardDirector::noticePause(TimePoint now) {
+void ShardDirector::detectPause(TimePoint now) {
   if (lastTick_ && now - *lastTick_ >= context_.options.pauseThreshold) {
-    context_.cautiousUntil = now + context_.options.cautiousTime;
+    context_.baseOnlyUntil = now + context_.options.baseOnlyTime;
     for (auto& [id, shard] : shards_) {
-      shard->reconfirm(now);
+      shard->reconfirmOwnership(now);
     }
     lastTick_ = now;
   }
 }
 
-void ShardDirector::suspectZoneCuts(TimePoint now) {
-  context_.zoneCutSuspected = false;
-  for (const auto& [zone, silent] : silentZones_) {
+void ShardDirector::updateZonePartitionSuspicion(TimePoint now) {
+  context_.zonePartitionSuspected = false;
+  for (const auto& [zone, silent] : unreachableZones_) {
     const Duration patience =
-        silent.members > 1 ? context_.options.zoneCutTime : kSingleMemberZoneTime;
-    context_.zoneCutSuspected = context_.zoneCutSuspected || now - silent.since < patience;
+        silent.members > 1 ? context_.options.zonePartitionTimeout : kSingleMemberZoneTimeout;
+    context_.zonePartitionSuspected = context_.zonePartitionSuspected || now - silent.since < patience;
   }
 }
 
 void ShardDirector::onMemberChanged(const Member& member) {
   map_.onMember(member);
   if (member.state == MemberState::kLeaving) {
-    left_.insert(member.id);
+    departedMembers_.insert(member.id);
   } else if (member.state != MemberState::kDead) {
-    left_.erase(member.id);
+    departedMembers_.erase(member.id);
   }
   std::unordered_map<ZoneId, size_t> dead;
   std::unordered_set<ZoneId> heard;
   context_.view.forEach([&](const Member& other) {
     if (other.state != MemberState::kDead) {
       heard.insert(other.zone);
-    } else if (!left_.contains(other.id)) {
+    } else if (!departedMembers_.contains(other.id)) {
       ++dead[other.zone];
     }
   });
   context_.memberDied = !dead.empty();
-  if (member.state == MemberState::kDead && !left_.contains(member.id)) {
+  if (member.state == MemberState::kDead && !departedMembers_.contains(member.id)) {
     context_.lastDeath = now_;
   }
-  const auto healed = std::erase_if(silentZones_, [&](const auto& entry) {
+  const auto healed = std::erase_if(unreachableZones_, [&](const auto& entry) {
     return heard.contains(entry.first) || !dead.contains(entry.first);
   });
   if (healed > 0) {
@@ -189,10 +189,10 @@
   }
   for (const auto& [zone, members] : dead) {
     if (!heard.contains(zone)) {
-      silentZones_.try_emplace(zone, SilentZone{now_, members});
+      unreachableZones_.try_emplace(zone, UnreachableZone{now_, members});
     }
   }
-  suspectZoneCuts(now_);
+  updateZonePartitionSuspicion(now_);
 }
 
 void ShardDirector::tickShards(TimePoint now) {
@@ -215,15 +215,15 @@
     order.push_back(shard.get());
   }
   std::stable_sort(order.begin(), order.end(), [](const LocalShard* left, const LocalShard* right) {
-    return left->replicationWaitsSince() < right->replicationWaitsSince();
+    return left->pendingReplicationSince() < right->pendingReplicationSince();
   });
   for (LocalShard* shard : order) {
     shard->sendReplication(now);
   }
 }
 
-void ShardDirector::dropIdleShards() {
-  std::erase_if(shards_, [](const auto& entry) { return entry.second->isIdle(); });
+void ShardDirector::dropUnusedShards() {
+  std::erase_if(shards_, [](const auto& entry) { return entry.second->isUnused(); });
   std::erase_if(runtimes_, [this](const auto& runtime) {
     return std::none_of(shards_.begin(), shards_.end(),
                         [&](const auto& shard) { return shard.first.service == runtime.first; });
@@ -248,7 +248,7 @@
     return;
   }
   if (knownServices_.insert(id).second && caughtUp_) {
-    bornServices_[id] = now;
+    serviceCreationTimes_[id] = now;
   }
   map_.setService(id, service->shardCount);
   localTable_.onServiceChanged(id);
@@ -264,7 +264,7 @@
     if (shardId.service == id) {
       flows_.setIdleTimeout(shard->flowSlot(), service->idleTimeoutSeconds);
       shard->onHostsChanged(now);
-      shard->hurryKnownFlows();
+      shard->flushKnownFlows();
     }
   }
 }
@@ -274,7 +274,7 @@
   map_.removeService(id);
   localTable_.onServiceChanged(id);
   knownServices_.erase(id);
-  bornServices_.erase(id);
+  serviceCreationTimes_.erase(id);
   std::erase_if(shards_, [&](const auto& entry) { return entry.first.service == id; });
   runtimes_.erase(id);
 }
--- a/source/common/shard/shard_director.h
+++ b/source/common/shard/shard_director.h
@@ -90,17 +90,17 @@
   /** @return the shard, made where the service is known; nullptr otherwise. */
   LocalShard* findOrMake(TimePoint now, const ShardId& id);
   ServiceRuntime* runtimeOf(TimePoint now, ServiceId id);
-  FlowDecision decideElsewhere(TimePoint now, const FlowPacket& packet, std::string_view bytes,
+  FlowDecision applyRelayOption(TimePoint now, const FlowPacket& packet, std::string_view bytes,
                                FlowDecision decision);
-  void noticePause(TimePoint now);
-  void suspectZoneCuts(TimePoint now);
+  void detectPause(TimePoint now);
+  void updateZonePartitionSuspicion(TimePoint now);
   void tickShards(TimePoint now);
   /** Shards share one byte budget: the one that waits longest goes first. */
   void sendReplication(TimePoint now);
-  void dropIdleShards();
+  void dropUnusedShards();
   void checkHosts(TimePoint now);
   void shareLoads(TimePoint now);
-  void sendToOthersOf(const LocalShard& shard, const ShardId& id, const LoadShare& share);
+  void sendToPeerOwners(const LocalShard& shard, const ShardId& id, const LoadShare& share);
   void requestPermits(TimePoint now);
 
   void take(TimePoint now, NodeId sender, const TakeoverRequest& request);
@@ -124,18 +124,18 @@
   std::unordered_map<ServiceId, std::unique_ptr<ServiceRuntime>> runtimes_;
   std::unordered_map<ShardId, std::unique_ptr<LocalShard>> shards_;
   std::unordered_set<ServiceId> knownServices_;
-  std::unordered_map<ServiceId, TimePoint> bornServices_;
+  std::unordered_map<ServiceId, TimePoint> serviceCreationTimes_;
   bool caughtUp_ = false;
   TimePoint now_{};
   std::optional<TimePoint> lastTick_;
   TimePoint lastHostCheck_{};
   /** Members that were seen leaving: their silence is no sign of a cut. */
-  std::unordered_set<NodeId> left_;
-  struct SilentZone {
+  std::unordered_set<NodeId> departedMembers_;
+  struct UnreachableZone {
     TimePoint since;
     size_t members = 0;
   };
-  std::unordered_map<ZoneId, SilentZone> silentZones_;
+  std::unordered_map<ZoneId, UnreachableZone> unreachableZones_;
 };
 
 }  // namespace umberhold
--- a/source/common/shard/shard_director_messages.cc
+++ b/source/common/shard/shard_director_messages.cc
@@ -8,8 +8,8 @@
 
 bool ShardDirector::onMessage(TimePoint now, const Endpoint& from, NodeId sender,
                               const Message& message) {
-  noticePause(now);
-  context_.noteSender(sender, from);
+  detectPause(now);
+  context_.recordSender(sender, from);
   now_ = std::max(now_, now);
   return std::visit(
       [&](const auto& body) {
@@ -79,7 +79,7 @@
 
 void ShardDirector::take(TimePoint now, NodeId sender, const LoadShare& share) {
   if (LocalShard* shard = find(share.shard)) {
-    shard->onOwnerHeard(now, sender, share.epoch);
+    shard->onOwnerAnnounced(now, sender, share.epoch);
   }
   if (ServicePlacement* placement = placementOf(share.shard.service)) {
     placement->onLoadShare(now, share);
@@ -103,7 +103,7 @@
   }
 }
 
-void ShardDirector::sendToOthersOf(const LocalShard& shard, const ShardId& id,
+void ShardDirector::sendToPeerOwners(const LocalShard& shard, const ShardId& id,
                                    const LoadShare& share) {
   std::unordered_set<NodeId> receivers;
   const Service* service = services_.find(id.service);
@@ -132,7 +132,7 @@
       continue;
     }
     for (const LoadShare& share : placement.makeLoadShare(now, id, shard->epoch())) {
-      sendToOthersOf(*shard, id, share);
+      sendToPeerOwners(*shard, id, share);
     }
   }
 }
--- a/source/common/shard/shard_map.cc
+++ b/source/common/shard/shard_map.cc
@@ -27,11 +27,11 @@
   Assignments& assignments = services_[service];
   const auto before = static_cast<uint16_t>(assignments.size());
   for (uint16_t index = shardCount; index < before; ++index) {
-    noteChange(ShardId{service, index}, assignments[index], Assignment{});
+    recordChange(ShardId{service, index}, assignments[index], Assignment{});
   }
   assignments.resize(shardCount);
   for (uint16_t index = before; index < shardCount; ++index) {
-    rankAgain(ShardId{service, index}, assignments[index]);
+    rerank(ShardId{service, index}, assignments[index]);
   }
 }
 
@@ -74,7 +74,7 @@
     for (uint16_t index = 0; index < shardCount; ++index) {
       Assignment& assignment = assignments[index];
       if (assignment.owner.member.id == id || assignment.replica.member.id == id) {
-        rankAgain(ShardId{service, index}, assignment);
+        rerank(ShardId{service, index}, assignment);
       }
     }
   }
@@ -107,10 +107,10 @@
   } else if (betterReplica(oldOwner, newcomer, assignment.replica)) {
     assignment.replica = newcomer;
   }
-  noteChange(shard, before, assignment);
+  recordChange(shard, before, assignment);
 }
 
-void ShardMap::rankAgain(const ShardId& shard, Assignment& assignment) {
+void ShardMap::rerank(const ShardId& shard, Assignment& assignment) {
   const Assignment before = assignment;
   assignment = Assignment{};
   for (const LiveMember& member : members_) {
@@ -129,10 +129,10 @@
       assignment.replica = candidate;
     }
   }
-  noteChange(shard, before, assignment);
+  recordChange(shard, before, assignment);
 }
 
-void ShardMap::noteChange(const ShardId& shard, const Assignment& before, const Assignment& after) {
+void ShardMap::recordChange(const ShardId& shard, const Assignment& before, const Assignment& after) {
   const auto names = [this](const Named& named) {
     return named.present && named.member.id == self_;
   };
@@ -147,7 +147,7 @@
   }
 }
 
-std::optional<ShouldOwn> ShardMap::lookup(const ShardId& shard) const {
+std::optional<ShardAssignment> ShardMap::lookup(const ShardId& shard) const {
   const auto service = services_.find(shard.service);
   if (service == services_.end() || shard.index >= service->second.size()) {
     return std::nullopt;
@@ -156,7 +156,7 @@
   if (!assignment.owner.present) {
     return std::nullopt;
   }
-  ShouldOwn named{assignment.owner.member.id, std::nullopt};
+  ShardAssignment named{assignment.owner.member.id, std::nullopt};
   if (assignment.replica.present) {
     named.replica = assignment.replica.member.id;
   }
--- a/source/common/shard/shard_map.h
+++ b/source/common/shard/shard_map.h
@@ -20,13 +20,13 @@
 namespace umberhold {
 
 /** Members named for a shard by one view. */
-struct ShouldOwn {
+struct ShardAssignment {
   NodeId owner;
   /** The best-ranked member of another zone, or of the same zone where there is no other; none if
    * alone. */
   std::optional<NodeId> replica;
 
-  bool operator==(const ShouldOwn&) const = default;
+  bool operator==(const ShardAssignment&) const = default;
 };
 
 /** The assignment of shards to members, by this node's view. Not thread safe. */
@@ -41,7 +41,7 @@
   void onMember(const Member& member);
 
   /** @return who should own the shard; nothing for an unknown shard or where no member is live. */
-  std::optional<ShouldOwn> lookup(const ShardId& shard) const;
+  std::optional<ShardAssignment> lookup(const ShardId& shard) const;
   /** @return up to `limit` live members, best first. */
   std::vector<NodeId> ranked(const ShardId& shard, size_t limit) const;
   /** @return the best-ranked live member of every zone, best first. */
@@ -74,8 +74,8 @@
   void addMember(const LiveMember& member);
   void removeMember(NodeId id);
   void insertInto(const ShardId& shard, Assignment& assignment, const LiveMember& member);
-  void rankAgain(const ShardId& shard, Assignment& assignment);
-  void noteChange(const ShardId& shard, const Assignment& before, const Assignment& after);
+  void rerank(const ShardId& shard, Assignment& assignment);
+  void recordChange(const ShardId& shard, const Assignment& before, const Assignment& after);
   static bool betterReplica(const Named& owner, const Named& candidate, const Named& current);
 
   NodeId self_;
--- a/source/common/shard/snapshot.cc
+++ b/source/common/shard/snapshot.cc
@@ -15,16 +15,16 @@
 constexpr size_t kPermitBytes = 21;
 constexpr size_t kOldFlowBytes = 5;
 /** A claim of more chunks than this is not believed. */
-constexpr uint32_t kMostChunks = 65536;
+constexpr uint32_t kMaximumChunks = 65536;
 
 size_t bytesOf(const HostPermits& permits) {
   return kPermitBytes + kHostBytes * (permits.lent.size() + permits.borrowed.size());
 }
 
 /** Fills chunk after chunk. */
-class Cutter {
+class ChunkWriter {
  public:
-  Cutter(const SnapshotIdentity& identity, const ShardContent& content)
+  ChunkWriter(const SnapshotIdentity& identity, const ShardContent& content)
       : identity_(identity), content_(content) {
     startChunk();
   }
@@ -105,9 +105,9 @@
 
 }  // namespace
 
-std::vector<SnapshotChunk> cutSnapshot(const SnapshotIdentity& identity,
+std::vector<SnapshotChunk> splitSnapshot(const SnapshotIdentity& identity,
                                        const ShardContent& content) {
-  Cutter cutter(identity, content);
+  ChunkWriter cutter(identity, content);
   for (const BaseHost& host : content.base) {
     cutter.addBase(host);
   }
@@ -137,19 +137,19 @@
 }
 
 void SnapshotAssembler::accept(const SnapshotChunk& chunk) {
-  if (total_ == 0 && chunk.chunks > 0 && chunk.chunks <= kMostChunks) {
+  if (total_ == 0 && chunk.chunks > 0 && chunk.chunks <= kMaximumChunks) {
     total_ = chunk.chunks;
     epoch_ = chunk.epoch;
     chunks_.resize(total_);
-    arrived_.resize(total_, false);
+    received_.resize(total_, false);
   }
   const bool belongs = chunk.chunks == total_ && chunk.epoch == epoch_ && chunk.index < total_;
-  if (!belongs || arrived_[chunk.index]) {
+  if (!belongs || received_[chunk.index]) {
     return;
   }
-  arrived_[chunk.index] = true;
+  received_[chunk.index] = true;
   chunks_[chunk.index] = chunk;
-  while (next_ < total_ && arrived_[next_]) {
+  while (next_ < total_ && received_[next_]) {
     ++next_;
   }
 }
--- a/source/common/shard/snapshot.h
+++ b/source/common/shard/snapshot.h
@@ -18,7 +18,7 @@
 };
 
 /** @return the content as at least one chunk; each encodes to less than kSnapshotChunkBytes. */
-std::vector<SnapshotChunk> cutSnapshot(const SnapshotIdentity& identity,
+std::vector<SnapshotChunk> splitSnapshot(const SnapshotIdentity& identity,
                                        const ShardContent& content);
 
 /** Upper bound of an encoded chunk, before the envelope. */
@@ -43,7 +43,7 @@
   uint32_t total_ = 0;
   uint32_t next_ = 0;
   std::vector<SnapshotChunk> chunks_;
-  std::vector<bool> arrived_;
+  std::vector<bool> received_;
 };
 
 }  // namespace umberhold
--- a/source/common/shard/snapshot_sender.cc
+++ b/source/common/shard/snapshot_sender.cc
@@ -16,7 +16,7 @@
   }
   if (nextToSend_ > acknowledged_ && now - lastSend_ >= resendAfter_) {
     nextToSend_ = acknowledged_;
-    resendAfter_ = std::min(resendAfter_ * 2, kLongestResend);
+    resendAfter_ = std::min(resendAfter_ * 2, kMaximumResendInterval);
   }
   const auto end = std::min<size_t>(chunks_.size(), static_cast<size_t>(acknowledged_) + kWindow);
   while (nextToSend_ < end && budget.solvent(now)) {
@@ -35,7 +35,7 @@
   acknowledged_ = next;
   nextToSend_ = std::max(nextToSend_, acknowledged_);
   lastProgress_ = now;
-  resendAfter_ = kFirstResend;
+  resendAfter_ = kInitialResendInterval;
 }
 
 }  // namespace umberhold
--- a/source/common/shard/snapshot_sender.h
+++ b/source/common/shard/snapshot_sender.h
@@ -16,8 +16,8 @@
 class SnapshotSender {
  public:
   static constexpr uint32_t kWindow = 8;
-  static constexpr Duration kFirstResend = std::chrono::milliseconds(200);
-  static constexpr Duration kLongestResend = std::chrono::seconds(2);
+  static constexpr Duration kInitialResendInterval = std::chrono::milliseconds(200);
+  static constexpr Duration kMaximumResendInterval = std::chrono::seconds(2);
   /** Without any acknowledgement for this long the transfer counts as failed. */
   static constexpr Duration kPatience = std::chrono::seconds(15);
 
@@ -41,7 +41,7 @@
   uint32_t nextToSend_ = 0;
   TimePoint lastProgress_;
   TimePoint lastSend_;
-  Duration resendAfter_ = kFirstResend;
+  Duration resendAfter_ = kInitialResendInterval;
 };
 
 }  // namespace umberhold
--- a/source/common/shard/takeover.cc
+++ b/source/common/shard/takeover.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /** A candidate that asked for patience must repeat it within this time. */
-constexpr Duration kPatienceOfWaiting = std::chrono::seconds(1);
+constexpr Duration kWaitRequestLifetime = std::chrono::seconds(1);
 
 HeldState heldBy(const TakeoverReply& reply) {
   return HeldState{reply.role, reply.epoch, reply.sequence};
@@ -35,7 +35,7 @@
       startedAt_(now),
       lastRequest_(now),
       highestEpoch_(start_.own.epoch),
-      waitingSince_(now) {
+      waitStartedAt_(now) {
   for (const NodeId& node : start_.candidates) {
     addCandidate(now, node);
   }
@@ -59,7 +59,7 @@
   Candidate candidate;
   candidate.node = node;
   candidates_.push_back(candidate);
-  waitingSince_ = now;
+  waitStartedAt_ = now;
 }
 
 void Takeover::addHolder(TimePoint now, NodeId node, uint32_t epoch) {
@@ -76,7 +76,7 @@
   if (holder->answered && holder->reply.epoch < epoch) {
     holder->answered = false;
     holder->reply = TakeoverReply{};
-    waitingSince_ = now;
+    waitStartedAt_ = now;
   }
 }
 
@@ -100,7 +100,7 @@
   }
 }
 
-void Takeover::onOwnerHeard(TimePoint now, NodeId owner, uint32_t epoch) {
+void Takeover::onOwnerAnnounced(TimePoint now, NodeId owner, uint32_t epoch) {
   addCandidate(now, owner);
   Candidate* candidate = find(owner);
   const bool releasedAlready = candidate == nullptr || releasedToSelf(*candidate);
@@ -122,7 +122,7 @@
   fetch_->assembler.accept(chunk);
   if (fetch_->assembler.next() != before) {
     fetch_->lastProgress = now;
-    fetch_->lastAsk = TimePoint{};
+    fetch_->lastAck = TimePoint{};
   }
 }
 
@@ -131,16 +131,16 @@
     return false;
   }
   if (!candidate.answered) {
-    return now - waitingSince_ < kTimeout;
+    return now - waitStartedAt_ < kTimeout;
   }
-  const bool asksForPatience =
+  const bool requestsWait =
       candidate.reply.role == HeldRole::kStillOwner ||
       (candidate.reply.acquiring &&
        (start_.view.outranksSelf(candidate.node) || isTakingOver(now, candidate.node)));
   if (hasNewerHolder(now, candidate)) {
     return true;
   }
-  return asksForPatience && now - candidate.lastAnswer < kPatienceOfWaiting;
+  return requestsWait && now - candidate.lastAnswer < kWaitRequestLifetime;
 }
 
 bool Takeover::isGone(TimePoint now, const Candidate& candidate) const {
@@ -213,10 +213,10 @@
   if (source == nullptr || heldBy(source->reply) < start_.own) {
     return;
   }
-  const bool sureAlready = releasedToSelf(*source) && source->reply.epoch >= highestEpoch_;
+  const bool isDecided = releasedToSelf(*source) && source->reply.epoch >= highestEpoch_;
   const bool waits = std::any_of(candidates_.begin(), candidates_.end(),
                                  [&](const auto& other) { return mustWaitFor(now, other); });
-  if (sureAlready || !waits) {
+  if (isDecided || !waits) {
     const bool direct = releasedToSelf(*source) || isUnclaimed(*source);
     fetch_.emplace(Fetch{source->node, source->reply.role, direct, now, TimePoint{}, {}});
   }
@@ -230,15 +230,15 @@
     fetch_.reset();
     return;
   }
-  if (now - fetch_->lastAsk >= kRepeat) {
-    fetch_->lastAsk = now;
+  if (now - fetch_->lastAck >= kRequestInterval) {
+    fetch_->lastAck = now;
     ack(fetch_->source, SnapshotAck{start_.shard, SnapshotPurpose::kTakeover, start_.attempt,
                                     fetch_->assembler.next()});
   }
 }
 
 void Takeover::sendRequests(TimePoint now, const SendRequest& request) {
-  if (requested_ && now - lastRequest_ < kRepeat) {
+  if (requested_ && now - lastRequest_ < kRequestInterval) {
     return;
   }
   requested_ = true;
--- a/source/common/shard/takeover.h
+++ b/source/common/shard/takeover.h
@@ -71,7 +71,7 @@
 /** One attempt to take a shard over. Not thread safe. */
 class Takeover {
  public:
-  static constexpr Duration kRepeat = std::chrono::milliseconds(100);
+  static constexpr Duration kRequestInterval = std::chrono::milliseconds(100);
   /** Candidates that don't answer within this time are passed over. */
   static constexpr Duration kTimeout = std::chrono::seconds(1);
   /** A chosen source that sends nothing new for this long is passed over. */
@@ -98,7 +98,7 @@
   void onReply(TimePoint now, NodeId sender, const TakeoverReply& reply);
   void onChunk(TimePoint now, NodeId sender, const SnapshotChunk& chunk);
   /** A node was heard to own the shard just now: its state must not be passed over. */
-  void onOwnerHeard(TimePoint now, NodeId owner, uint32_t epoch);
+  void onOwnerAnnounced(TimePoint now, NodeId owner, uint32_t epoch);
 
   uint32_t attempt() const { return start_.attempt; }
   /** @return the highest epoch that anyone named. */
@@ -123,7 +123,7 @@
     HeldRole role = HeldRole::kNothing;
     bool direct = false;
     TimePoint lastProgress{};
-    TimePoint lastAsk{};
+    TimePoint lastAck{};
     SnapshotAssembler assembler;
   };
 
@@ -163,7 +163,7 @@
   std::optional<NodeId> server_;
   std::vector<Candidate> candidates_;
   /** When a candidate was last added or last asked for patience. */
-  TimePoint waitingSince_;
+  TimePoint waitStartedAt_;
   std::optional<Fetch> fetch_;
 };
 
--- a/source/common/shard/unacknowledged_flows.h
+++ b/source/common/shard/unacknowledged_flows.h
@@ -24,11 +24,11 @@
 class UnacknowledgedFlows {
  public:
   /** Flows that wait at most; further ones go on at once. */
-  static constexpr size_t kMostFlows = 256;
+  static constexpr size_t kMaximumFlows = 256;
   /** A replica that needs longer for a record is cut off or has no budget. */
   static constexpr Duration kPatience = std::chrono::milliseconds(250);
 
-  bool isFull() const { return flows_.size() >= kMostFlows; }
+  bool isFull() const { return flows_.size() >= kMaximumFlows; }
   bool isEmpty() const { return flows_.empty(); }
   bool contains(FlowHash flow) const { return flows_.contains(flow); }
   /** @param sequence of its record in the replication log. */
--- a/test/common/shard/known_flows_test.cc
+++ b/test/common/shard/known_flows_test.cc
@@ -34,32 +34,32 @@
   announce();
   stream.add(7);
   stream.add(8);
-  const auto along = stream.takeAlong(now, budget);
+  const auto along = stream.takePiggybackBatch(now, budget);
   CHECK_TRUE(along.has_value());
   deliver(*along);
   CHECK_EQUAL(2U, copy.complete()->size());
-  CHECK_FALSE(stream.takeAlong(now, budget).has_value());
-  now += KnownFlowStream::kBatchTime;
+  CHECK_FALSE(stream.takePiggybackBatch(now, budget).has_value());
+  now += KnownFlowStream::kPartialBatchDelay;
   CHECK_FALSE(stream.poll(now, budget, lists).has_value());
 }
 
 /** A part of them would leave the replica with a list that is not whole. */
 TEST(KnownFlows, GoAlongTogetherOrNotAtAll) {
   announce();
-  for (FlowFingerprint flow = 1; flow <= KnownFlowStream::kMostAlong + 1; ++flow) {
+  for (FlowFingerprint flow = 1; flow <= KnownFlowStream::kMaximumPiggybackedFlows + 1; ++flow) {
     stream.add(flow);
   }
-  CHECK_FALSE(stream.takeAlong(now, budget).has_value());
+  CHECK_FALSE(stream.takePiggybackBatch(now, budget).has_value());
 }
 
 TEST(KnownFlows, DoNotGoAlongTwice) {
   announce();
   stream.add(7);
-  const auto lost = stream.takeAlong(now, budget);
+  const auto lost = stream.takePiggybackBatch(now, budget);
   CHECK_TRUE(lost.has_value());
   stream.add(8);
-  CHECK_FALSE(stream.takeAlong(now, budget).has_value());
-  now += KnownFlowStream::kResend;
+  CHECK_FALSE(stream.takePiggybackBatch(now, budget).has_value());
+  now += KnownFlowStream::kResendInterval;
   const auto again = stream.poll(now, budget, lists);
   CHECK_EQUAL(2U, again->fingerprints.size());
 }
@@ -69,7 +69,7 @@
   constexpr double kBurst = 1000.0;
   announce();
   stream.add(7);
-  now += KnownFlowStream::kPace;
+  now += KnownFlowStream::kMinimumBatchInterval;
   const auto soon = stream.poll(now, budget, lists);
   CHECK_TRUE(soon.has_value());
   deliver(*soon);
@@ -77,9 +77,9 @@
   ByteBudget scarce{{kPerSecond, kBurst}};
   scarce.spend(now, 0.8 * kBurst);
   stream.add(8);
-  now += KnownFlowStream::kPace;
+  now += KnownFlowStream::kMinimumBatchInterval;
   CHECK_FALSE(stream.poll(now, scarce, lists).has_value());
-  now += KnownFlowStream::kBatchTime;
+  now += KnownFlowStream::kPartialBatchDelay;
   CHECK_TRUE(stream.poll(now, scarce, lists).has_value());
 }
 
@@ -88,5 +88,5 @@
   stream.add(7);
   ByteBudget empty{{1.0, 1.0}};
   empty.spend(now, 10.0);
-  CHECK_FALSE(stream.takeAlong(now, empty).has_value());
+  CHECK_FALSE(stream.takePiggybackBatch(now, empty).has_value());
 }
--- a/test/common/shard/region_fuzzer.h
+++ b/test/common/shard/region_fuzzer.h
@@ -72,7 +72,7 @@
    * @return whether each shard has one owner.
    */
   bool everyShardGetsOneOwner() {
-    const Duration patience = ShardDirectorOptions{}.zoneCutTime + std::chrono::seconds(20);
+    const Duration patience = ShardDirectorOptions{}.zonePartitionTimeout + std::chrono::seconds(20);
     const TimePoint end = region().now() + (aZoneIsDead() ? patience : Duration(0));
     while (region().shardsWithOneOwner() != kShards && region().now() < end) {
       region().runFor(std::chrono::seconds(1));
--- a/test/common/shard/replication_log_test.cc
+++ b/test/common/shard/replication_log_test.cc
@@ -37,10 +37,10 @@
     content.epoch = kEpoch;
     content.sequence = log.startSnapshot();
     const SnapshotIdentity identity{kShard, SnapshotPurpose::kReplica, 1};
-    for (const SnapshotChunk& chunk : cutSnapshot(identity, content)) {
+    for (const SnapshotChunk& chunk : splitSnapshot(identity, content)) {
       copy.onChunk(now, kOwner, chunk);
     }
-    log.snapshotArrived(now);
+    log.onSnapshotDelivered(now);
   }
   void add(uint64_t flow, uint64_t host = 1) {
     log.added(now, PinnedFlow{FlowHash{flow}, HostId{host}});
@@ -100,7 +100,7 @@
   add(2);
   remove(51);
   add(3);
-  now += ReplicationLog::kFirstResend;
+  now += ReplicationLog::kInitialResendInterval;
   const auto again = poll();
   CHECK_EQUAL(5U, changesOf(*again));
   deliver(*again);
@@ -159,7 +159,7 @@
   for (ReplicationLog& each : logs) {
     each.reset(now);
     each.startSnapshot();
-    each.snapshotArrived(now);
+    each.onSnapshotDelivered(now);
   }
   uint64_t flow = 0;
   TimePoint nextFlow = now;
@@ -174,7 +174,7 @@
         logs[flow % 2].removed(now, FlowHash{flow - kLife});
       }
     }
-    const bool secondFirst = logs[1].waitsSince() < logs[0].waitsSince();
+    const bool secondFirst = logs[1].oldestUrgentChangeTime() < logs[0].oldestUrgentChangeTime();
     for (const size_t index : {secondFirst ? 1U : 0U, secondFirst ? 0U : 1U}) {
       ReplicationLog& each = logs[index];
       stepsBehind += each.current(now) ? 0 : 1;
@@ -212,16 +212,16 @@
 /** What a replica still pins of a flow that ended does no harm for a moment. */
 TEST(ReplicationLog, RemovalsAloneWaitForCompanyButNotForLong) {
   remove(1);
-  CHECK_TRUE(log.waitsSince() == TimePoint::max());
+  CHECK_TRUE(log.oldestUrgentChangeTime() == TimePoint::max());
   CHECK_FALSE(poll().has_value());
   now += std::chrono::milliseconds(100);
   add(2);
-  CHECK_TRUE(log.waitsSince() == now);
+  CHECK_TRUE(log.oldestUrgentChangeTime() == now);
   const auto together = poll();
   CHECK_EQUAL(2U, changesOf(*together));
   deliver(*together);
   remove(3);
-  now += ReplicationLog::kLongestRemovalWait;
+  now += ReplicationLog::kMaximumRemovalDelay;
   CHECK_EQUAL(1U, changesOf(*poll()));
 }
 
--- a/test/common/shard/shard_map_property.cc
+++ b/test/common/shard/shard_map_property.cc
@@ -30,7 +30,7 @@
 }
 
 /** Ranks all members again, straight from the definition in docs/DESIGN.md. */
-std::optional<ShouldOwn> rankFromScratch(const ShardId& shard,
+std::optional<ShardAssignment> rankFromScratch(const ShardId& shard,
                                          const std::map<uint32_t, Member>& members) {
   std::vector<Member> ranked;
   for (const auto& [id, member] : members) {
@@ -44,7 +44,7 @@
   std::sort(ranked.begin(), ranked.end(), [&](const Member& left, const Member& right) {
     return ShardMap::score(shard, left.id) > ShardMap::score(shard, right.id);
   });
-  ShouldOwn named{ranked[0].id, std::nullopt};
+  ShardAssignment named{ranked[0].id, std::nullopt};
   for (size_t rank = 1; rank < ranked.size() && !named.replica; ++rank) {
     if (ranked[rank].zone != ranked[0].zone) {
       named.replica = ranked[rank].id;
@@ -92,7 +92,7 @@
     map.setService(kService, kShards);
     const auto steps = *rc::gen::inRange(1, 40);
     for (int step = 0; step < steps; ++step) {
-      std::vector<std::optional<ShouldOwn>> before;
+      std::vector<std::optional<ShardAssignment>> before;
       for (uint16_t index = 0; index < kShards; ++index) {
         before.push_back(map.lookup(ShardId{kService, index}));
       }
@@ -102,7 +102,7 @@
       for (uint16_t index = 0; index < kShards; ++index) {
         const ShardId shard{kService, index};
         const auto after = map.lookup(shard);
-        const auto names = [&](const std::optional<ShouldOwn>& named) {
+        const auto names = [&](const std::optional<ShardAssignment>& named) {
           return named && (named->owner == self || named->replica == self);
         };
         const bool reported = std::count(changed.begin(), changed.end(), shard) == 1;
@@ -119,7 +119,7 @@
   for (uint32_t id = 1; id <= 6; ++id) {
     map.onMember(memberOf(id, id % 3, MemberState::kAlive));
   }
-  std::vector<ShouldOwn> before;
+  std::vector<ShardAssignment> before;
   for (uint16_t index = 0; index < kShards; ++index) {
     before.push_back(*map.lookup(ShardId{kService, index}));
   }
--- a/test/common/shard/takeover_test.cc
+++ b/test/common/shard/takeover_test.cc
@@ -170,7 +170,7 @@
 TEST(Takeover, FetchesFromAnOwnerThatTheViewDoesNotHoldYet) {
   Attempt attempt;
   attempt.poll();
-  attempt.takeover.onOwnerHeard(attempt.now, kNewcomer, 3);
+  attempt.takeover.onOwnerAnnounced(attempt.now, kNewcomer, 3);
   attempt.answer(kNewcomer, HeldRole::kOwner, 3);
   attempt.answer(kFormer, HeldRole::kReplica, 3, kNewcomer);
   attempt.answer(kOther, HeldRole::kNothing, 0);
@@ -280,7 +280,7 @@
   attempt.poll();
   attempt.answer(kFormer, HeldRole::kReplica, 2);
   attempt.answer(kOther, HeldRole::kNothing, 0);
-  attempt.takeover.onOwnerHeard(attempt.now, kNewcomer, 2);
+  attempt.takeover.onOwnerAnnounced(attempt.now, kNewcomer, 2);
   for (int step = 0; step < 50; ++step) {
     attempt.poll();
   }
--- a/test/common/shard/unacknowledged_flows_test.cc
+++ b/test/common/shard/unacknowledged_flows_test.cc
@@ -45,7 +45,7 @@
 }
 
 TEST(UnacknowledgedFlows, AreBounded) {
-  for (uint64_t flow = 1; flow <= UnacknowledgedFlows::kMostFlows; ++flow) {
+  for (uint64_t flow = 1; flow <= UnacknowledgedFlows::kMaximumFlows; ++flow) {
     CHECK_FALSE(flows.isFull());
     flows.add(now, FlowHash{flow}, 1, "", PacketSource::kFabric);
   }
