--- a/source/common/node/flow_plane.cc
+++ b/source/common/node/flow_plane.cc
@@ -10,7 +10,7 @@
 namespace umberhold {
 namespace {
 
-/** How often due probes are looked for. */
+/** Interval at which due probes are looked up. */
 constexpr Duration kProbeCheckInterval = std::chrono::milliseconds(100);
 
 FlowTableOptions tableOptions(const NodeOptions& options, RandomSource& random) {
@@ -42,7 +42,8 @@
   return FlowKnowledge::kOwnedElsewhere;
 }
 
-/** @return the host's place in the flow's rendezvous order; the number of hosts where it has none.
+/**
+ * @return the host's position in the flow's rendezvous order; the number of hosts if it has none.
  */
 uint32_t rankOf(const std::vector<BaseHost>& base, HostId host, FlowHash flow) {
   RendezvousWalk walk(base, flow);
--- a/source/common/node/flow_plane.h
+++ b/source/common/node/flow_plane.h
@@ -1,7 +1,7 @@
 /**
- * @file The part of a core that decides on flows: director, flow table, policies and probes.
+ * @file The flow-handling part of a node core: director, flow table, policies and probes.
  *
- * It picks the director that the options name and feeds it with members, services and messages.
+ * Selects the director according to the options and passes members, services and messages to it.
  */
 #pragma once
 
@@ -23,24 +23,24 @@
 /** See the file comment. Not thread safe. */
 class FlowPlane : public CatalogObserver, public MembershipObserver, private HeldPacketSink {
  public:
-  /** All references are borrowed and must outlive this. */
+  /** All references are borrowed and must outlive this object. */
   FlowPlane(const NodeOptions& options, const NodeOutputs& outputs, const MembershipView& view,
             ServiceCatalog& catalog, PolicyEngine& policies, RandomSource& random);
 
-  /** @return the director that packets ask. */
+  /** @return the director that decides on packets. */
   FlowDirector& director();
-  /** @param sink where packets go on that were held during a takeover. */
+  /** @param sink receives packets that were held during a takeover. */
   void setHeldPacketSink(HeldPacketSink& sink) { heldPackets_ = &sink; }
 
   void start(TimePoint now, UnixSeconds unixNow);
   void tick(TimePoint now, UnixSeconds unixNow);
-  /** The configuration has been taken over whole: services that appear from now on are new. */
+  /** Marks the configuration as caught up: services that appear afterwards are new. */
   void setCaughtUp();
   void leave(TimePoint now);
   bool handedOver() const;
   std::vector<PendingHandover> pendingHandovers() const;
   void onProbeResult(TimePoint now, const ProbeResult& result);
-  /** Takes a message of messages/shard_messages.h. */
+  /** Handles a message of messages/shard_messages.h. */
   void onMessage(TimePoint now, const Endpoint& from, NodeId sender, const Message& message);
 
   uint64_t flowCount() const { return flows_.stats().flows; }
--- a/source/common/node/node_core.cc
+++ b/source/common/node/node_core.cc
@@ -17,7 +17,7 @@
 /** Records in one page of NodeCore::records. */
 constexpr size_t kRecordsPerPage = 256;
 
-/** Whether a part of the core takes messages of this type. */
+/** Whether a part of the core handles messages of this type. */
 template <class Part, class Body>
 concept Handles = requires(Part& part, TimePoint now, const Endpoint& from, NodeId sender,
                            const Body& body) {
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-/** The parts of a core, in the order in which they depend on each other. */
+/** The parts of a core, in the order of their dependencies. */
 struct NodeCore::Parts : public RecordObserver {
   Parts(NodeOptions nodeOptions, NodeOutputs nodeOutputs, PolicyEngine& policies, uint64_t seed)
       : options(std::move(nodeOptions)),
@@ -65,7 +65,7 @@
   PacketPath path;
   NodeReadiness readiness = NodeReadiness::kJoining;
   uint64_t recordsRejected = 0;
-  /** When a leaving node had handed everything over; the linger time counts from it. */
+  /** When a leaving node completed its handover; the linger time counts from it. */
   std::optional<TimePoint> handedOverAt;
 };
 
@@ -294,7 +294,8 @@
   bool first = true;
   for (const CoverageReport& report : parts_->coverage.summary()) {
     status.nodes += report.nodes;
-    // A region's sum speaks of its own newest version; it covers ours only from there on.
+    // A region's counts refer to its own newest version; they include ours only from that version
+    // on.
     status.nodesAtVersion += report.version >= version ? report.nodesAtVersion : 0;
     if (report.slowestVersion >= version && report.version < version) {
       status.nodesAtVersion += report.nodes;
--- a/source/common/node/node_core.h
+++ b/source/common/node/node_core.h
@@ -1,9 +1,8 @@
 /**
- * @file One node's decision logic as a whole: membership, configuration, flows. No I/O.
+ * @file The complete decision logic of one node: membership, configuration, flows. No I/O.
  *
- * source/exe binds a NodeCore to sockets, a clock and the store; the simulators drive
- * the same class. Everything goes in through the on...() calls and comes out through
- * NodeOutputs.
+ * source/exe binds a NodeCore to sockets, a clock and the store; the simulators drive the same
+ * class. All input arrives through the on...() calls and all output leaves through NodeOutputs.
  */
 #pragma once
 
@@ -33,44 +32,44 @@
 
 namespace umberhold {
 
-/** Asks the binder to probe a host over HTTP; the answer comes back through onProbeResult. */
+/** Requests an HTTP probe of a host; the result is delivered through onProbeResult. */
 class ProbeOutput {
  public:
   virtual ~ProbeOutput() = default;
   virtual void probe(ServiceId service, HostId host, const Endpoint& httpEndpoint) = 0;
 };
 
-/** Everything a core can cause. All are borrowed and must outlive the core. */
+/** All outputs of a core. They are borrowed and must outlive the core. */
 struct NodeOutputs {
   MessageSink& messages;
   PacketOutput& packets;
   ProbeOutput& probes;
 };
 
-/** How flows are placed; the baselines are kept to be measured against. */
+/** How flows are placed; the baselines are kept for benchmark comparisons. */
 enum class FlowStrategy : uint8_t {
-  /** The product: owners, base table, exceptions, hand-over. */
+  /** The standard strategy: owners, base table, exceptions, handover. */
   kOwned,
-  /** Baseline (a): plain hash over the live hosts, no state. */
+  /** Baseline (a): plain hash over the active hosts, stateless. */
   kPlainHash,
-  /** Baseline (b): rendezvous, with a flow table on each node only. */
+  /** Baseline (b): rendezvous hashing with a flow table on each node only. */
   kLocalTable,
 };
 
-/** What distinguishes one core from another. */
+/** Per-node settings of a core. */
 struct NodeOptions {
   Member self;
-  /** Names behind self.region and self.zone. */
+  /** Names of self.region and self.zone. */
   std::string regionName;
   std::string zoneName;
   /** Control endpoints of some members of this region. */
   std::vector<Endpoint> seeds;
   FlowStrategy strategy = FlowStrategy::kOwned;
-  /** Test switch: decide on whichever node a packet reaches, without relaying it to its owner. */
+  /** Test switch: decide on the node that receives a packet, without relaying it to the owner. */
   bool ownerRelay = true;
-  /** Flows that the table has room for. */
+  /** Capacity of the flow table. */
   uint32_t flowCapacity = 500000;
-  /** How long a leaving node goes on relaying after everything is handed over. */
+  /** How long a leaving node continues to relay after its handover is complete. */
   Duration linger = std::chrono::seconds(3);
 };
 
@@ -81,7 +80,7 @@
   uint64_t records = 0;
   /** Store version up to which every change is effective here. */
   uint64_t inForceVersion = 0;
-  /** Records that could not be decoded; they stay without effect. */
+  /** Records that could not be decoded; they have no effect. */
   uint64_t recordsRejected = 0;
   uint64_t flows = 0;
   uint32_t ownedShards = 0;
@@ -95,21 +94,21 @@
   NodeCore(NodeOptions options, NodeOutputs outputs, PolicyEngine& policies, uint64_t seed);
   ~NodeCore();
 
-  /** Starts joining. @param unixNow wall time in seconds. */
+  /** Starts joining the region. @param unixNow wall time in seconds. */
   void start(TimePoint now, UnixSeconds unixNow);
-  /** Runs what is due; call about every 10 ms. */
+  /** Runs due work; call about every 10 ms. */
   void onTick(TimePoint now, UnixSeconds unixNow);
-  /** Takes an authenticated message. */
+  /** Handles an authenticated message. */
   void onMessage(TimePoint now, const Endpoint& from, NodeId sender, const Message& message);
-  /** Takes an inner IP packet from the fabric or from another node. */
+  /** Handles an inner IP packet from the fabric or from another node. */
   void onPacket(TimePoint now, PacketSource source, std::string_view packet);
-  /** Takes records that this node read from the store as an elected reader. */
+  /** Applies records that this node read from the store as the elected reader. */
   void onStoreRecords(TimePoint now, const std::vector<ConfigRecord>& records);
-  /** Takes the record of a change that this node has brought into the store for an operator. */
+  /** Applies the record of a change that this node wrote to the store for an operator. */
   void onAcceptedChange(const ConfigRecord& record);
-  /** The elected reader on this node has listed the whole store and handed it in. */
+  /** The elected reader on this node has listed the whole store and passed on all records. */
   void onStoreListed(TimePoint now);
-  /** Takes the platform's machine list: seeds of this region, contacts of the others. */
+  /** Applies the platform's machine list: seeds of this region, contacts of the other regions. */
   void onMachineList(TimePoint now, const std::vector<Machine>& machines);
   void onProbeResult(TimePoint now, const ProbeResult& result);
   /** Starts a planned stop; readiness() is kLeft once everything is handed over. */
@@ -122,11 +121,11 @@
   const Member& self() const;
   /** @return the store version up to which every change is effective here. */
   uint64_t inForceVersion() const;
-  /** @param observer notified of every change of the members; borrowed, must outlive the core. */
+  /** @param observer receives every membership change; borrowed, must outlive the core. */
   void addMembershipObserver(MembershipObserver& observer);
   NodeCounters counters() const;
 
-  // Questions of the administration API; see node/node_status.h.
+  // Queries of the admin API; see node/node_status.h.
   NodeSummary summary(TimePoint now);
   std::vector<Member> members() const;
   CoverageStatus coverage(TimePoint now, uint64_t version);
--- a/source/common/node/node_readiness.h
+++ b/source/common/node/node_readiness.h
@@ -1,4 +1,4 @@
-/** @file How far a node has come between its start and its end. */
+/** @file Lifecycle states of a node. */
 #pragma once
 
 #include <cstdint>
@@ -6,16 +6,16 @@
 
 namespace umberhold {
 
-/** Whether a node takes packets, and why not. */
+/** Whether a node accepts packets, and if not, the reason. */
 enum class NodeReadiness : uint8_t {
-  /** It fetches the member list. */
+  /** Fetches the member list. */
   kJoining,
-  /** It takes over the configuration from its peers or from the store. */
+  /** Fetches the configuration from its peers or from the store. */
   kCatchingUp,
   kReady,
-  /** A planned stop: it hands its shards over and relays. */
+  /** Planned stop: hands over its shards and relays packets. */
   kLeaving,
-  /** Everything is handed over; the process may end. */
+  /** The handover is complete; the process may exit. */
   kLeft,
 };
 
--- a/source/common/node/node_status.h
+++ b/source/common/node/node_status.h
@@ -1,8 +1,8 @@
 /**
- * @file What the admin API asks of the node it runs in.
+ * @file Status queries of the admin API to its node.
  *
- * The calls come from HTTP threads and may block for a short time; the node answers them from its
- * loop thread. Nothing here changes anything.
+ * The calls are made from HTTP threads and may block for a short time; the node answers them on its
+ * loop thread. All of them are read-only.
  */
 #pragma once
 
@@ -21,17 +21,17 @@
 
 namespace umberhold {
 
-/** Why the node gave no answer. */
+/** Why a query failed. */
 enum class NodeStatusErrorCode : uint8_t {
-  /** The node's loop did not come round to the question in time. */
+  /** The node's loop did not process the query in time. */
   kBusy,
-  /** The question names a service, host or member that the node does not know. */
+  /** The query refers to a service, host or member that is unknown to the node. */
   kUnknown,
-  /** The node can't answer this kind of question (for example, another region's flows). */
+  /** The node cannot answer this kind of query (for example, for another region's flows). */
   kUnsupported,
 };
 
-/** A question that was not answered. */
+/** A failed query. */
 struct NodeStatusError {
   NodeStatusErrorCode code = NodeStatusErrorCode::kBusy;
   std::string detail;
@@ -49,27 +49,26 @@
   uint32_t dead = 0;
 };
 
-/** On how many nodes of the whole system a version of the configuration is effective. */
+/** Number of nodes in the whole system on which a configuration version is effective. */
 struct CoverageStatus {
   uint64_t version = 0;
   uint32_t nodes = 0;
   uint32_t nodesAtVersion = 0;
-  /** The node that is furthest behind, and the version up to which it holds everything. */
+  /** The node that is furthest behind, and the version up to which it has all changes. */
   NodeId slowest;
   uint64_t slowestVersion = 0;
 };
 
-/** How one policy fares on this node; only policies of services with shards here are run. */
+/** Status of one policy on this node; only policies of services with shards here are run. */
 struct PolicyHealth {
   std::string policy;
   /** Evaluations that failed since the policy's newest version arrived. */
   uint64_t failures = 0;
-  /** Why it did not compile, or the last failed evaluation; the last good weights stay effective.
-   */
+  /** The compilation error or the last failed evaluation; the last valid weights stay effective. */
   std::optional<PolicyError> lastError;
 };
 
-/** The node at a glance. */
+/** Summary of a node's state. */
 struct NodeSummary {
   NodeId node;
   std::string region;
@@ -88,74 +87,77 @@
   std::vector<PolicyHealth> policyHealth;
 };
 
-/** A part of the records that are effective on the node, tombstones left out. */
+/** One page of the records that are effective on the node, without tombstones. */
 struct RecordPage {
   std::vector<ConfigRecord> records;
-  /** Cursor of the next page; nothing where this was the last one. */
+  /** Cursor of the next page; nothing on the last page. */
   std::optional<uint64_t> next;
 };
 
-/** Which flow the operator asks about. */
+/** The flow to explain. */
 struct ExplainQuery {
   std::string service;
   Endpoint caller;
 };
 
-/** What is known of the flow on the node that was asked. */
+/** State of the flow on the queried node. */
 enum class FlowKnowledge : uint8_t {
-  /** The flow is in the table: its host is the one it has. */
+  /** The flow is in the table; `host` is its host. */
   kEstablished,
-  /** The flow is not in the table: the host is the one that a new flow would get. */
+  /** The flow is not in the table; `host` is the one that a new flow would get. */
   kWouldPlace,
   /** The flow is not in the table, and a new flow would be refused. */
   kWouldRefuse,
-  /** Another node owns the flow; ask there. The host is what this node can tell, if anything. */
+  /**
+   * Another node owns the flow and must be queried instead. `host` is filled in only if this node
+   * can determine it.
+   */
   kOwnedElsewhere,
 };
 
-/** One host, as placement sees it for the flow. */
+/** One host and its placement attributes for the flow. */
 struct HostExplanation {
   std::string name;
   std::string zone;
-  /** Operator's static weight. */
+  /** Static weight set by the operator. */
   uint32_t staticWeight = 0;
-  /** What the policy returned; nothing where it could not be evaluated. */
+  /** Result of the policy's weigh(); nothing if it could not be evaluated. */
   std::optional<double> policyWeight;
   /** Quantised weight in the base table, 0 to 255. */
   uint8_t baseWeight = 0;
-  /** Blended load, 0.0 idle to 1.0 full. */
+  /** Blended load, from 0.0 (idle) to 1.0 (full). */
   double load = 0.0;
   uint32_t flows = 0;
   uint32_t connectionLimit = 0;
   bool healthy = false;
   bool draining = false;
-  /** Whether a new flow may go there now. */
+  /** Whether the host currently accepts new flows. */
   bool admissible = false;
-  /** Place in the flow's rendezvous order, from 0; hosts are tried in this order. */
+  /** Position in the flow's rendezvous order, from 0; hosts are tried in this order. */
   uint32_t rank = 0;
 };
 
-/** Where a flow goes, and why. */
+/** The placement of a flow and its reasons. */
 struct FlowExplanation {
   FlowKnowledge knowledge = FlowKnowledge::kWouldPlace;
   FlowHash flow;
   uint16_t shard = 0;
-  /** Node that owns the shard, as the answering node sees it; nothing where none is known. */
+  /** Owner of the shard according to the queried node; nothing if unknown. */
   std::optional<NodeId> owner;
   uint32_t epoch = 0;
-  /** Name of the chosen host; empty where there is none. */
+  /** Name of the selected host; empty if there is none. */
   std::string host;
-  /** The flow is not where the base table would place it. */
+  /** The flow's host differs from its base table entry. */
   bool exception = false;
-  /** Bound that the load of a host must stay under, in flows; 0 where none applies. */
+  /** Exclusive upper bound of a host's load, in flows; 0 if none applies. */
   double loadBound = 0.0;
   std::string policy;
-  /** Whether the policy's admit() takes new flows; nothing where it could not be evaluated. */
+  /** Whether the policy's admit() accepts new flows; nothing if it could not be evaluated. */
   std::optional<bool> policyAdmits;
   std::vector<HostExplanation> hosts;
 };
 
-/** The node's own answers. Thread safe. */
+/** Status queries to the local node. Thread safe. */
 class NodeStatus {
  public:
   virtual ~NodeStatus() = default;
@@ -163,12 +165,15 @@
   virtual NodeStatusResult<NodeSummary> summary() = 0;
   /** @return the members of the node's region, sorted by id. */
   virtual NodeStatusResult<std::vector<Member>> members() = 0;
-  /** @return how far the version is effective over the whole system, as this node last heard. */
+  /**
+   * @return how far the version is effective in the whole system, according to the latest reports
+   * received by this node.
+   */
   virtual NodeStatusResult<CoverageStatus> coverage(uint64_t version) = 0;
   virtual NodeStatusResult<FlowExplanation> explain(const ExplainQuery& query) = 0;
   /**
-   * Reads the effective records, in pages so small that one does not hold up the node's loop.
-   * @param cursor 0 for the first page, then RecordPage::next.
+   * Reads the effective records in pages that are small enough not to block the node's loop. @param
+   * cursor 0 for the first page, then RecordPage::next.
    */
   virtual NodeStatusResult<RecordPage> records(uint64_t cursor) = 0;
   /** @return the record of one object, or kUnknown. */
--- a/source/common/node/policy_runner.cc
+++ b/source/common/node/policy_runner.cc
@@ -6,14 +6,16 @@
 namespace umberhold {
 namespace {
 
-/** A service's policy is looked at this often; the evaluator has its own, longer interval. */
+/**
+ * Interval between checks of a service's policy; the evaluator applies its own, longer interval.
+ */
 constexpr Duration kEvaluationInterval = std::chrono::milliseconds(500);
 
 }  // namespace
 
 void PolicyRunner::onPolicyChanged(const Policy& policy) {
   if (!isInUse(policy.name) && !compiled_.contains(policy.name)) {
-    return;  // Compiled when a service first needs it.
+    return;  // Compiled on first use by a service.
   }
   Compiled& entry = compiled_[policy.name];
   auto result = engine_.compile(policy);
--- a/source/common/node/policy_runner.h
+++ b/source/common/node/policy_runner.h
@@ -1,4 +1,4 @@
-/** @file Runs the policies of the services that this node owns shards of. */
+/** @file Runs the policies of the services of which this node holds shards. */
 #pragma once
 
 #include <cstdint>
@@ -18,8 +18,9 @@
 
 /**
  * Compiles policies as they arrive and evaluates each service's policy, so that its weights and its
- * admit answer are effective at the director. One compiled policy serves all services that name it.
- * A policy that does not compile, or that fails, leaves the last good weights. Not thread safe.
+ * admit result take effect at the director. Services with the same policy share one compiled
+ * policy. If a policy does not compile or fails, the last valid weights stay effective. Not thread
+ * safe.
  */
 class PolicyRunner {
  public:
@@ -31,15 +32,19 @@
   void onPolicyDeleted(const std::string& name);
   void onServiceDeleted(ServiceId service) { services_.erase(service); }
 
-  /** Evaluates what is due; each service at most once a second, spread over the calls. */
+  /** Runs due evaluations; each service at most once a second, spread over the calls. */
   void tick(TimePoint now);
 
-  /** @return what the policy's weigh said of the host, or nothing where it can't be evaluated. */
+  /**
+   * @return the result of the policy's weigh() for the host, or nothing if it cannot be evaluated.
+   */
   std::optional<double> weigh(const std::string& policy, const HostView& host,
                               const ServiceView& service);
-  /** @return whether the policy's admit takes new flows, or nothing where it can't be evaluated. */
+  /**
+   * @return whether the policy's admit() accepts new flows, or nothing if it cannot be evaluated.
+   */
   std::optional<bool> admits(const std::string& policy, const ServiceView& service);
-  /** @return failures of all policies in use, for status and metrics. */
+  /** @return the status of all policies in use, for status queries and metrics. */
   std::vector<PolicyHealth> health() const;
 
  private:
@@ -48,13 +53,13 @@
     PolicyEvaluator evaluator;
     TimePoint nextEvaluation;
   };
-  /** A compiled policy, or what was wrong with its newest version. */
+  /** A compiled policy, or the error in its newest version. */
   struct Compiled {
     std::shared_ptr<CompiledPolicy> policy;
     std::optional<PolicyError> error;
   };
 
-  /** @return the policy, compiled now where it is needed for the first time; nullptr if unknown. */
+  /** @return the policy, compiled on first use; nullptr if unknown. */
   Compiled* compiled(const std::string& name);
   bool isInUse(const std::string& name) const;
   ServicePolicy& servicePolicy(ServiceId id, const std::string& policy);
--- a/source/common/shard/baseline_director.cc
+++ b/source/common/shard/baseline_director.cc
@@ -49,7 +49,7 @@
   local.hosts.update(id, service);
   for (HostSlot& slot : local.slots.all()) {
     const HostRecord* record = local.hosts.find(slot.host);
-    slot.runs = slot.runs && record != nullptr && record->endpoint == slot.endpoint;
+    slot.usable = slot.usable && record != nullptr && record->endpoint == slot.endpoint;
   }
   std::vector<BaseHost> active;
   for (const HostSpec& host : service.hosts) {
@@ -80,7 +80,7 @@
     return DropPacket{DropReason::kUnknownService};
   }
   const auto entry = flows_.touch(now, local->flowSlot, packet.hash, packet.phase);
-  if (entry && local->slots.at(entry->hostSlot).runs) {
+  if (entry && local->slots.at(entry->hostSlot).usable) {
     const HostSlot& slot = local->slots.at(entry->hostSlot);
     return ForwardToHost{slot.host, slot.endpoint};
   }
--- a/source/common/shard/baseline_director.h
+++ b/source/common/shard/baseline_director.h
@@ -1,8 +1,8 @@
 /**
- * @file Ways of placing flows without owners; kept to be measured against.
+ * @file Baseline flow directors without shard owners, kept for benchmark comparisons.
  *
- * Both decide on whichever node a packet reaches. They share nothing between nodes, so that packets
- * of one flow that reach different nodes may reach different hosts when the nodes' views differ.
+ * Both decide on the node that receives a packet. Nodes share no state, so packets of one flow that
+ * arrive at different nodes may be sent to different hosts while the nodes' views differ.
  */
 #pragma once
 
@@ -17,7 +17,7 @@
 
 namespace umberhold {
 
-/** Baseline (a): the flow's hash modulo the number of active hosts; no state at all. */
+/** Baseline (a): the flow's hash modulo the number of active hosts. Stateless. */
 class PlainHashDirector : public FlowDirector {
  public:
   explicit PlainHashDirector(const ServiceSource& services) : services_(services) {}
@@ -28,16 +28,21 @@
   const ServiceSource& services_;
 };
 
-/** Baseline (b): rendezvous over the active hosts, remembered in this node's flow table only. */
+/**
+ * Baseline (b): rendezvous hashing over the active hosts; placements are recorded only in this
+ * node's flow table.
+ */
 class LocalTableDirector : public FlowDirector {
  public:
-  /** @param services borrowed. @param flows borrowed; its shards made here are this object's own.
+  /**
+   * @param services borrowed. @param flows borrowed; the director creates and removes its own
+   * shards in it.
    */
   LocalTableDirector(const ServiceSource& services, FlowTable& flows)
       : services_(services), flows_(flows) {}
 
   FlowDecision decide(TimePoint now, const FlowPacket& packet, std::string_view bytes) override;
-  /** The service's hosts have changed, or it was deleted. */
+  /** Handles changed hosts of a service, or its deletion. */
   void onServiceChanged(ServiceId service);
 
  private:
--- a/source/common/shard/hold_queue.h
+++ b/source/common/shard/hold_queue.h
@@ -1,4 +1,4 @@
-/** @file Packets that wait for the end of a takeover. */
+/** @file Queue of packets that wait for the end of a takeover. */
 #pragma once
 
 #include <cstddef>
@@ -21,7 +21,7 @@
     PacketSource source = PacketSource::kFabric;
   };
 
-  /** Copies the packet. @return false where the queue is full. */
+  /** Copies the packet. @return false if the queue is full. */
   bool push(std::string_view bytes, PacketSource source) {
     if (packets_.size() >= kCapacity) {
       return false;
@@ -30,7 +30,7 @@
     return true;
   }
 
-  /** @return everything held, in order; the queue is empty afterwards. */
+  /** @return all queued packets, in order; the queue is empty afterwards. */
   std::vector<Packet> takeAll() { return std::exchange(packets_, {}); }
   size_t size() const { return packets_.size(); }
 
--- a/source/common/shard/host_directory.h
+++ b/source/common/shard/host_directory.h
@@ -1,4 +1,4 @@
-/** @file The hosts of one service by identifier, as now configured. */
+/** @file The currently configured hosts of one service, by identifier. */
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace umberhold {
 
-/** What flows need to know of a host. */
+/** Host attributes that flow decisions need. */
 struct HostRecord {
   std::string name;
   Endpoint endpoint;
@@ -23,26 +23,28 @@
 /**
  * Finds hosts by identifier. Not thread safe.
  *
- * Configuration reaches nodes at different times: a state that is taken over may name hosts that
- * this node has not heard of yet. Only a host that was removed here, or stays unknown for long, is
- * gone.
+ * Configuration reaches nodes at different times: state that is taken over may refer to hosts that
+ * this node has not received yet. A host counts as gone only if it was removed here or has stayed
+ * unknown for kUnknownGraceSeconds.
  */
 class HostDirectory {
  public:
-  /** Longer than a change takes to reach every node. */
+  /** Longer than the propagation of a configuration change to all nodes. */
   static constexpr UnixSeconds kUnknownGraceSeconds = 30;
 
   void update(ServiceId id, const Service& service);
   /** @return the host, or nullptr; valid until the next update. */
   const HostRecord* find(HostId host) const;
-  /** @return whether flows of the host are lost: removed, past its drain deadline, unknown for
-   * long. */
+  /**
+   * @return whether flows of the host are lost: it was removed, is past its drain deadline, or has
+   * been unknown for kUnknownGraceSeconds.
+   */
   bool isGone(HostId host, UnixSeconds unixNow);
 
  private:
   std::unordered_map<HostId, HostRecord> hosts_;
   std::unordered_set<HostId> removed_;
-  /** When a host that was never heard of was first asked for. */
+  /** Time of the first lookup of a host that has never been configured here. */
   std::unordered_map<HostId, UnixSeconds> unknownSince_;
 };
 
--- a/source/common/shard/host_slots.h
+++ b/source/common/shard/host_slots.h
@@ -1,4 +1,4 @@
-/** @file The hosts that a shard's flow entries refer to by number. */
+/** @file The hosts that a shard's flow entries refer to by slot number. */
 #pragma once
 
 #include <cstdint>
@@ -10,26 +10,30 @@
 
 namespace umberhold {
 
-/** A host as flow entries see it. */
+/** A host as referenced by flow entries. */
 struct HostSlot {
   HostId host;
   Endpoint endpoint;
   /**
-   * Cleared for good once the host is removed, past its drain deadline, or moved to another
-   * endpoint: a host that comes back under its name has none of the old one's flows and gets a new
+   * Permanently cleared when the host is removed, passes its drain deadline, or moves to another
+   * endpoint. A host that returns under the same name has none of its former flows and gets a new
    * slot.
    */
-  bool runs = true;
+  bool usable = true;
 
-  /** @return whether the host's endpoint is known; it isn't while its configuration is on the way.
+  /**
+   * @return whether the host's endpoint is known; it is unknown until its configuration arrives.
    */
   bool isResolved() const { return endpoint != Endpoint{}; }
 };
 
-/** Numbers the hosts of one shard at one node; numbers are never used again. Not thread safe. */
+/**
+ * Assigns slot numbers to the hosts of one shard at one node; numbers are never reused. Not thread
+ * safe.
+ */
 class HostSlots {
  public:
-  /** @return the number of the running host, entering it where it is new. */
+  /** @return the slot of the usable host, creating it if necessary. */
   uint16_t enter(HostId host, const Endpoint& endpoint) {
     if (const auto known = find(host)) {
       return *known;
@@ -38,10 +42,10 @@
     return static_cast<uint16_t>(slots_.size() - 1);
   }
 
-  /** @return the number of the running host, or nothing. */
+  /** @return the slot of the usable host, or nothing. */
   std::optional<uint16_t> find(HostId host) const {
     for (size_t slot = slots_.size(); slot > 0; --slot) {
-      if (slots_[slot - 1].host == host && slots_[slot - 1].runs) {
+      if (slots_[slot - 1].host == host && slots_[slot - 1].usable) {
         return static_cast<uint16_t>(slot - 1);
       }
     }
--- a/source/common/shard/known_flows.cc
+++ b/source/common/shard/known_flows.cc
@@ -8,10 +8,10 @@
 namespace umberhold {
 namespace {
 
-// Encoded sizes; the fixed part covers UDP and IP headers and the envelope, too.
+// Encoded sizes; the fixed part includes the UDP and IP headers and the envelope.
 constexpr size_t kFixedBytes = 130;
 constexpr size_t kFingerprintBytes = 5;
-/** Makes fingerprints independent of what else is derived from a flow's hash. */
+/** Makes fingerprints independent of other values derived from a flow's hash. */
 constexpr uint64_t kFingerprintSeed = 0x6B6E6F776E666C6FULL;
 constexpr unsigned kFingerprintShift = 32;
 
@@ -32,7 +32,7 @@
 }
 
 void KnownFlowStream::resetNumbering() {
-  // An acknowledgement of the last list must not fit the new one.
+  // An acknowledgement of the previous list must not match the new one.
   start_ = end() + 1;
   first_ = start_;
   waiting_.clear();
@@ -58,15 +58,16 @@
   }
 }
 
-bool KnownFlowStream::needsRenewal(size_t livingFlows) const {
-  return running() && end() - start_ > 2 * livingFlows + kMaximumEndedFlows;
+bool KnownFlowStream::needsRenewal(size_t liveFlows) const {
+  return running() && end() - start_ > 2 * liveFlows + kMaximumEndedFlows;
 }
 
 std::optional<KnownFlowBatch> KnownFlowStream::poll(TimePoint now, ByteBudget& budget,
                                                     ByteBudget& lists) {
   const bool nothingNew = announced_ && waiting_.empty();
   const bool full = waiting_.size() >= kBatchFlows;
-  const Duration usual = full || !announced_ || budget.isAmple(now) ? kMinimumBatchInterval : kPartialBatchDelay;
+  const Duration usual =
+      full || !announced_ || budget.isAmple(now) ? kMinimumBatchInterval : kPartialBatchDelay;
   const Duration pause = inFlight_ ? kResendInterval : (flushRequested_ ? Duration(0) : usual);
   if (state_ == State::kStopped || nothingNew || now - lastSend_ < pause) {
     return std::nullopt;
@@ -81,9 +82,11 @@
   return makeBatch(now, count);
 }
 
-std::optional<KnownFlowBatch> KnownFlowStream::takePiggybackBatch(TimePoint now, ByteBudget& budget) {
+std::optional<KnownFlowBatch> KnownFlowStream::takePiggybackBatch(TimePoint now,
+                                                                  ByteBudget& budget) {
   const size_t count = waiting_.size();
-  const bool fits = announced_ && running() && !inFlight_ && count > 0 && count <= kMaximumPiggybackedFlows;
+  const bool fits =
+      announced_ && running() && !inFlight_ && count > 0 && count <= kMaximumPiggybackedFlows;
   if (!fits || !budget.trySpend(now, static_cast<double>(kFingerprintBytes * count))) {
     return std::nullopt;
   }
@@ -94,7 +97,7 @@
   KnownFlowBatch batch;
   batch.start = start_;
   batch.first = first_;
-  // A revoked list ends where it never arrives.
+  // A revoked list has an end that is never reached, so that the copy stays incomplete.
   batch.end = state_ == State::kRevoked ? end() + 1 : end();
   batch.fingerprints.assign(waiting_.begin(), waiting_.begin() + static_cast<ptrdiff_t>(count));
   inFlight_ = true;
--- a/source/common/shard/known_flows.h
+++ b/source/common/shard/known_flows.h
@@ -1,9 +1,9 @@
 /**
- * @file Which flows of a UDP shard exist, as short fingerprints.
+ * @file Replicated list of the existing flows of a UDP shard, as short fingerprints.
  *
- * No UDP packet says that it is the first of its flow. An owner that took over after a death tells
- * new flows from old ones by the fingerprints that its predecessor had sent to its replica. A
- * fingerprint that two flows share makes a new flow count as old, never an old one as new.
+ * UDP packets do not mark the start of a flow. After the death of an owner, its successor
+ * distinguishes new flows from existing ones by the fingerprints that the owner had sent to its
+ * replica. On a fingerprint collision a new flow counts as existing, never an existing one as new.
  */
 #pragma once
 
@@ -19,12 +19,12 @@
 
 namespace umberhold {
 
-/** 32 bits of a flow's hash: of 100,000 flows, 2 in 100,000 new ones look like one of them. */
+/** 32 bits of a flow's hash: with 100,000 flows listed, about 2 in 100,000 new ones collide. */
 using FlowFingerprint = uint32_t;
 
 FlowFingerprint fingerprintOf(FlowHash flow);
 
-/** Fingerprints of all flows that existed at one time. Never changes. */
+/** Fingerprints of all flows that existed at one time. Immutable. */
 class KnownFlowSet {
  public:
   explicit KnownFlowSet(std::vector<FlowFingerprint> fingerprints);
@@ -37,81 +37,88 @@
   std::vector<FlowFingerprint> sorted_;
 };
 
-/** The owner's side: tells the replica of every flow, in order, acknowledged. Not thread safe. */
+/** Owner side: sends the replica every flow, in order, with acknowledgement. Not thread safe. */
 class KnownFlowStream {
  public:
-  /** A batch that is not full waits for more flows for this long, where bytes are scarce. */
+  /** How long a partial batch waits for more flows while the byte budget is scarce. */
   static constexpr Duration kPartialBatchDelay = std::chrono::seconds(3);
-  /** Between two full batches, or any two where bytes are ample: until the replica has heard of a
-   * flow, the death of its owner makes it look new. */
+  /**
+   * Minimum interval between two full batches, or between any two while the budget is ample. Until
+   * the replica has received a flow, the flow counts as new if its owner dies.
+   */
   static constexpr Duration kMinimumBatchInterval = std::chrono::milliseconds(250);
   static constexpr Duration kResendInterval = std::chrono::seconds(1);
   static constexpr size_t kBatchFlows = 200;
-  /** Flows that go along with a datagram of the replication log. */
+  /** Maximum number of flows that are added to a datagram of the replication log. */
   static constexpr size_t kMaximumPiggybackedFlows = 50;
-  /** Flows that ended are still listed; beyond twice the living ones and this the list is renewed.
+  /**
+   * Ended flows remain listed; the list is renewed when it exceeds twice the live flows by this.
    */
   static constexpr size_t kMaximumEndedFlows = 4096;
 
-  /** Starts again with a replica that knows nothing. */
+  /** Starts a new list for a replica that has none. */
   void restart(std::vector<FlowFingerprint> all);
-  /** Tells a replica that has a list that this can't be relied upon any longer. */
+  /** Notifies a replica that its list is no longer complete. */
   void revoke();
-  /** The replica is lost. */
+  /** Stops sending because there is no replica. */
   void stop() { state_ = State::kStopped; }
-  /** A flow was placed; ignored unless running. */
+  /** Appends a placed flow; ignored unless running. */
   void add(FlowFingerprint fingerprint);
-  /** What waits must be sent at once: a host may have begun to drain. */
+  /** Makes the next batch leave without delay, since a host may have started to drain. */
   void requestFlush() { flushRequested_ = true; }
 
   /**
-   * @return the batch to send now, if any; its bytes are taken from a budget.
-   * @param lists may pay, too, for flows that existed when the list was started.
+   * @return the batch to send now, if any; its bytes are charged to a budget. @param lists
+   * additional budget for batches with flows that existed when the list was started.
    */
   std::optional<KnownFlowBatch> poll(TimePoint now, ByteBudget& budget, ByteBudget& lists);
   /**
-   * @return what waits, for a datagram that leaves in any case and pays for the fixed part; nothing
-   * where it does not fit, a batch is on the way, or the budget has not the bytes.
+   * @return all pending flows, to be added to a datagram that is sent in any case and accounts for
+   * the fixed part; nothing if they do not fit, a batch is in flight, or the budget is
+   * insufficient.
    */
   std::optional<KnownFlowBatch> takePiggybackBatch(TimePoint now, ByteBudget& budget);
   /** @param next first number that the replica lacks. */
   void onAck(uint32_t next);
 
   bool running() const { return state_ == State::kRunning; }
-  /** @return whether most of the flows that were sent have ended. */
-  bool needsRenewal(size_t livingFlows) const;
+  /** @return whether most of the sent flows have ended. */
+  bool needsRenewal(size_t liveFlows) const;
 
  private:
   enum class State : uint8_t { kStopped, kRunning, kRevoked };
 
   void resetNumbering();
-  /** The first so many that wait are on their way from now on. */
+  /** Builds a batch of the first `count` pending flows and marks it as in flight. */
   KnownFlowBatch makeBatch(TimePoint now, size_t count);
   uint32_t end() const { return first_ + static_cast<uint32_t>(waiting_.size()); }
 
   State state_ = State::kStopped;
-  /** Number of the first fingerprint of the list; numbers are never used again. */
+  /** Number of the first fingerprint of the list; numbers are never reused. */
   uint32_t start_ = 0;
-  /** Number of waiting_.front(), the first that is not acknowledged. */
+  /** Number of waiting_.front(), the first unacknowledged flow. */
   uint32_t first_ = 0;
   std::deque<FlowFingerprint> waiting_;
   /** Number of the first flow that was placed after the list was started. */
   uint32_t firstPlacedNumber_ = 0;
-  /** The replica has heard of the list. */
+  /** The replica has acknowledged the list. */
   bool announced_ = false;
   bool inFlight_ = false;
   bool flushRequested_ = false;
   TimePoint lastSend_{};
 };
 
-/** The replica's side. Not thread safe. */
+/** Replica side. Not thread safe. */
 class KnownFlowCopy {
  public:
   void onBatch(const KnownFlowBatch& batch);
   void reset();
-  /** @return the first number that is lacking. */
+  /** @return the first missing number. */
   uint32_t next() const { return next_; }
-  /** @return all flows of which the owner had heard when it sent last, or nothing. */
+  /**
+   * @return all flows that the owner had listed by its latest batch; nothing while some are
+   * missing.
+   */
   std::optional<std::vector<FlowFingerprint>> complete() const;
 
  private:
--- a/source/common/shard/local_shard.cc
+++ b/source/common/shard/local_shard.cc
@@ -9,16 +9,28 @@
 namespace umberhold {
 namespace {
 
-/** How many of the best-ranked members are asked for state, besides the best of each zone. */
+/**
+ * Number of best-ranked members that are asked for state, in addition to the best one of each zone.
+ */
 constexpr size_t kRankedCandidates = 4;
-/** So long after its creation a service whose shards nobody holds has had no flows. */
+/**
+ * Within this time after its creation a service has no flows if no node holds state of its shard.
+ */
 constexpr Duration kNewServicePeriod = std::chrono::seconds(10);
 constexpr Duration kNoticeInterval = std::chrono::milliseconds(500);
-/** So long a former owner that lost its shard says that it has flows which the new one lacks. */
+/**
+ * How long a fenced former owner notifies the new owner that it holds flows unknown to the latter.
+ */
 constexpr Duration kFencedNoticePeriod = std::chrono::seconds(5);
-/** A copy that no owner has fed for this long, while no view asked for it, lacks changes. */
+/**
+ * A replica that has received nothing from an owner for this long, while the view does not assign
+ * the shard to this node, is missing changes.
+ */
 constexpr Duration kReplicaStaleTimeout = std::chrono::seconds(2);
-/** A copy that no owner has fed for this long, and no view asks for, is dropped. */
+/**
+ * A replica that has received nothing from an owner for this long, while the view does not assign
+ * the shard to this node, is dropped.
+ */
 constexpr Duration kReplicaLifetime = std::chrono::seconds(120);
 
 void addUnique(std::vector<NodeId>& nodes, NodeId node) {
@@ -40,8 +52,8 @@
 }
 
 bool LocalShard::isAssignedOwner() const {
-  const auto named = context_.map.lookup(id_);
-  return named && named->owner == context_.self() && !context_.leaving;
+  const auto assignment = context_.map.lookup(id_);
+  return assignment && assignment->owner == context_.self() && !context_.leaving;
 }
 
 bool LocalShard::outranksSelf(NodeId node) const {
@@ -51,17 +63,17 @@
 }
 
 HeldState LocalShard::held(TimePoint now) const {
-  // While the nodes that hold newer state may be cut off, an outdated one would send their flows to
-  // other hosts. Where they are dead it is the best that is left.
-  const bool outdatedServes = !context_.mayHaveRivals(now);
-  // A node that was paused releases its shards to itself, to ask whether they are still its own.
-  const bool gaveWay = fenced_ && successor_ != context_.self();
-  const bool superseded = gaveWay || (handedOver_ && !fenced_);
+  // While the nodes that hold newer state may be beyond a network partition, outdated state would
+  // send their flows to other hosts. If they are dead, it is the best state left.
+  const bool allowOutdated = !context_.mayHaveRivals(now);
+  // After a process pause a node releases its shards to itself and asks whether it still owns them.
+  const bool fencedByPeer = fenced_ && successor_ != context_.self();
+  const bool superseded = fencedByPeer || (handedOver_ && !fenced_);
   HeldState best;
-  if (hasState_ && (!superseded || outdatedServes)) {
+  if (hasState_ && (!superseded || allowOutdated)) {
     best = HeldState{HeldRole::kReleased, epoch_, 0};
   }
-  if (replica_ && replica_->synchronised() && (!replica_->outdated() || outdatedServes)) {
+  if (replica_ && replica_->synchronised() && (!replica_->outdated() || allowOutdated)) {
     best =
         std::max(best, HeldState{HeldRole::kReplica, replica_->epoch(), replica_->nextSequence()});
   }
@@ -110,7 +122,7 @@
 void LocalShard::abandonTakeover(TimePoint now) {
   takeover_.reset();
   role_ = hasState_ ? ShardRole::kReleased : ShardRole::kNone;
-  releaseHeld(now);
+  releaseHeldPackets(now);
 }
 
 void LocalShard::pollTakeover(TimePoint now) {
@@ -124,18 +136,19 @@
     takeOverContent(now, fetched->direct, fetched->content);
   } else if (std::holds_alternative<TakeoverOwnState>(outcome)) {
     if (held(now).role == HeldRole::kNothing) {
-      // What counted when the takeover began may be outdated: a cut is suspected by now.
+      // The state that was usable when the takeover began may be outdated: a partition is suspected
+      // now.
       startTakeover(now);
     } else {
       takeOverOwnState(now);
     }
   } else if (const auto* nothing = std::get_if<TakeoverNothing>(&outcome)) {
     const bool fresh = nothing->allAnswered && isNewService(now);
-    // Nobody has state and nobody can have died with it: the shard never had an owner.
+    // No node holds state and none can have died with it: the shard never had an owner.
     const bool firstOwner = nothing->allAnswered && !nothing->memberDied && !context_.memberDied;
-    // While a whole zone is silent, the state that is not found here is probably alive there. A
-    // death just now may be the first sign of that, and a heal takes a while. A node that joined
-    // meanwhile knows of none of these itself, but those that it asks do.
+    // While a whole zone is unreachable, state that is not found here probably still exists there.
+    // A recent death may be the first sign of a partition, and healing takes a while. A node that
+    // joined in the meantime has not observed any of this, but the members that it asks have.
     if ((context_.mayHaveRivals(now) || nothing->mayHaveRivals) && !fresh) {
       startTakeover(now);
     } else {
@@ -147,7 +160,7 @@
 void LocalShard::takeOverContent(TimePoint now, bool direct, const ShardContent& content) {
   const bool superseded = hasState_ && handedOver_ && !fenced_;
   if (superseded) {
-    // What this node gave away came back in the content, where it still lives.
+    // The fetched content contains all flows of the handed-over state that still exist.
     discardState();
   }
   highestEpochSeen_ = std::max(highestEpochSeen_, content.epoch);
@@ -177,8 +190,8 @@
   if (!knowsAllFlows_ && content.oldFlows) {
     oldFlows_.emplace(*content.oldFlows);
   }
-  // An opening that the previous owner forwarded to the base's host is not in the content unless
-  // that lists all flows: its repeat must not be placed elsewhere.
+  // An opening that the previous owner forwarded to the base table's host is in the content only if
+  // that lists all flows: a repeated opening must not be placed elsewhere.
   becomeOwner(now, !knowsAllFlows_, content.permits);
 }
 
@@ -234,7 +247,7 @@
   service_.placement->shardOwned(now, id_, permits);
   countEntries(now);
   chooseReplica(now);
-  releaseHeld(now);
+  releaseHeldPackets(now);
 }
 
 void LocalShard::countEntries(TimePoint now) {
@@ -248,8 +261,8 @@
   }
 }
 
-void LocalShard::releaseHeld(TimePoint now) {
-  releasePackets(now, held_.takeAll());
+void LocalShard::releaseHeldPackets(TimePoint now) {
+  releasePackets(now, heldPackets_.takeAll());
 }
 
 void LocalShard::release(TimePoint now, NodeId successor) {
@@ -304,22 +317,22 @@
   refused_.expire(now);
   tickReplica(now);
   tickSenders(now);
-  const bool named = isAssignedOwner();
+  const bool assignment = isAssignedOwner();
   switch (role_) {
     case ShardRole::kNone:
-      if (named) {
+      if (assignment) {
         startTakeover(now);
       }
       break;
     case ShardRole::kAcquiring:
-      if (named) {
+      if (assignment) {
         pollTakeover(now);
       } else {
         abandonTakeover(now);
       }
       break;
     case ShardRole::kReleased:
-      if (named) {
+      if (assignment) {
         startTakeover(now);
       } else {
         tickReleased(now);
@@ -349,9 +362,9 @@
 }
 
 /**
- * Asks whoever may have fetched the state whether it owns the shard now; an owner answers with its
- * epoch. A leaving node hears of a newer owner in no other way: the last acknowledgement of a fetch
- * may be lost, and the successor may have taken a replica's copy instead.
+ * Asks the nodes that may have fetched the state whether they own the shard; an owner replies with
+ * its epoch. A leaving node has no other way to detect a newer owner: the last acknowledgement of a
+ * fetch may be lost, or the successor may have used a replica's copy instead.
  */
 void LocalShard::queryOwner(TimePoint now) {
   if (now - lastNotice_ < kNoticeInterval) {
@@ -360,9 +373,9 @@
   lastNotice_ = now;
   const OwnershipNotice notice{id_, epoch_, false};
   context_.send(successor_, notice);
-  const auto named = context_.map.lookup(id_);
-  if (named && named->owner != successor_) {
-    context_.send(named->owner, notice);
+  const auto assignment = context_.map.lookup(id_);
+  if (assignment && assignment->owner != successor_) {
+    context_.send(assignment->owner, notice);
   }
 }
 
@@ -382,9 +395,9 @@
     return;
   }
   replica_->tick(now);
-  const auto named = context_.map.lookup(id_);
-  const bool wanted =
-      named && (named->owner == context_.self() || named->replica == context_.self());
+  const auto assignment = context_.map.lookup(id_);
+  const bool wanted = assignment && (assignment->owner == context_.self() ||
+                                     assignment->replica == context_.self());
   if (!wanted && now - replica_->lastOwnerMessage() >= kReplicaStaleTimeout) {
     replica_->setOutdated();
   }
@@ -394,11 +407,11 @@
 }
 
 void LocalShard::sendNotice(TimePoint now) {
-  const auto named = context_.map.lookup(id_);
-  const bool another = named && named->owner != context_.self();
+  const auto assignment = context_.map.lookup(id_);
+  const bool another = assignment && assignment->owner != context_.self();
   if (another && now - lastNotice_ >= kNoticeInterval) {
     lastNotice_ = now;
-    context_.send(named->owner, OwnershipNotice{id_, epoch_, false});
+    context_.send(assignment->owner, OwnershipNotice{id_, epoch_, false});
   }
 }
 
@@ -428,11 +441,11 @@
   if (role_ == ShardRole::kOwner) {
     return false;
   }
-  // Nobody fetches the state of an owner that gave way: the newer one has its own. It only has to
-  // hear that there are flows which it doesn't know.
-  const bool gaveWay = fenced_ && successor_ != context_.self();
+  // The state of a fenced owner is not fetched, since the newer owner has its own. The newer owner
+  // only needs the notice that flows unknown to it exist.
+  const bool fencedByPeer = fenced_ && successor_ != context_.self();
   const bool noticed = now - releasedAt_ >= kFencedNoticePeriod;
-  const bool nothingToGive = gaveWay && (noticed || context_.flows.flowCount(flowSlot_) == 0);
+  const bool nothingToGive = fencedByPeer && (noticed || context_.flows.flowCount(flowSlot_) == 0);
   return role_ != ShardRole::kReleased || handedOver_ || nothingToGive;
 }
 
--- a/source/common/shard/local_shard.h
+++ b/source/common/shard/local_shard.h
@@ -1,10 +1,10 @@
 /**
  * @file One shard at one node: its role, its state, and the decisions on its packets.
  *
- * docs/DESIGN.md, "Ownership: shards" and "Placement", is the specification. The implementation is
- * split: local_shard.cc holds the roles and their changes, local_shard_messages.cc the messages of
- * takeovers, local_shard_packets.cc the decisions on packets, local_shard_replication.cc what an
- * owner does for its replica.
+ * The specification is docs/DESIGN.md, "Ownership: shards" and "Placement". The implementation is
+ * split: local_shard.cc contains the roles and their transitions, local_shard_messages.cc the
+ * messages of takeovers, local_shard_packets.cc the decisions on packets,
+ * local_shard_replication.cc the owner's replication.
  */
 #pragma once
 
@@ -17,10 +17,10 @@
 
 #include "common/flow/flow_director.h"
 #include "common/placement/base_table.h"
-#include "common/shard/pending_handover.h"
 #include "common/shard/hold_queue.h"
 #include "common/shard/host_slots.h"
 #include "common/shard/known_flows.h"
+#include "common/shard/pending_handover.h"
 #include "common/shard/refusal_memory.h"
 #include "common/shard/replica_copy.h"
 #include "common/shard/replication_log.h"
@@ -32,7 +32,7 @@
 
 namespace umberhold {
 
-/** Why a flow would go where it would go. */
+/** Reason for the answer in a PlacementExplanation. */
 enum class ExplainReason : uint8_t {
   kEstablished,
   kRefusedBefore,
@@ -41,7 +41,7 @@
   kNoHost,
 };
 
-/** Answer to "which host would this flow get and why". */
+/** The host that a flow would get at this node, and the reason. */
 struct PlacementExplanation {
   ShardId shard;
   ShardRole role = ShardRole::kNone;
@@ -51,7 +51,7 @@
   bool exception = false;
 };
 
-/** A shard's figures. */
+/** Status of one shard. */
 struct ShardStats {
   ShardId shard;
   ShardRole role = ShardRole::kNone;
@@ -59,7 +59,7 @@
   uint32_t epoch = 0;
   uint32_t flows = 0;
   bool knowsAllFlows = false;
-  /** Flows that are not in the table are listed: a new UDP flow can be distinguished from them. */
+  /** All existing flows are in the table or listed, so that a new UDP flow can be recognised. */
   bool knowsOldFlows = false;
   bool replicaCurrent = false;
   size_t pendingChanges = 0;
@@ -75,12 +75,16 @@
 
   FlowDecision decide(TimePoint now, const FlowPacket& packet, std::string_view bytes);
   void tick(TimePoint now);
-  /** @return since when a change waits to be sent to the replica; the end of time for none. */
+  /**
+   * @return the time since when a change waits to be sent to the replica; TimePoint::max() if none.
+   */
   TimePoint pendingReplicationSince() const;
-  /** Tells the replica what it lacks, as far as the node's budget allows. Call it after tick(), the
-   * shard that waits longest first. */
+  /**
+   * Sends pending changes to the replica as far as the node's byte budget allows. Call it after
+   * tick(), in the order of pendingReplicationSince() across shards.
+   */
   void sendReplication(TimePoint now);
-  /** The process was paused: asks whether another node owns the shard by now. */
+  /** After a pause of the process: asks whether another node has taken over the shard. */
   void reconfirmOwnership(TimePoint now);
 
   void onTakeoverRequest(TimePoint now, NodeId sender, const TakeoverRequest& request);
@@ -90,26 +94,26 @@
   void onSnapshotAck(TimePoint now, NodeId sender, const SnapshotAck& ack);
   void onReplicaAppend(TimePoint now, NodeId sender, const ReplicaAppend& batch);
   void onReplicaAck(TimePoint now, NodeId sender, const ReplicaAck& ack);
-  /** Another node says that it owned the shard at the epoch. */
+  /** Handles another node's announcement that it owned the shard at the epoch. */
   void onOwnerAnnounced(TimePoint now, NodeId owner, uint32_t epoch);
 
-  /** Hosts were added, removed or moved, or a drain deadline may have passed. */
+  /** Handles added, removed or moved hosts, and drain deadlines that may have passed. */
   void onHostsChanged(TimePoint now);
-  /** The service's configuration changed: the replica must know the flows from before at once. */
+  /** After a change of the service: sends the replica all flows from before it without delay. */
   void flushKnownFlows() { knownFlows_.requestFlush(); }
-  /** The flow table forgot an entry of this shard. */
+  /** Handles the removal of an entry of this shard from the flow table. */
   void onFlowForgotten(TimePoint now, const FlowEntry& entry);
 
   ShardRole role() const { return role_; }
   uint32_t epoch() const { return epoch_; }
   uint32_t flowSlot() const { return flowSlot_; }
-  /** @return the node that the owner replicates to. */
+  /** @return the node to which the owner replicates. */
   std::optional<NodeId> replicaNode() const { return replicaNode_; }
-  /** @return whether nothing of the shard is held here and no view gives it to this node. */
+  /** @return whether this node holds nothing of the shard and is not assigned to it. */
   bool isUnused() const;
-  /** @return whether a leaving node may forget the shard. */
+  /** @return whether a leaving node may drop the shard. */
   bool isHandedOver(TimePoint now) const;
-  /** @return what there is to hand over. */
+  /** @return the state that is still to be handed over. */
   PendingHandover pendingHandover() const;
   PlacementExplanation explain(TimePoint now, FlowHash flow) const;
   ShardStats stats(TimePoint now) const;
@@ -118,7 +122,9 @@
   // Roles (local_shard.cc).
   bool isAssignedOwner() const;
   bool outranksSelf(NodeId node) const;
-  /** @return whether this node owned the shard and keeps its state, also while it asks for it back.
+  /**
+   * @return whether this node owned the shard and keeps its state, including while it acquires the
+   * shard again.
    */
   bool holdsReleasedState() const { return hasState_ && role_ != ShardRole::kOwner; }
   HeldState held(TimePoint now) const;
@@ -128,14 +134,14 @@
   void takeOverContent(TimePoint now, bool direct, const ShardContent& content);
   void takeOverOwnState(TimePoint now);
   /**
-   * @param fresh the service is so new that no flow can exist.
-   * @param knowsAllFlows no owner before this one can have placed a flow.
+   * Becomes owner without state from another node. @param fresh the service is so new that no flow
+   * can exist. @param knowsAllFlows no previous owner can have placed a flow.
    */
   void createEmpty(TimePoint now, bool fresh, bool knowsAllFlows);
   bool isNewService(TimePoint now) const;
   void becomeOwner(TimePoint now, bool cautious, const std::vector<HostPermits>& permits);
   void countEntries(TimePoint now);
-  void releaseHeld(TimePoint now);
+  void releaseHeldPackets(TimePoint now);
   void release(TimePoint now, NodeId successor);
   void fence(TimePoint now, NodeId newerOwner, uint32_t newerEpoch);
   void discardState();
@@ -156,13 +162,15 @@
                               const FlowEntry& entry);
   FlowDecision serveEntry(TimePoint now, const FlowPacket& packet, std::string_view bytes,
                           const FlowEntry& entry);
-  /** @return whether a UDP packet without entry can only be the first of its flow. */
+  /** @return whether a UDP packet without an entry is certainly the first of its flow. */
   bool opensUdpFlow(FlowHash flow) const;
   FlowDecision adopt(TimePoint now, const FlowPacket& packet, std::string_view bytes);
   FlowDecision placeNew(TimePoint now, const FlowPacket& packet, std::string_view bytes);
   FlowDecision placeAtBase(TimePoint now, const FlowPacket& packet, std::string_view bytes);
-  /** An exception waits until the replica has its record, unless the replica was heard just now:
-   * see UnacknowledgedFlows. */
+  /**
+   * The first packet of an exception is held until the replica has the record, unless the replica
+   * has acknowledged something recently: see UnacknowledgedFlows.
+   */
   FlowDecision accept(TimePoint now, const FlowPacket& packet, std::string_view bytes, HostId host);
   FlowDecision refuse(TimePoint now, const FlowPacket& packet);
   FlowDecision relayTo(NodeId node) const;
@@ -170,7 +178,7 @@
   FlowDecision hold(const FlowPacket& packet, std::string_view bytes);
   FlowDecision forward(uint16_t slot) const;
   bool placesAtBaseOnly(TimePoint now) const;
-  /** Closing and reset flows no longer count against their host. */
+  /** Closing and reset flows no longer count towards their host's flows. */
   void updateFlowCounts(const FlowEntry& before, const FlowEntry& after);
   void dropEntry(TimePoint now, const FlowEntry& entry);
 
@@ -187,19 +195,22 @@
   void advanceBase(TimePoint now);
   void finishBaseAdvance(TimePoint now);
   bool replicationReliable(TimePoint now) const;
-  /** Lets new flows go on whose records the replica has. */
+  /** Forwards held new flows whose records the replica has acknowledged. */
   void releaseAcknowledged(TimePoint now);
-  /** Places new flows at the base that waited for the replica in vain. */
+  /** Places held new flows by the base table if the replica's acknowledgement is overdue. */
   void releaseOverdue(TimePoint now);
-  /** The node owns the shard no more. @return packets of new flows that were never forwarded. */
+  /**
+   * Drops unacknowledged flows when the node loses the shard. @return their packets, which were
+   * never forwarded.
+   */
   std::vector<HoldQueue::Packet> dropUnacknowledged(TimePoint now);
   void releasePackets(TimePoint now, std::vector<HoldQueue::Packet> packets);
   void updateAllFlowsKnown(TimePoint now);
   void streamKnownFlows(TimePoint now);
-  /** @return whether it is known of every flow whether it existed. */
+  /** @return whether existing flows can be distinguished from new ones. */
   bool knowsOldFlows() const { return knowsAllFlows_ || oldFlows_; }
   std::vector<FlowFingerprint> listKnownFlows(TimePoint now) const;
-  /** Flows exist that are neither in the table nor listed. */
+  /** Records that flows exist that are neither in the table nor listed. */
   void invalidateKnownFlows(TimePoint now);
 
   ShardContext& context_;
@@ -211,7 +222,7 @@
   HostSlots slots_;
   BaseTable base_;
   bool knowsAllFlows_ = false;
-  /** Every flow that the previous owner had; those seen since are in the table. */
+  /** All flows of the previous owner; flows seen since then are in the table. */
   std::optional<KnownFlowSet> oldFlows_;
   RefusalMemory refused_;
 
@@ -223,29 +234,29 @@
   ReplicationLog log_;
   KnownFlowStream knownFlows_;
   UnacknowledgedFlows unacknowledged_;
-  /** When the replica last acknowledged something. */
+  /** Time of the replica's last acknowledgement. */
   TimePoint lastReplicaAck_{};
-  /** A record waited too long for its acknowledgement, and none has come since. */
+  /** An acknowledgement was overdue, and none has arrived since. */
   bool replicaOverdue_ = false;
   std::optional<NodeId> replicaNode_;
   std::unique_ptr<SnapshotSender> replicaSnapshot_;
   uint32_t replicaSnapshotNumber_ = 0;
   uint32_t replicaSnapshotSequence_ = 0;
-  /** The base table that the replica is being given. */
+  /** The next base table, while it is being transferred to the replica. */
   std::optional<BaseTable> nextBase_;
   bool snapshotCarriesNextBase_ = false;
 
   // Acquiring.
   std::unique_ptr<Takeover> takeover_;
   uint32_t attempt_ = 0;
-  HoldQueue held_;
+  HoldQueue heldPackets_;
   std::optional<NodeId> lastKnownOwner_;
   uint32_t highestEpochSeen_ = 0;
 
   // Released.
-  /** The entries and the base table are those of an epoch that this node owned. */
+  /** The entries and the base table belong to an epoch that this node owned. */
   bool hasState_ = false;
-  /** The state was given up because a newer owner exists, not because it asked for it. */
+  /** The state was released because a newer owner exists, not on that owner's request. */
   bool fenced_ = false;
   NodeId successor_;
   bool handedOver_ = false;
--- a/source/common/shard/local_shard_messages.cc
+++ b/source/common/shard/local_shard_messages.cc
@@ -1,4 +1,4 @@
-/** @file Messages of takeover and snapshots, for LocalShard. */
+/** @file Takeover and snapshot messages of LocalShard. */
 #include <algorithm>
 #include <tuple>
 #include <utility>
@@ -16,9 +16,9 @@
   reply.memberDied = context_.memberDied;
   reply.mayHaveRivals = context_.mayHaveRivals(now);
   if (role_ == ShardRole::kOwner) {
-    const auto named = context_.map.lookup(id_);
+    const auto assignment = context_.map.lookup(id_);
     const bool yields =
-        context_.leaving || (named && named->owner == sender) || request.epoch > epoch_;
+        context_.leaving || (assignment && assignment->owner == sender) || request.epoch > epoch_;
     if (yields) {
       release(now, sender);
     }
--- a/source/common/shard/local_shard_packets.cc
+++ b/source/common/shard/local_shard_packets.cc
@@ -1,4 +1,4 @@
-/** @file Decisions of LocalShard on packets. */
+/** @file Packet decisions of LocalShard. */
 #include "common/flow/flow_state.h"
 #include "common/shard/local_shard.h"
 
@@ -57,31 +57,31 @@
                                          std::string_view bytes) {
   if (hasState_ && !handedOver_) {
     const auto entry = context_.flows.find(now, flowSlot_, packet.hash);
-    if (entry && slots_.at(entry->hostSlot).runs) {
+    if (entry && slots_.at(entry->hostSlot).usable) {
       return forward(entry->hostSlot);
     }
   }
-  const auto server = takeover_ ? takeover_->server() : std::nullopt;
-  if (server && packet.source == PacketSource::kFabric && context_.isReachable(*server)) {
-    return relayTo(*server);
+  const auto servingNode = takeover_ ? takeover_->servingNode() : std::nullopt;
+  if (servingNode && packet.source == PacketSource::kFabric && context_.isReachable(*servingNode)) {
+    return relayTo(*servingNode);
   }
   return hold(packet, bytes);
 }
 
 FlowDecision LocalShard::decideReleased(TimePoint now, const FlowPacket& packet,
                                         std::string_view bytes) {
-  const bool successorLives = successor_ != context_.self() && context_.isReachable(successor_);
-  if (handedOver_ && successorLives) {
+  const bool successorReachable = successor_ != context_.self() && context_.isReachable(successor_);
+  if (handedOver_ && successorReachable) {
     return relayTo(successor_);
   }
   const auto entry = context_.flows.touch(now, flowSlot_, packet.hash, packet.phase);
-  if (entry && slots_.at(entry->hostSlot).runs) {
+  if (entry && slots_.at(entry->hostSlot).usable) {
     return forward(entry->hostSlot);
   }
   if (refused_.contains(packet.hash)) {
     return RefuseFlow{};
   }
-  if (successorLives) {
+  if (successorReachable) {
     return relayTo(successor_);
   }
   return isAssignedOwner() ? hold(packet, bytes) : relayToAssignedOwner();
@@ -90,12 +90,12 @@
 FlowDecision LocalShard::serveEntry(TimePoint now, const FlowPacket& packet, std::string_view bytes,
                                     const FlowEntry& entry) {
   const HostSlot& slot = slots_.at(entry.hostSlot);
-  if (!slot.runs) {
+  if (!slot.usable) {
     return decideHostGone(now, packet, bytes, entry);
   }
   const bool ended = entry.state == FlowState::kClosing || entry.state == FlowState::kReset;
-  const bool opensAnew = ended && packet.phase == PacketPhase::kOpening;
-  if (opensAnew && !service_.placement->isAdmissible(now, id_, slot.host)) {
+  const bool reopens = ended && packet.phase == PacketPhase::kOpening;
+  if (reopens && !service_.placement->isAdmissible(now, id_, slot.host)) {
     dropEntry(now, entry);
     return placeNew(now, packet, bytes);
   }
@@ -105,8 +105,8 @@
 FlowDecision LocalShard::decideHostGone(TimePoint now, const FlowPacket& packet,
                                         std::string_view bytes, const FlowEntry& entry) {
   dropEntry(now, entry);
-  const bool startsAnew = packet.phase == PacketPhase::kOpening || !isTcp(packet);
-  if (startsAnew) {
+  const bool canStartFlow = packet.phase == PacketPhase::kOpening || !isTcp(packet);
+  if (canStartFlow) {
     return placeNew(now, packet, bytes);
   }
   if (packet.phase == PacketPhase::kReset) {
@@ -128,7 +128,7 @@
     service_.placement->flowRemoved(id_, slots_.at(entry.hostSlot).host);
   }
   if (entry.exception) {
-    log_.removed(now, entry.flow);
+    log_.appendRemoved(now, entry.flow);
   }
 }
 
@@ -154,7 +154,8 @@
   if (knowsAllFlows_ || !oldFlows_) {
     return knowsAllFlows_;
   }
-  // Only a host that drains takes no new flow: elsewhere the base table is right for both kinds.
+  // Only a draining host takes no new flows: for other hosts the base table is right for new and
+  // for existing flows.
   const auto host = base_.defaultHost(flow);
   const HostRecord* record = host ? service_.hosts.find(*host) : nullptr;
   const bool draining = record != nullptr && record->state == HostState::kDraining;
@@ -168,9 +169,9 @@
     if (!isTcp(packet)) {
       return placeNew(now, packet, bytes);
     }
-    const bool silent = packet.phase == PacketPhase::kReset;
-    return silent ? FlowDecision{DropPacket{DropReason::kHostGone}}
-                  : FlowDecision{RefuseFlow{RefusalReason::kHostEnded}};
+    const bool dropSilently = packet.phase == PacketPhase::kReset;
+    return dropSilently ? FlowDecision{DropPacket{DropReason::kHostGone}}
+                        : FlowDecision{RefuseFlow{RefusalReason::kHostEnded}};
   }
   if (packet.phase == PacketPhase::kReset) {
     return forward(*slot);
@@ -187,10 +188,10 @@
       service_.placement->flowAdded(id_, *host, FlowOrigin::kAdopted);
     }
     if (flow.exception) {
-      log_.added(now, PinnedFlow{packet.hash, *host});
+      log_.appendAdded(now, PinnedFlow{packet.hash, *host});
     }
   } else {
-    // The base table serves the flow without an entry, but then it must not change under it.
+    // The base table serves the flow without an entry, so it must not change in the meantime.
     invalidateKnownFlows(now);
   }
   return forward(*slot);
@@ -224,7 +225,8 @@
                                      std::string_view bytes) {
   const auto host = base_.defaultHost(packet.hash);
   if (!host || !service_.placement->isAdmissible(now, id_, *host)) {
-    // The flow may already run on the host: neither a second host nor a refusal would be true.
+    // The flow may already be established at the host, so neither another host nor a refusal is
+    // correct.
     return DropPacket{DropReason::kNoHost};
   }
   return accept(now, packet, bytes, *host);
@@ -248,10 +250,11 @@
   service_.placement->flowAdded(id_, host, FlowOrigin::kNew);
   if (flow.exception) {
     ++context_.counters.exceptionsPlaced;
-    const bool heardLately = now - lastReplicaAck_ < UnacknowledgedFlows::kPatience;
-    const bool waits =
-        replicaNode_ && !heardLately && replicationReliable(now) && !unacknowledged_.isFull();
-    log_.added(now, PinnedFlow{packet.hash, host});
+    const bool acknowledgedRecently =
+        now - lastReplicaAck_ < UnacknowledgedFlows::kAcknowledgementTimeout;
+    const bool waits = replicaNode_ && !acknowledgedRecently && replicationReliable(now) &&
+                       !unacknowledged_.isFull();
+    log_.appendAdded(now, PinnedFlow{packet.hash, host});
     if (waits) {
       unacknowledged_.add(now, packet.hash, log_.nextSequence() - 1, bytes, packet.source);
       return HoldPacket{};
@@ -261,12 +264,12 @@
 }
 
 FlowDecision LocalShard::refuse(TimePoint now, const FlowPacket& packet) {
-  // Where another owner might have forwarded the flow, a refusal could be untrue.
+  // If another owner may have forwarded the flow, a refusal would be incorrect.
   if (!replicationReliable(now) || !refused_.remember(now, packet.hash)) {
     return DropPacket{DropReason::kNoHost};
   }
   ++context_.counters.refusals;
-  log_.refused(now, packet.hash);
+  log_.appendRefused(now, packet.hash);
   return RefuseFlow{};
 }
 
@@ -287,12 +290,12 @@
 }
 
 FlowDecision LocalShard::relayToAssignedOwner() const {
-  const auto named = context_.map.lookup(id_);
-  return named ? relayTo(named->owner) : FlowDecision{DropPacket{DropReason::kNoOwner}};
+  const auto assignment = context_.map.lookup(id_);
+  return assignment ? relayTo(assignment->owner) : FlowDecision{DropPacket{DropReason::kNoOwner}};
 }
 
 FlowDecision LocalShard::hold(const FlowPacket& packet, std::string_view bytes) {
-  if (!held_.push(bytes, packet.source)) {
+  if (!heldPackets_.push(bytes, packet.source)) {
     return DropPacket{DropReason::kHoldQueueFull};
   }
   return HoldPacket{};
@@ -302,8 +305,8 @@
   PlacementExplanation answer;
   answer.shard = id_;
   answer.role = role_;
-  if (const auto named = context_.map.lookup(id_)) {
-    answer.owner = named->owner;
+  if (const auto assignment = context_.map.lookup(id_)) {
+    answer.owner = assignment->owner;
   }
   if (role_ != ShardRole::kOwner) {
     return answer;
--- a/source/common/shard/local_shard_replication.cc
+++ b/source/common/shard/local_shard_replication.cc
@@ -1,4 +1,4 @@
-/** @file Base table and replication of an owner, for LocalShard. */
+/** @file Base table and replication of a LocalShard that is owner. */
 #include <algorithm>
 #include <tuple>
 #include <utility>
@@ -8,7 +8,7 @@
 namespace umberhold {
 namespace {
 
-/** Weights alone change the base table only this rarely, and only by at least this share. */
+/** Minimum interval and minimum weight change of base table updates that change only weights. */
 constexpr Duration kWeightAdvanceInterval = std::chrono::minutes(5);
 constexpr int kLeastWeightChange = 64;
 
@@ -24,7 +24,7 @@
       [](const BaseHost& one, const BaseHost& other) { return one.host == other.host; });
 }
 
-/** Both lists hold the same hosts in the same order. */
+/** Both lists must contain the same hosts in the same order. */
 bool weightsDiffer(const std::vector<BaseHost>& left, const std::vector<BaseHost>& right) {
   for (size_t index = 0; index < left.size(); ++index) {
     if (std::abs(int{left[index].weight} - int{right[index].weight}) >= kLeastWeightChange) {
@@ -34,7 +34,7 @@
   return false;
 }
 
-/** Of one fingerprint in a snapshot. */
+/** Encoded size of one fingerprint in a snapshot. */
 constexpr size_t kListedFlowBytes = 5;
 
 bool hasWeight(const std::vector<BaseHost>& hosts) {
@@ -61,7 +61,7 @@
     return service_.hosts.isGone(entry.host, context_.unixNow);
   });
   if (!hasWeight(base)) {
-    // No flow follows a base table without hosts, so that it may be replaced at any time.
+    // No flow depends on a base table without hosts, so it can be replaced at any time.
     base = service_.placement->currentBase();
     log_.markReplicaLost();
   }
@@ -76,7 +76,7 @@
       slot.endpoint = record->endpoint;
     }
     const bool moved = record != nullptr && record->endpoint != slot.endpoint;
-    slot.runs = slot.runs && !gone && !moved;
+    slot.usable = slot.usable && !gone && !moved;
   }
   if (replica_) {
     replica_->retainHosts(
@@ -88,7 +88,7 @@
   const size_t before = base_.hosts().size();
   setBase(now, base_.hosts());
   if (nextBase_ && base_.hosts().size() != before) {
-    // The table under way may name a host that is gone: start over.
+    // The next table may contain a removed host: start over.
     nextBase_.reset();
     log_.markReplicaLost();
     replicaSnapshot_.reset();
@@ -110,7 +110,7 @@
   for (const Change& change : changes) {
     context_.flows.setHost(flowSlot_, change.entry.flow, change.entry.hostSlot, change.exception);
     if (role_ == ShardRole::kOwner && !change.exception) {
-      log_.removed(now, change.entry.flow);
+      log_.appendRemoved(now, change.entry.flow);
     }
   }
 }
@@ -120,14 +120,14 @@
   content.epoch = epoch_;
   content.sequence = log_.nextSequence();
   content.base = nextBase_ && !handOver ? nextBase_->hosts() : base_.hosts();
-  // Once another node owned the shard, flows exist that are not listed here.
+  // After another node has owned the shard, flows exist that are not listed here.
   const bool latest = handOver && !handedOver_ && !fenced_;
   const bool full = latest && knowsAllFlows_ &&
                     context_.flows.flowCount(flowSlot_) <= context_.options.fullSnapshotFlows;
   content.knowsAllFlows = full;
   context_.flows.forEach(now, flowSlot_, [&](const FlowEntry& entry) {
     const HostSlot& slot = slots_.at(entry.hostSlot);
-    if (slot.runs && (full || entry.exception)) {
+    if (slot.usable && (full || entry.exception)) {
       content.pinned.push_back(PinnedFlow{entry.flow, slot.host});
     }
   });
@@ -163,7 +163,8 @@
 }
 
 TimePoint LocalShard::pendingReplicationSince() const {
-  return role_ == ShardRole::kOwner && replicaNode_ ? log_.oldestUrgentChangeTime() : TimePoint::max();
+  return role_ == ShardRole::kOwner && replicaNode_ ? log_.oldestUrgentChangeTime()
+                                                    : TimePoint::max();
 }
 
 void LocalShard::sendReplication(TimePoint now) {
@@ -189,9 +190,9 @@
       knownFlows_.revoke();
     }
   } else {
-    const size_t living =
+    const size_t liveFlows =
         context_.flows.flowCount(flowSlot_) + (oldFlows_ ? oldFlows_->list().size() : 0);
-    if (!knownFlows_.running() || knownFlows_.needsRenewal(living)) {
+    if (!knownFlows_.running() || knownFlows_.needsRenewal(liveFlows)) {
       knownFlows_.restart(listKnownFlows(now));
     }
   }
@@ -221,17 +222,17 @@
 }
 
 void LocalShard::chooseReplica(TimePoint now) {
-  const auto named = context_.map.lookup(id_);
-  if (!named) {
+  const auto assignment = context_.map.lookup(id_);
+  if (!assignment) {
     return;
   }
-  const bool namedSelf = named->owner == context_.self();
+  const bool assignedToSelf = assignment->owner == context_.self();
   std::optional<NodeId> wanted = replicaNode_;
-  if (namedSelf) {
-    wanted = named->replica;
+  if (assignedToSelf) {
+    wanted = assignment->replica;
   } else if (!wanted || !context_.isReachable(*wanted)) {
-    // Until the named owner asks for the shard it is as good a replica as any.
-    wanted = named->owner;
+    // Until the assigned owner requests the shard, it is as good a replica as any other node.
+    wanted = assignment->owner;
   }
   if (wanted != replicaNode_) {
     replicaNode_ = wanted;
@@ -264,7 +265,7 @@
   }
   replicaSnapshot_.reset();
   if (log_.firstSequence() != replicaSnapshotSequence_) {
-    // The log overflowed meanwhile and the snapshot no longer joins it.
+    // The log overflowed during the transfer, so its changes no longer follow the snapshot.
     return;
   }
   log_.onSnapshotDelivered(now);
--- a/source/common/shard/pending_handover.h
+++ b/source/common/shard/pending_handover.h
@@ -1,4 +1,4 @@
-/** @file What a node is to a shard, and what a leaving node still has to hand over. */
+/** @file Roles of a node for a shard, and the state that a leaving node still has to hand over. */
 #pragma once
 
 #include <cstdint>
@@ -9,21 +9,21 @@
 
 namespace umberhold {
 
-/** What a node is to a shard, apart from keeping a replica of it. */
+/** Role of a node for a shard, apart from keeping a replica of it. */
 enum class ShardRole : uint8_t { kNone, kAcquiring, kOwner, kReleased };
 
 /** @return the snake_case name of a role. */
 std::string_view toString(ShardRole role);
 
-/** A shard whose state keeps a leaving node from its end, for the log. */
+/** A shard whose state prevents a leaving node from stopping, for the log. */
 struct PendingHandover {
   ShardId shard;
   ShardRole role = ShardRole::kNone;
   uint32_t epoch = 0;
   uint64_t flows = 0;
-  /** The node gave the shard up since it heard of another owner. */
+  /** The node released the shard because another owner announced itself. */
   bool fenced = false;
-  /** Who may ask for the state. */
+  /** The node that may fetch the state. */
   NodeId successor;
 };
 
--- a/source/common/shard/refusal_memory.h
+++ b/source/common/shard/refusal_memory.h
@@ -1,5 +1,4 @@
-/** @file Flows that were refused a short while ago: their repeats are refused again, never
- * forwarded. */
+/** @file Recently refused flows: repeated openings are refused again, never forwarded. */
 #pragma once
 
 #include <cstddef>
@@ -12,17 +11,17 @@
 
 namespace umberhold {
 
-/** Bounded in time and size. Not thread safe. */
+/** A set of refused flows, bounded in time and size. Not thread safe. */
 class RefusalMemory {
  public:
-  /** Longer than a caller repeats one first packet (RFC 6298: 1, 2, 4, ... 64 s). */
+  /** Longer than a caller repeats its first packet (RFC 6298: 1, 2, 4, ... 64 s). */
   static constexpr Duration kLifetime = std::chrono::seconds(120);
   static constexpr size_t kCapacity = 65536;
 
-  /** @return false where the memory is full: then no refusal may be sent. */
+  /** @return false if the set is full; then no refusal may be sent. */
   bool remember(TimePoint now, FlowHash flow);
   bool contains(FlowHash flow) const { return flows_.contains(flow); }
-  /** Forgets what is older than kLifetime. */
+  /** Removes flows that are older than kLifetime. */
   void expire(TimePoint now);
   std::vector<FlowHash> list() const;
   size_t size() const { return flows_.size(); }
--- a/source/common/shard/replica_copy.cc
+++ b/source/common/shard/replica_copy.cc
@@ -5,7 +5,7 @@
 namespace umberhold {
 
 bool ReplicaCopy::outranks(uint32_t epoch, NodeId sender) const {
-  // Two owners of one epoch can't hear each other; the copy follows the one of the higher
+  // Two owners of the same epoch cannot reach each other; the copy follows the one with the higher
   // identifier.
   return std::tie(epoch_, owner_) > std::tie(epoch, sender);
 }
@@ -32,7 +32,7 @@
   if (gap || nothingNew) {
     return;
   }
-  // What of it is already here is applied again: the last change of each flow decides.
+  // Changes that are already applied are applied again: the last change of each flow decides.
   for (const FlowException& exception : batch.added) {
     if (exception.host < batch.hosts.size()) {
       pinned_[exception.flow] = batch.hosts[exception.host];
@@ -102,7 +102,7 @@
   ShardContent content;
   content.epoch = epoch_;
   content.sequence = nextSequence_;
-  // Flows that follow the base table are not replicated, so a replica never knows all flows.
+  // Flows that follow the base table are not replicated, so a replica never lists all flows.
   content.knowsAllFlows = false;
   content.base = base_;
   for (const auto& [flow, host] : pinned_) {
@@ -115,9 +115,9 @@
   return content;
 }
 
-void ReplicaCopy::retainHosts(const std::function<bool(HostId)>& runs) {
-  std::erase_if(base_, [&](const BaseHost& entry) { return !runs(entry.host); });
-  std::erase_if(pinned_, [&](const auto& entry) { return !runs(entry.second); });
+void ReplicaCopy::retainHosts(const std::function<bool(HostId)>& usable) {
+  std::erase_if(base_, [&](const BaseHost& entry) { return !usable(entry.host); });
+  std::erase_if(pinned_, [&](const auto& entry) { return !usable(entry.second); });
 }
 
 }  // namespace umberhold
--- a/source/common/shard/replica_copy.h
+++ b/source/common/shard/replica_copy.h
@@ -1,4 +1,4 @@
-/** @file The replica's side of replication: a copy of an owner's state, kept current by its log. */
+/** @file Replica side of replication: a copy of an owner's state, updated from its log. */
 #pragma once
 
 #include <cstdint>
@@ -20,14 +20,16 @@
 /** A copy of one shard. Not thread safe. */
 class ReplicaCopy {
  public:
-  /** Takes a batch of the owner's log. @return what to answer. */
+  /** Applies a batch of the owner's log. @return the reply. */
   ReplicaAck onAppend(TimePoint now, NodeId sender, const ReplicaAppend& batch);
-  /** Takes a chunk of the owner's snapshot. @return what to answer, nothing for an outdated one. */
+  /**
+   * Accepts a chunk of the owner's snapshot. @return the reply, or nothing for an outdated chunk.
+   */
   std::optional<SnapshotAck> onChunk(TimePoint now, NodeId sender, const SnapshotChunk& chunk);
 
-  /** @return whether the copy can be taken over. */
+  /** @return whether the copy is complete and can be taken over. */
   bool synchronised() const { return synchronised_; }
-  /** @return whether the owner feeds another replica by now. */
+  /** @return whether the owner now replicates to another node. */
   bool outdated() const { return outdated_; }
   void setOutdated() { outdated_ = true; }
   uint32_t epoch() const { return epoch_; }
@@ -35,8 +37,8 @@
   NodeId owner() const { return owner_; }
   TimePoint lastOwnerMessage() const { return lastOwnerMessage_; }
   ShardContent content() const;
-  /** Forgets what names a host that no longer runs. */
-  void retainHosts(const std::function<bool(HostId)>& runs);
+  /** Removes base table entries and pinned flows of hosts that are no longer usable. */
+  void retainHosts(const std::function<bool(HostId)>& usable);
   void tick(TimePoint now) { refused_.expire(now); }
   size_t pinnedFlows() const { return pinned_.size(); }
 
@@ -55,7 +57,7 @@
   std::unordered_map<FlowHash, HostId> pinned_;
   RefusalMemory refused_;
   KnownFlowCopy known_;
-  /** The snapshot that is arriving. */
+  /** The snapshot that is being received. */
   struct IncomingSnapshot {
     NodeId owner;
     uint32_t epoch = 0;
--- a/source/common/shard/replication_log.cc
+++ b/source/common/shard/replication_log.cc
@@ -6,7 +6,7 @@
 namespace umberhold {
 namespace {
 
-// Encoded sizes in MessagePack; the fixed part covers UDP and IP headers and the envelope, too.
+// Encoded sizes in MessagePack; the fixed part includes the UDP and IP headers and the envelope.
 constexpr size_t kFixedBytes = 115;
 constexpr size_t kHostBytes = 9;
 constexpr size_t kAddedBytes = 12;
@@ -35,7 +35,7 @@
   synchronised_ = true;
   resendAfter_ = kInitialResendInterval;
   lastSend_ = now;
-  // The changes made during the transfer start to wait for their acknowledgement only now.
+  // The acknowledgement delay of changes made during the transfer counts from its end.
   for (Change& change : changes_) {
     change.when = now;
   }
@@ -53,15 +53,15 @@
   }
 }
 
-void ReplicationLog::added(TimePoint now, const PinnedFlow& pinned) {
+void ReplicationLog::appendAdded(TimePoint now, const PinnedFlow& pinned) {
   append(Change{Kind::kAdded, pinned.flow, pinned.host, now});
 }
 
-void ReplicationLog::removed(TimePoint now, FlowHash flow) {
+void ReplicationLog::appendRemoved(TimePoint now, FlowHash flow) {
   append(Change{Kind::kRemoved, flow, HostId{}, now});
 }
 
-void ReplicationLog::refused(TimePoint now, FlowHash flow) {
+void ReplicationLog::appendRefused(TimePoint now, FlowHash flow) {
   append(Change{Kind::kRefused, flow, HostId{}, now});
 }
 
@@ -71,8 +71,8 @@
   bytes = kFixedBytes;
   std::unordered_map<FlowHash, Kind> last;
   for (const Change& change : changes_) {
-    // The receiver applies added, removed, refused in this order. Changes of different flows may
-    // change places; a batch ends where those of one flow would.
+    // The receiver applies added, removed and refused flows in this order. Changes of different
+    // flows may be reordered; a batch ends where changes of the same flow would be.
     const auto seen = last.try_emplace(change.flow, change.kind).first;
     if (change.kind < seen->second || bytes > kBatchBytes) {
       break;
@@ -106,7 +106,8 @@
 }
 
 bool ReplicationLog::canDelay(TimePoint now) const {
-  return now - changes_.front().when < kMaximumRemovalDelay && oldestUrgentChangeTime() == TimePoint::max();
+  return now - changes_.front().when < kMaximumRemovalDelay &&
+         oldestUrgentChangeTime() == TimePoint::max();
 }
 
 std::optional<ReplicaAppend> ReplicationLog::poll(TimePoint now, ByteBudget& budget,
--- a/source/common/shard/shard_content.h
+++ b/source/common/shard/shard_content.h
@@ -1,4 +1,4 @@
-/** @file The state of one shard that moves between nodes. */
+/** @file The state of one shard that is transferred between nodes. */
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace umberhold {
 
-/** A flow with the host that it is pinned to. */
+/** A flow and the host that it is pinned to. */
 struct PinnedFlow {
   FlowHash flow;
   HostId host;
@@ -18,18 +18,18 @@
   bool operator==(const PinnedFlow&) const = default;
 };
 
-/** Everything that a node needs to go on where another one stopped. */
+/** All state that a node needs to continue for another node. */
 struct ShardContent {
   uint32_t epoch = 0;
   /** Replication sequence of the first change that is not in the content. */
   uint32_t sequence = 0;
-  /** `pinned` holds every flow of the shard, so that a flow that is not in it is new. */
+  /** `pinned` contains every flow of the shard; any other flow is new. */
   bool knowsAllFlows = false;
   std::vector<BaseHost> base;
   std::vector<PinnedFlow> pinned;
   std::vector<FlowHash> refused;
   std::vector<HostPermits> permits;
-  /** Fingerprints (known_flows.h) of every flow of the shard, where its holder knows them. */
+  /** Fingerprints (known_flows.h) of every flow of the shard, if the holder has them. */
   std::optional<std::vector<uint32_t>> oldFlows;
 };
 
--- a/source/common/shard/shard_context.h
+++ b/source/common/shard/shard_context.h
@@ -1,4 +1,4 @@
-/** @file What the shards of one node share. */
+/** @file State and options shared by the shards of one node. */
 #pragma once
 
 #include <cstdint>
@@ -23,37 +23,44 @@
 
 namespace umberhold {
 
-/** Times and sizes of ownership. */
+/** Timeouts and limits of shard ownership. */
 struct ShardDirectorOptions {
   /** Zone of this node, for policies. */
   std::string zoneName;
-  /** Test switch: decide on whichever node a packet reaches, without relaying it to its owner. */
+  /** Test switch: decide on the node that receives a packet, without relaying it to the owner. */
   bool ownerRelay = true;
-  /** After a takeover from a dead node's replica, new flows follow the base table for this long. */
+  /** How long new flows follow the base table after a takeover from a dead node's replica. */
   Duration baseOnlyTime = std::chrono::seconds(3);
-  /** A tick that comes later than this after the last one means that the process was paused. */
+  /** A longer interval between two ticks means that the process was paused. */
   Duration pauseThreshold = std::chrono::seconds(1);
-  /** While a whole zone is silent, new flows follow the base table, for at most this long. */
+  /** Maximum time for which new flows follow the base table because a whole zone is unreachable. */
   Duration zonePartitionTimeout = std::chrono::minutes(5);
   /**
-   * After a death: a cut shows only as one death after the other. Longer than their spread (3 s).
+   * How long after a death a partition is suspected, since one shows only as successive deaths.
+   * Longer than the time over which they are detected (3 s).
    */
   Duration deathSettleTime = std::chrono::seconds(4);
-  /** After a heal: views and owners of both sides have become one again. */
+  /** How long views and owners of both sides take to converge after a partition has healed. */
   Duration healSettleTime = std::chrono::seconds(10);
-  /** How long a former owner keeps its state after it handed it over. */
+  /** How long a former owner keeps the state that it handed over. */
   Duration releasedStateLifetime = std::chrono::seconds(60);
-  /** Shortest time between two changes of a shard's base table. */
+  /** Minimum interval between two changes of a shard's base table. */
   Duration baseAdvanceInterval = std::chrono::seconds(10);
-  /** Up to this many flows a hand-over carries every flow, so that the new owner knows them all. */
+  /**
+   * Up to this many flows a handover contains every flow, so that the new owner has a complete
+   * list.
+   */
   uint32_t fullSnapshotFlows = 512;
   ByteBudgetOptions replication{600.0, 3000.0};
   ByteBudgetOptions snapshots{1000.0, 98304.0};
-  /** The list of known flows of UDP services, beside the log. */
+  /** The list of known flows of UDP services, in addition to the log. */
   ByteBudgetOptions knownFlows{700.0, 2800.0};
-  /** The same list as a whole, for a new replica. */
+  /** The complete list of known flows, for a new replica. */
   ByteBudgetOptions wholeLists{500.0, 16384.0};
-  /** The same in hand-overs. What does not fit is not listed: no hand-over waits for it. */
+  /**
+   * The list of known flows in handovers. Without budget it is omitted; no handover is delayed for
+   * it.
+   */
   ByteBudgetOptions handOverLists{500.0, 65536.0};
   ExceptionBudgetOptions exceptions;
 };
@@ -73,38 +80,38 @@
   ByteBudget handOverListBudget;
   ShardCounters counters;
   UnixSeconds unixNow = 0;
-  /** Set after a pause of the process: another node may own what this one thinks it owns. */
+  /** Set after a pause of the process, since other nodes may own this node's shards by now. */
   TimePoint baseOnlyUntil{};
-  /** A whole zone is silent: its nodes may live on and decide without hearing this side. */
+  /** A whole zone is unreachable: its nodes may be alive and decide independently of this side. */
   bool zonePartitionSuspected = false;
-  /** The view holds a member that is dead and was not seen leaving. */
+  /** The view contains a dead member that was not observed leaving. */
   bool memberDied = false;
-  /** When a member was last found dead that had not been leaving. */
+  /** When a member that was not leaving was last found dead. */
   std::optional<TimePoint> lastDeath;
-  /** When a zone that was silent was last heard again. */
+  /** When an unreachable zone last became reachable again. */
   std::optional<TimePoint> lastHeal;
   bool leaving = false;
-  /** Senders that this node's view does not hold (yet). */
+  /** Maximum number of recorded senders that this node's view does not contain (yet). */
   static constexpr size_t kMaximumUnknownSenders = 1024;
   std::unordered_map<NodeId, Endpoint> unknownSenders;
 
   NodeId self() const { return view.self(); }
   /**
-   * @return whether nodes that this one takes for dead, or heard again only just now, may own what
-   * this one owns or looks for.
+   * @return whether nodes that this node takes for dead, or that were reachable again only
+   * recently, may own shards that this node owns or acquires.
    */
   bool mayHaveRivals(TimePoint now) const {
     const bool settling = lastDeath && now - *lastDeath < options.deathSettleTime;
     const bool healing = lastHeal && now - *lastHeal < options.healSettleTime;
     return zonePartitionSuspected || settling || healing;
   }
-  /** @return whether messages and packets to the node make sense. */
+  /** @return whether messages and packets can be sent to the node. */
   bool isReachable(NodeId node) const {
     const Member* member = view.find(node);
     return member != nullptr && member->state != MemberState::kDead &&
            member->state != MemberState::kJoining;
   }
-  /** @return whether the view holds the node as dead; an unknown one may have joined just now. */
+  /** @return whether the member is dead in the view; an unknown node may have joined recently. */
   bool isDead(NodeId node) const {
     const Member* member = view.find(node);
     return member != nullptr && member->state == MemberState::kDead;
@@ -118,7 +125,7 @@
       sink.send(stranger->second, Message{std::move(body)});
     }
   }
-  /** Remembers where a node that the view does not know yet wants its answers. */
+  /** Records the reply endpoint of a node that the view does not contain yet. */
   void recordSender(NodeId sender, const Endpoint& from) {
     if (view.find(sender) != nullptr) {
       unknownSenders.erase(sender);
@@ -128,16 +135,19 @@
   }
 };
 
-/** One service at a node that has to do with one of its shards. */
+/** State of a service of which this node holds a shard. */
 struct ServiceRuntime {
   ServiceId id;
   HostDirectory hosts;
   std::unique_ptr<ServicePlacement> placement;
   uint32_t idleTimeoutSeconds = 0;
   TransportProtocol protocol = TransportProtocol::kTcp;
-  /** What the policy's admit() last said. */
+  /** The latest result of the policy's admit(). */
   bool admitting = true;
-  /** When the service was created, where this node was ready then: it had no flows before. */
+  /**
+   * When the service was created; set only if this node was ready at that time, so that the service
+   * had no flows before.
+   */
   std::optional<TimePoint> createdAt;
 };
 
--- a/source/common/shard/shard_counters.h
+++ b/source/common/shard/shard_counters.h
@@ -1,11 +1,11 @@
-/** @file What happened to the shards of one node, for metrics. */
+/** @file Event counters of the shards of one node, for metrics. */
 #pragma once
 
 #include <cstdint>
 
 namespace umberhold {
 
-/** Counts of one node since its start. */
+/** Counts since the start of the node. */
 struct ShardCounters {
   uint64_t takeoversFromOwner = 0;
   uint64_t takeoversFromReplica = 0;
--- a/source/common/shard/shard_director.cc
+++ b/source/common/shard/shard_director.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration kHostCheckInterval = std::chrono::seconds(1);
-/** A zone of one member that falls silent is more likely dead than cut off. */
+/** A zone with a single member that becomes unreachable is more likely dead than partitioned. */
 constexpr Duration kSingleMemberZoneTimeout = std::chrono::seconds(15);
 
 }  // namespace
@@ -105,14 +105,14 @@
   }
   const ShardId id{packet.service, static_cast<uint16_t>(packet.hash.value % service->shardCount)};
   LocalShard* shard = find(id);
-  const auto named = map_.lookup(id);
-  if (shard == nullptr && named && named->owner == context_.self()) {
+  const auto assignment = map_.lookup(id);
+  if (shard == nullptr && assignment && assignment->owner == context_.self()) {
     shard = findOrMake(now, id);
   }
   if (shard != nullptr) {
     return applyRelayOption(now, packet, bytes, shard->decide(now, packet, bytes));
   }
-  const Member* owner = named ? context_.view.find(named->owner) : nullptr;
+  const Member* owner = assignment ? context_.view.find(assignment->owner) : nullptr;
   if (owner == nullptr) {
     return DropPacket{DropReason::kNoOwner};
   }
@@ -120,7 +120,7 @@
 }
 
 FlowDecision ShardDirector::applyRelayOption(TimePoint now, const FlowPacket& packet,
-                                            std::string_view bytes, FlowDecision decision) {
+                                             std::string_view bytes, FlowDecision decision) {
   const bool relays = std::holds_alternative<RelayToNode>(decision);
   if (relays && !context_.options.ownerRelay) {
     return localTable_.decide(now, packet, bytes);
@@ -154,10 +154,11 @@
 
 void ShardDirector::updateZonePartitionSuspicion(TimePoint now) {
   context_.zonePartitionSuspected = false;
-  for (const auto& [zone, silent] : unreachableZones_) {
-    const Duration patience =
-        silent.members > 1 ? context_.options.zonePartitionTimeout : kSingleMemberZoneTimeout;
-    context_.zonePartitionSuspected = context_.zonePartitionSuspected || now - silent.since < patience;
+  for (const auto& [zone, unreachable] : unreachableZones_) {
+    const Duration timeout =
+        unreachable.members > 1 ? context_.options.zonePartitionTimeout : kSingleMemberZoneTimeout;
+    context_.zonePartitionSuspected =
+        context_.zonePartitionSuspected || now - unreachable.since < timeout;
   }
 }
 
@@ -168,27 +169,27 @@
   } else if (member.state != MemberState::kDead) {
     departedMembers_.erase(member.id);
   }
-  std::unordered_map<ZoneId, size_t> dead;
-  std::unordered_set<ZoneId> heard;
+  std::unordered_map<ZoneId, size_t> deadMembersByZone;
+  std::unordered_set<ZoneId> reachableZones;
   context_.view.forEach([&](const Member& other) {
     if (other.state != MemberState::kDead) {
-      heard.insert(other.zone);
+      reachableZones.insert(other.zone);
     } else if (!departedMembers_.contains(other.id)) {
-      ++dead[other.zone];
+      ++deadMembersByZone[other.zone];
     }
   });
-  context_.memberDied = !dead.empty();
+  context_.memberDied = !deadMembersByZone.empty();
   if (member.state == MemberState::kDead && !departedMembers_.contains(member.id)) {
     context_.lastDeath = now_;
   }
   const auto healed = std::erase_if(unreachableZones_, [&](const auto& entry) {
-    return heard.contains(entry.first) || !dead.contains(entry.first);
+    return reachableZones.contains(entry.first) || !deadMembersByZone.contains(entry.first);
   });
   if (healed > 0) {
     context_.lastHeal = now_;
   }
-  for (const auto& [zone, members] : dead) {
-    if (!heard.contains(zone)) {
+  for (const auto& [zone, members] : deadMembersByZone) {
+    if (!reachableZones.contains(zone)) {
       unreachableZones_.try_emplace(zone, UnreachableZone{now_, members});
     }
   }
@@ -197,8 +198,8 @@
 
 void ShardDirector::tickShards(TimePoint now) {
   for (const ShardId& id : map_.takeChangedShards()) {
-    const auto named = map_.lookup(id);
-    if (named && named->owner == context_.self() && !context_.leaving) {
+    const auto assignment = map_.lookup(id);
+    if (assignment && assignment->owner == context_.self() && !context_.leaving) {
       findOrMake(now, id);
     }
   }
@@ -298,8 +299,8 @@
 std::vector<PendingHandover> ShardDirector::pendingHandovers() const {
   std::vector<PendingHandover> held;
   for (const auto& [id, shard] : shards_) {
-    const auto named = map_.lookup(id);
-    const bool noSuccessor = !named || named->owner == context_.self();
+    const auto assignment = map_.lookup(id);
+    const bool noSuccessor = !assignment || assignment->owner == context_.self();
     if (!noSuccessor && !shard->isHandedOver(now_)) {
       held.push_back(shard->pendingHandover());
     }
@@ -330,8 +331,8 @@
     return shard->explain(now, flow);
   }
   answer.shard = id;
-  if (const auto named = map_.lookup(id)) {
-    answer.owner = named->owner;
+  if (const auto assignment = map_.lookup(id)) {
+    answer.owner = assignment->owner;
   }
   return answer;
 }
--- a/source/common/shard/shard_director.h
+++ b/source/common/shard/shard_director.h
@@ -1,8 +1,8 @@
 /**
- * @file The product's FlowDirector: shards with owners, replicas and hand-over.
+ * @file The standard FlowDirector: shards with owners, replicas and handover.
  *
  * Routes packets and messages to the LocalShards of this node, keeps the ShardMap up to date and
- * runs what is due. See docs/DESIGN.md, "Ownership: shards".
+ * runs periodic work. See docs/DESIGN.md, "Ownership: shards".
  */
 #pragma once
 
@@ -40,42 +40,45 @@
 /** See the file comment. Not thread safe. */
 class ShardDirector : public FlowDirector, public FlowTableObserver, public MembershipObserver {
  public:
-  /** Sets itself as the observer of the flow table. */
+  /** Registers itself as the observer of the flow table. */
   ShardDirector(const ShardDirectorOptions& options, const ShardDirectorParts& parts,
                 uint64_t seed);
   ~ShardDirector() override;
 
   FlowDecision decide(TimePoint now, const FlowPacket& packet, std::string_view bytes) override;
-  /** Runs what is due, the flow table's sweep included; call about every 10 ms. */
+  /** Runs due work, including the flow table's sweep; call about every 10 ms. */
   void tick(TimePoint now, UnixSeconds unixNow);
   /**
-   * Takes a message of messages/shard_messages.h; @return false for any other kind.
-   * @param from control endpoint of the sender, which this node's view may not hold yet.
+   * Handles a message of messages/shard_messages.h. @return false for any other kind. @param from
+   * control endpoint of the sender, which this node's view may not contain yet.
    */
   bool onMessage(TimePoint now, const Endpoint& from, NodeId sender, const Message& message);
   void onMemberChanged(const Member& member) override;
-  /** A service of this region is new or changed in the ServiceSource. */
+  /** Handles a service of this region that is new or changed in the ServiceSource. */
   void onServiceChanged(TimePoint now, ServiceId id);
-  /** A service was deleted or moved to another region. */
+  /** Handles a service that was deleted or moved to another region. */
   void onServiceDeleted(TimePoint now, ServiceId id);
   /**
-   * The node has caught up with the configuration: services that appear from now on are new in the
-   * whole system, so that their first owners know that no flow exists yet.
+   * Marks the configuration as caught up: services that appear afterwards are new in the whole
+   * system, so their first owners can rely on the absence of flows.
    */
   void setCaughtUp() { caughtUp_ = true; }
-  /** What the service's policy said about new flows. */
+  /** Sets whether the service's policy admits new flows. */
   void setAdmitting(ServiceId id, bool admitting);
 
-  /** The node is leaving: gives shards to whoever asks. Its membership state must say so, too. */
+  /**
+   * Starts leaving: releases shards to any node that requests them. The node's membership state
+   * must be kLeaving as well.
+   */
   void leave(TimePoint now);
-  /** @return whether a leaving node holds nothing that a successor still needs. */
+  /** @return whether a leaving node holds no state that a successor still needs. */
   bool handedOver() const;
-  /** @return the shards for which handedOver() says no. */
+  /** @return the shards whose state is not handed over yet; empty if handedOver(). */
   std::vector<PendingHandover> pendingHandovers() const;
 
-  /** @return the placement of a service that this node has shards of, or nullptr. */
+  /** @return the placement of a service of which this node holds shards, or nullptr. */
   ServicePlacement* placementOf(ServiceId id);
-  /** Calls the visitor for every service that this node has shards of. */
+  /** Calls the visitor for every service of which this node holds shards. */
   void forEachPlacement(const std::function<void(ServiceId, ServicePlacement&)>& visitor);
   PlacementExplanation explain(TimePoint now, ServiceId service, FlowHash flow) const;
   std::vector<ShardStats> shardStats(TimePoint now) const;
@@ -87,15 +90,15 @@
 
  private:
   LocalShard* find(const ShardId& id) const;
-  /** @return the shard, made where the service is known; nullptr otherwise. */
+  /** @return the shard, created if the service is known; nullptr otherwise. */
   LocalShard* findOrMake(TimePoint now, const ShardId& id);
   ServiceRuntime* runtimeOf(TimePoint now, ServiceId id);
   FlowDecision applyRelayOption(TimePoint now, const FlowPacket& packet, std::string_view bytes,
-                               FlowDecision decision);
+                                FlowDecision decision);
   void detectPause(TimePoint now);
   void updateZonePartitionSuspicion(TimePoint now);
   void tickShards(TimePoint now);
-  /** Shards share one byte budget: the one that waits longest goes first. */
+  /** Shards share one byte budget: the one with the oldest pending change is served first. */
   void sendReplication(TimePoint now);
   void dropUnusedShards();
   void checkHosts(TimePoint now);
@@ -103,16 +106,16 @@
   void sendToPeerOwners(const LocalShard& shard, const ShardId& id, const LoadShare& share);
   void requestPermits(TimePoint now);
 
-  void take(TimePoint now, NodeId sender, const TakeoverRequest& request);
-  void take(TimePoint now, NodeId sender, const TakeoverReply& reply);
-  void take(TimePoint now, NodeId sender, const SnapshotChunk& chunk);
-  void take(TimePoint now, NodeId sender, const SnapshotAck& ack);
-  void take(TimePoint now, NodeId sender, const ReplicaAppend& batch);
-  void take(TimePoint now, NodeId sender, const ReplicaAck& ack);
-  void take(TimePoint now, NodeId sender, const OwnershipNotice& notice);
-  void take(TimePoint now, NodeId sender, const LoadShare& share);
-  void take(TimePoint now, NodeId sender, const PermitRequest& request);
-  void take(TimePoint now, NodeId sender, const PermitGrant& grant);
+  void handle(TimePoint now, NodeId sender, const TakeoverRequest& request);
+  void handle(TimePoint now, NodeId sender, const TakeoverReply& reply);
+  void handle(TimePoint now, NodeId sender, const SnapshotChunk& chunk);
+  void handle(TimePoint now, NodeId sender, const SnapshotAck& ack);
+  void handle(TimePoint now, NodeId sender, const ReplicaAppend& batch);
+  void handle(TimePoint now, NodeId sender, const ReplicaAck& ack);
+  void handle(TimePoint now, NodeId sender, const OwnershipNotice& notice);
+  void handle(TimePoint now, NodeId sender, const LoadShare& share);
+  void handle(TimePoint now, NodeId sender, const PermitRequest& request);
+  void handle(TimePoint now, NodeId sender, const PermitGrant& grant);
 
   const ServiceSource& services_;
   FlowTable& flows_;
@@ -129,7 +132,7 @@
   TimePoint now_{};
   std::optional<TimePoint> lastTick_;
   TimePoint lastHostCheck_{};
-  /** Members that were seen leaving: their silence is no sign of a cut. */
+  /** Members that were observed leaving: their absence does not indicate a partition. */
   std::unordered_set<NodeId> departedMembers_;
   struct UnreachableZone {
     TimePoint since;
--- a/source/common/shard/shard_director_messages.cc
+++ b/source/common/shard/shard_director_messages.cc
@@ -1,4 +1,4 @@
-/** @file Messages that a ShardDirector takes and the load that it shares. */
+/** @file Message handling and load sharing of ShardDirector. */
 #include <type_traits>
 #include <unordered_set>
 
@@ -13,8 +13,8 @@
   now_ = std::max(now_, now);
   return std::visit(
       [&](const auto& body) {
-        if constexpr (requires { this->take(now, sender, body); }) {
-          take(now, sender, body);
+        if constexpr (requires { this->handle(now, sender, body); }) {
+          handle(now, sender, body);
           return true;
         } else {
           return false;
@@ -23,7 +23,7 @@
       message.body);
 }
 
-void ShardDirector::take(TimePoint now, NodeId sender, const TakeoverRequest& request) {
+void ShardDirector::handle(TimePoint now, NodeId sender, const TakeoverRequest& request) {
   if (LocalShard* shard = find(request.shard)) {
     shard->onTakeoverRequest(now, sender, request);
     return;
@@ -36,13 +36,13 @@
   context_.send(sender, nothing);
 }
 
-void ShardDirector::take(TimePoint now, NodeId sender, const TakeoverReply& reply) {
+void ShardDirector::handle(TimePoint now, NodeId sender, const TakeoverReply& reply) {
   if (LocalShard* shard = find(reply.shard)) {
     shard->onTakeoverReply(now, sender, reply);
   }
 }
 
-void ShardDirector::take(TimePoint now, NodeId sender, const SnapshotChunk& chunk) {
+void ShardDirector::handle(TimePoint now, NodeId sender, const SnapshotChunk& chunk) {
   LocalShard* shard =
       chunk.purpose == SnapshotPurpose::kReplica ? findOrMake(now, chunk.shard) : find(chunk.shard);
   if (shard != nullptr) {
@@ -50,34 +50,34 @@
   }
 }
 
-void ShardDirector::take(TimePoint now, NodeId sender, const SnapshotAck& ack) {
+void ShardDirector::handle(TimePoint now, NodeId sender, const SnapshotAck& ack) {
   if (LocalShard* shard = find(ack.shard)) {
     shard->onSnapshotAck(now, sender, ack);
   }
 }
 
-void ShardDirector::take(TimePoint now, NodeId sender, const ReplicaAppend& batch) {
+void ShardDirector::handle(TimePoint now, NodeId sender, const ReplicaAppend& batch) {
   if (LocalShard* shard = findOrMake(now, batch.shard)) {
     shard->onReplicaAppend(now, sender, batch);
   }
 }
 
-void ShardDirector::take(TimePoint now, NodeId sender, const ReplicaAck& ack) {
+void ShardDirector::handle(TimePoint now, NodeId sender, const ReplicaAck& ack) {
   if (LocalShard* shard = find(ack.shard)) {
     shard->onReplicaAck(now, sender, ack);
   }
 }
 
-void ShardDirector::take(TimePoint now, NodeId sender, const OwnershipNotice& notice) {
-  const auto named = map_.lookup(notice.shard);
-  const bool namedSelf = named && named->owner == context_.self();
-  LocalShard* shard = namedSelf ? findOrMake(now, notice.shard) : find(notice.shard);
+void ShardDirector::handle(TimePoint now, NodeId sender, const OwnershipNotice& notice) {
+  const auto assignment = map_.lookup(notice.shard);
+  const bool assignedToSelf = assignment && assignment->owner == context_.self();
+  LocalShard* shard = assignedToSelf ? findOrMake(now, notice.shard) : find(notice.shard);
   if (shard != nullptr) {
     shard->onOwnershipNotice(now, sender, notice);
   }
 }
 
-void ShardDirector::take(TimePoint now, NodeId sender, const LoadShare& share) {
+void ShardDirector::handle(TimePoint now, NodeId sender, const LoadShare& share) {
   if (LocalShard* shard = find(share.shard)) {
     shard->onOwnerAnnounced(now, sender, share.epoch);
   }
@@ -86,7 +86,7 @@
   }
 }
 
-void ShardDirector::take(TimePoint now, NodeId sender, const PermitRequest& request) {
+void ShardDirector::handle(TimePoint now, NodeId sender, const PermitRequest& request) {
   const LocalShard* lender = find(ShardId{request.shard.service, request.lender});
   ServicePlacement* placement = placementOf(request.shard.service);
   if (lender == nullptr || lender->role() != ShardRole::kOwner || placement == nullptr) {
@@ -97,20 +97,20 @@
   }
 }
 
-void ShardDirector::take(TimePoint now, NodeId /*sender*/, const PermitGrant& grant) {
+void ShardDirector::handle(TimePoint now, NodeId /*sender*/, const PermitGrant& grant) {
   if (ServicePlacement* placement = placementOf(grant.to.service)) {
     placement->onPermitGrant(now, grant);
   }
 }
 
 void ShardDirector::sendToPeerOwners(const LocalShard& shard, const ShardId& id,
-                                   const LoadShare& share) {
+                                     const LoadShare& share) {
   std::unordered_set<NodeId> receivers;
   const Service* service = services_.find(id.service);
   const uint16_t shardCount = service == nullptr ? 0 : service->shardCount;
   for (uint16_t index = 0; index < shardCount; ++index) {
-    if (const auto named = map_.lookup(ShardId{id.service, index})) {
-      receivers.insert(named->owner);
+    if (const auto assignment = map_.lookup(ShardId{id.service, index})) {
+      receivers.insert(assignment->owner);
     }
   }
   if (shard.replicaNode()) {
@@ -140,8 +140,8 @@
 void ShardDirector::requestPermits(TimePoint now) {
   for (const auto& [id, runtime] : runtimes_) {
     for (const auto& due : runtime->placement->duePermitRequests(now)) {
-      if (const auto named = map_.lookup(due.to)) {
-        context_.send(named->owner, due.request);
+      if (const auto assignment = map_.lookup(due.to)) {
+        context_.send(assignment->owner, due.request);
       }
     }
   }
--- a/source/common/shard/shard_map.cc
+++ b/source/common/shard/shard_map.cc
@@ -8,11 +8,11 @@
 namespace umberhold {
 namespace {
 
-bool isNamed(MemberState state) {
+bool isEligible(MemberState state) {
   return state == MemberState::kAlive || state == MemberState::kSuspect;
 }
 
-/** Orders by score; equal scores (64 bits, so next to never) by identifier. */
+/** Orders by score, and equal scores (64 bits, hence very rare) by identifier. */
 bool outranks(uint64_t leftScore, NodeId left, uint64_t rightScore, NodeId right) {
   return std::tie(leftScore, left) > std::tie(rightScore, right);
 }
@@ -45,11 +45,11 @@
 void ShardMap::onMember(const Member& member) {
   const auto known = std::find_if(members_.begin(), members_.end(),
                                   [&](const LiveMember& live) { return live.id == member.id; });
-  const bool wasNamed = known != members_.end();
-  const bool named = isNamed(member.state);
-  if (wasNamed && (!named || known->zone != member.zone)) {
+  const bool wasEligible = known != members_.end();
+  const bool named = isEligible(member.state);
+  if (wasEligible && (!named || known->zone != member.zone)) {
     removeMember(member.id);
-  } else if (wasNamed) {
+  } else if (wasEligible) {
     return;
   }
   if (named) {
@@ -80,32 +80,34 @@
   }
 }
 
-bool ShardMap::betterReplica(const Named& owner, const Named& candidate, const Named& current) {
+bool ShardMap::betterReplica(const RankedMember& owner, const RankedMember& candidate,
+                             const RankedMember& current) {
   if (!current.present) {
     return true;
   }
-  const bool candidateApart = candidate.member.zone != owner.member.zone;
-  const bool currentApart = current.member.zone != owner.member.zone;
-  if (candidateApart != currentApart) {
-    return candidateApart;
+  const bool candidateInOtherZone = candidate.member.zone != owner.member.zone;
+  const bool currentInOtherZone = current.member.zone != owner.member.zone;
+  if (candidateInOtherZone != currentInOtherZone) {
+    return candidateInOtherZone;
   }
   return outranks(candidate.score, candidate.member.id, current.score, current.member.id);
 }
 
 void ShardMap::insertInto(const ShardId& shard, Assignment& assignment, const LiveMember& member) {
   const Assignment before = assignment;
-  const Named newcomer{score(shard, member.id), member, true};
-  const Named oldOwner = assignment.owner;
+  const RankedMember joining{score(shard, member.id), member, true};
+  const RankedMember oldOwner = assignment.owner;
   if (!oldOwner.present) {
-    assignment.owner = newcomer;
-  } else if (outranks(newcomer.score, member.id, oldOwner.score, oldOwner.member.id)) {
-    assignment.owner = newcomer;
-    // The old owner outranks all others, so it only loses against a replica of another zone.
-    if (betterReplica(newcomer, oldOwner, assignment.replica)) {
+    assignment.owner = joining;
+  } else if (outranks(joining.score, member.id, oldOwner.score, oldOwner.member.id)) {
+    assignment.owner = joining;
+    // The previous owner outranks all other members, so only a replica in another zone can be
+    // better.
+    if (betterReplica(joining, oldOwner, assignment.replica)) {
       assignment.replica = oldOwner;
     }
-  } else if (betterReplica(oldOwner, newcomer, assignment.replica)) {
-    assignment.replica = newcomer;
+  } else if (betterReplica(oldOwner, joining, assignment.replica)) {
+    assignment.replica = joining;
   }
   recordChange(shard, before, assignment);
 }
@@ -114,8 +116,8 @@
   const Assignment before = assignment;
   assignment = Assignment{};
   for (const LiveMember& member : members_) {
-    const Named candidate{score(shard, member.id), member, true};
-    const Named& owner = assignment.owner;
+    const RankedMember candidate{score(shard, member.id), member, true};
+    const RankedMember& owner = assignment.owner;
     if (!owner.present || outranks(candidate.score, member.id, owner.score, owner.member.id)) {
       assignment.owner = candidate;
     }
@@ -124,7 +126,7 @@
     if (member.id == assignment.owner.member.id) {
       continue;
     }
-    const Named candidate{score(shard, member.id), member, true};
+    const RankedMember candidate{score(shard, member.id), member, true};
     if (betterReplica(assignment.owner, candidate, assignment.replica)) {
       assignment.replica = candidate;
     }
@@ -132,16 +134,17 @@
   recordChange(shard, before, assignment);
 }
 
-void ShardMap::recordChange(const ShardId& shard, const Assignment& before, const Assignment& after) {
-  const auto names = [this](const Named& named) {
+void ShardMap::recordChange(const ShardId& shard, const Assignment& before,
+                            const Assignment& after) {
+  const auto isSelf = [this](const RankedMember& named) {
     return named.present && named.member.id == self_;
   };
-  const auto differs = [](const Named& left, const Named& right) {
+  const auto differs = [](const RankedMember& left, const RankedMember& right) {
     return left.present != right.present || left.member.id != right.member.id;
   };
   const bool changed = differs(before.owner, after.owner) || differs(before.replica, after.replica);
-  const bool concernsSelf =
-      names(before.owner) || names(before.replica) || names(after.owner) || names(after.replica);
+  const bool concernsSelf = isSelf(before.owner) || isSelf(before.replica) || isSelf(after.owner) ||
+                            isSelf(after.replica);
   if (changed && concernsSelf) {
     changed_.push_back(shard);
   }
--- a/source/common/shard/snapshot.cc
+++ b/source/common/shard/snapshot.cc
@@ -5,7 +5,7 @@
 namespace umberhold {
 namespace {
 
-// Encoded sizes in MessagePack: 9 bytes a 64-bit integer, 1 an array header, up to 5 a 32-bit
+// Encoded sizes in MessagePack: 9 bytes per 64-bit integer, 1 per array header, up to 5 per 32-bit
 // integer.
 constexpr size_t kFixedBytes = 80;
 constexpr size_t kHostBytes = 9;
@@ -14,14 +14,14 @@
 constexpr size_t kRefusedBytes = 9;
 constexpr size_t kPermitBytes = 21;
 constexpr size_t kOldFlowBytes = 5;
-/** A claim of more chunks than this is not believed. */
+/** Snapshots with more chunks are rejected. */
 constexpr uint32_t kMaximumChunks = 65536;
 
 size_t bytesOf(const HostPermits& permits) {
   return kPermitBytes + kHostBytes * (permits.lent.size() + permits.borrowed.size());
 }
 
-/** Fills chunk after chunk. */
+/** Distributes the content over chunks. */
 class ChunkWriter {
  public:
   ChunkWriter(const SnapshotIdentity& identity, const ShardContent& content)
@@ -106,7 +106,7 @@
 }  // namespace
 
 std::vector<SnapshotChunk> splitSnapshot(const SnapshotIdentity& identity,
-                                       const ShardContent& content) {
+                                         const ShardContent& content) {
   ChunkWriter cutter(identity, content);
   for (const BaseHost& host : content.base) {
     cutter.addBase(host);
--- a/source/common/shard/snapshot.h
+++ b/source/common/shard/snapshot.h
@@ -1,4 +1,4 @@
-/** @file Cuts the state of a shard into datagram-sized chunks and puts it together again. */
+/** @file Splits the state of a shard into datagram-sized chunks and reassembles it. */
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 namespace umberhold {
 
-/** What a snapshot belongs to. */
+/** Identifies the transfer that a snapshot belongs to. */
 struct SnapshotIdentity {
   ShardId shard;
   SnapshotPurpose purpose = SnapshotPurpose::kTakeover;
@@ -19,23 +19,25 @@
 
 /** @return the content as at least one chunk; each encodes to less than kSnapshotChunkBytes. */
 std::vector<SnapshotChunk> splitSnapshot(const SnapshotIdentity& identity,
-                                       const ShardContent& content);
+                                         const ShardContent& content);
 
-/** Upper bound of an encoded chunk, before the envelope. */
+/** Upper bound of an encoded chunk, without the envelope. */
 inline constexpr size_t kSnapshotChunkBytes = 1200;
 
-/** @return an estimate, not below the encoded size, of a chunk. */
+/** @return an estimate of the encoded size of a chunk, never below the actual size. */
 size_t estimatedBytes(const SnapshotChunk& chunk);
 
-/** Collects the chunks of one snapshot, in any order. */
+/** Reassembles the chunks of one snapshot, which may arrive in any order. */
 class SnapshotAssembler {
  public:
-  /** Takes a chunk; a chunk of another snapshot than the first one's is ignored. */
+  /**
+   * Adds a chunk; a chunk that does not belong to the same snapshot as the first one is ignored.
+   */
   void accept(const SnapshotChunk& chunk);
-  /** @return every index below it has arrived. */
+  /** @return the first missing index; all lower ones have arrived. */
   uint32_t next() const { return next_; }
   bool complete() const { return total_ > 0 && next_ == total_; }
-  /** @return the content; only once complete. */
+  /** @return the content; call it only once complete(). */
   ShardContent assemble() const;
 
  private:
--- a/source/common/shard/snapshot_sender.h
+++ b/source/common/shard/snapshot_sender.h
@@ -1,4 +1,6 @@
-/** @file Sends one snapshot to one node: window, acknowledgement, resend with back-off. */
+/**
+ * @file Sends one snapshot to one node, with a window, acknowledgements and resends with backoff.
+ */
 #pragma once
 
 #include <cstddef>
@@ -18,20 +20,20 @@
   static constexpr uint32_t kWindow = 8;
   static constexpr Duration kInitialResendInterval = std::chrono::milliseconds(200);
   static constexpr Duration kMaximumResendInterval = std::chrono::seconds(2);
-  /** Without any acknowledgement for this long the transfer counts as failed. */
-  static constexpr Duration kPatience = std::chrono::seconds(15);
+  /** The transfer fails if no acknowledgement makes progress for this long. */
+  static constexpr Duration kProgressTimeout = std::chrono::seconds(15);
 
   using Send = std::function<void(const SnapshotChunk&)>;
 
   SnapshotSender(TimePoint now, std::vector<SnapshotChunk> chunks);
 
-  /** Sends what the window, the clock and the budget allow. */
+  /** Sends as many chunks as the window, the resend interval and the budget allow. */
   void poll(TimePoint now, ByteBudget& budget, const Send& send);
-  /** @param next every chunk below it has arrived; a lower number than before is ignored. */
+  /** @param next all chunks below it have arrived; values below an earlier one are ignored. */
   void onAck(TimePoint now, uint32_t next);
 
   bool done() const { return acknowledged_ == chunks_.size(); }
-  bool failed(TimePoint now) const { return !done() && now - lastProgress_ > kPatience; }
+  bool failed(TimePoint now) const { return !done() && now - lastProgress_ > kProgressTimeout; }
   uint32_t attempt() const { return chunks_.front().attempt; }
 
  private:
--- a/source/common/shard/takeover.cc
+++ b/source/common/shard/takeover.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** A candidate that asked for patience must repeat it within this time. */
+/** A candidate's request to wait expires unless it is repeated within this time. */
 constexpr Duration kWaitRequestLifetime = std::chrono::seconds(1);
 
 HeldState heldBy(const TakeoverReply& reply) {
@@ -22,10 +22,10 @@
   return found == candidates.end() ? nullptr : &*found;
 }
 
-/** @return whether the answer names a node that holds a newer state than the sender. */
-bool namesHolder(const TakeoverReply& reply) {
-  const bool passedOn = reply.role == HeldRole::kReleased || reply.role == HeldRole::kReplica;
-  return passedOn && reply.successor != NodeId{};
+/** @return whether the reply refers to a node that holds newer state than the sender. */
+bool reportsHolder(const TakeoverReply& reply) {
+  const bool isPassedOn = reply.role == HeldRole::kReleased || reply.role == HeldRole::kReplica;
+  return isPassedOn && reply.successor != NodeId{};
 }
 
 }  // namespace
@@ -68,11 +68,11 @@
   }
   addCandidate(now, node);
   Candidate* holder = find(node);
-  if (holder->namedAt && epoch <= holder->namedEpoch) {
+  if (holder->reportedAt && epoch <= holder->reportedEpoch) {
     return;
   }
-  holder->namedAt = now;
-  holder->namedEpoch = epoch;
+  holder->reportedAt = now;
+  holder->reportedEpoch = epoch;
   if (holder->answered && holder->reply.epoch < epoch) {
     holder->answered = false;
     holder->reply = TakeoverReply{};
@@ -93,9 +93,9 @@
   candidate->reply = reply;
   highestEpoch_ = std::max(highestEpoch_, reply.epoch);
   if (reply.role == HeldRole::kStillOwner) {
-    server_ = sender;
+    servingNode_ = sender;
   }
-  if (namesHolder(reply)) {
+  if (reportsHolder(reply)) {
     addHolder(now, reply.successor, reply.epoch);
   }
 }
@@ -147,8 +147,8 @@
   if (start_.view.isDead(candidate.node)) {
     return true;
   }
-  const bool named = candidate.namedAt && now - *candidate.namedAt < kFetchTimeout;
-  return !candidate.answered && !named && !start_.view.isReachable(candidate.node);
+  const bool reportedRecently = candidate.reportedAt && now - *candidate.reportedAt < kFetchTimeout;
+  return !candidate.answered && !reportedRecently && !start_.view.isReachable(candidate.node);
 }
 
 bool Takeover::isTakingOver(TimePoint now, NodeId node) const {
@@ -161,11 +161,11 @@
 
 bool Takeover::hasNewerHolder(TimePoint now, const Candidate& candidate) const {
   const NodeId holder = candidate.reply.successor;
-  const bool passedOn = namesHolder(candidate.reply) && holder != start_.self;
-  // The owner that a replica names may have died just now; a state that was released lives on.
+  const bool isPassedOn = reportsHolder(candidate.reply) && holder != start_.self;
+  // The owner that a replica refers to may have died just now; released state still exists.
   const bool copied = candidate.reply.role == HeldRole::kReplica;
-  const Duration patience = copied ? kTimeout : kFetchTimeout;
-  if (!passedOn || now - startedAt_ >= patience || start_.view.isDead(holder)) {
+  const Duration timeout = copied ? kTimeout : kFetchTimeout;
+  if (!isPassedOn || now - startedAt_ >= timeout || start_.view.isDead(holder)) {
     return false;
   }
   const Candidate* asked = find(holder);
@@ -180,15 +180,16 @@
          candidate.reply.role != HeldRole::kStillOwner && !isGone(now, candidate);
 }
 
-const Takeover::Candidate* Takeover::best(TimePoint now) const {
-  const Candidate* best = nullptr;
+const Takeover::Candidate* Takeover::bestCandidate(TimePoint now) const {
+  const Candidate* bestCandidate = nullptr;
   for (const Candidate& candidate : candidates_) {
-    const bool better = best == nullptr || heldBy(best->reply) < heldBy(candidate.reply);
+    const bool better =
+        bestCandidate == nullptr || heldBy(bestCandidate->reply) < heldBy(candidate.reply);
     if (isUsable(now, candidate) && better) {
-      best = &candidate;
+      bestCandidate = &candidate;
     }
   }
-  return best;
+  return bestCandidate;
 }
 
 bool Takeover::releasedToSelf(const Candidate& candidate) const {
@@ -202,14 +203,14 @@
   if (successor == nullptr || !successor->answered || successor->failed) {
     return false;
   }
-  // It may keep a copy from before the release.
+  // It may hold a replica from before the release.
   const HeldRole role = successor->reply.role;
   const bool ownedNothing = role == HeldRole::kNothing || role == HeldRole::kReplica;
   return ownedNothing && !successor->reply.acquiring && candidate.reply.epoch >= highestEpoch_;
 }
 
-void Takeover::choose(TimePoint now) {
-  const Candidate* source = best(now);
+void Takeover::chooseSource(TimePoint now) {
+  const Candidate* source = bestCandidate(now);
   if (source == nullptr || heldBy(source->reply) < start_.own) {
     return;
   }
@@ -273,7 +274,7 @@
 
 TakeoverOutcome Takeover::poll(TimePoint now, const SendRequest& request, const SendAck& ack) {
   if (!fetch_) {
-    choose(now);
+    chooseSource(now);
   }
   if (!fetch_) {
     sendRequests(now, request);
--- a/source/common/shard/takeover.h
+++ b/source/common/shard/takeover.h
@@ -1,5 +1,6 @@
 /**
- * @file The acquiring side of a takeover: asks the candidates, picks the best state, fetches it.
+ * @file The acquiring side of a takeover: queries the candidates, selects the best state, fetches
+ * it.
  *
  * States are ordered by epoch, then by role (owner before released before replica), then by
  * replication sequence. See docs/DESIGN.md, "Ownership".
@@ -21,24 +22,24 @@
 
 namespace umberhold {
 
-/** What a node holds of a shard. */
+/** The state that a node holds of a shard. */
 struct HeldState {
   HeldRole role = HeldRole::kNothing;
   uint32_t epoch = 0;
   uint32_t sequence = 0;
 
-  /** Orders by how good a source the state is. */
+  /** Orders states by their suitability as a source. */
   auto operator<=>(const HeldState& other) const {
     return std::tie(epoch, role, sequence) <=> std::tie(other.epoch, other.role, other.sequence);
   }
   bool operator==(const HeldState&) const = default;
 };
 
-/** Not finished. */
+/** The attempt is not finished. */
 struct TakeoverPending {};
-/** The state that this node itself holds is the best. */
+/** This node's own state is the best. */
 struct TakeoverOwnState {};
-/** Another node's state arrived. */
+/** State was fetched from another node. */
 struct TakeoverFetched {
   NodeId source;
   HeldRole role = HeldRole::kNothing;
@@ -46,35 +47,35 @@
   bool direct = false;
   ShardContent content;
 };
-/** Nobody who can be reached holds any state. */
+/** No reachable node holds any state. */
 struct TakeoverNothing {
-  /** Every candidate said so itself. */
+  /** Every candidate replied. */
   bool allAnswered = false;
-  /** A candidate knows of a member that died, perhaps with the state. */
+  /** A candidate's view contains a dead member that may have held the state. */
   bool memberDied = false;
-  /** A candidate holds that an owner may live where it is not heard. */
+  /** A candidate reports that an unreachable owner may be alive. */
   bool mayHaveRivals = false;
 };
 using TakeoverOutcome =
     std::variant<TakeoverPending, TakeoverOwnState, TakeoverFetched, TakeoverNothing>;
 
-/** How members stand to this node's claim, from its view. */
+/** Membership queries, answered from this node's view. */
 struct TakeoverView {
   /** The member is known to be dead. */
   std::function<bool(NodeId)> isDead;
-  /** The member is not known to be dead. */
+  /** The member is in the view, joined and not known to be dead. */
   std::function<bool(NodeId)> isReachable;
   /** The member outranks this node for the shard. */
   std::function<bool(NodeId)> outranksSelf;
 };
 
-/** One attempt to take a shard over. Not thread safe. */
+/** One attempt to take over a shard. Not thread safe. */
 class Takeover {
  public:
   static constexpr Duration kRequestInterval = std::chrono::milliseconds(100);
-  /** Candidates that don't answer within this time are passed over. */
+  /** Candidates that do not reply within this time are skipped. */
   static constexpr Duration kTimeout = std::chrono::seconds(1);
-  /** A chosen source that sends nothing new for this long is passed over. */
+  /** A selected source that sends nothing new for this long is skipped. */
   static constexpr Duration kFetchTimeout = std::chrono::seconds(3);
 
   struct Start {
@@ -82,7 +83,7 @@
     NodeId self;
     uint32_t attempt = 0;
     HeldState own;
-    /** Who holds a newer state than `own`: the owner that it is a copy of, or the successor. */
+    /** Holder of newer state than `own`: the owner of the replicated state, or the successor. */
     std::optional<NodeId> holder;
     std::vector<NodeId> candidates;
     TakeoverView view;
@@ -92,19 +93,18 @@
 
   Takeover(TimePoint now, Start start);
 
-  /** Sends what is due. @return where the attempt stands; after an end it must not be used again.
-   */
+  /** Sends due messages. @return the state of the attempt; it must not be used after its end. */
   TakeoverOutcome poll(TimePoint now, const SendRequest& request, const SendAck& ack);
   void onReply(TimePoint now, NodeId sender, const TakeoverReply& reply);
   void onChunk(TimePoint now, NodeId sender, const SnapshotChunk& chunk);
-  /** A node was heard to own the shard just now: its state must not be passed over. */
+  /** Handles a recent ownership announcement: the owner's state must not be skipped. */
   void onOwnerAnnounced(TimePoint now, NodeId owner, uint32_t epoch);
 
   uint32_t attempt() const { return start_.attempt; }
-  /** @return the highest epoch that anyone named. */
+  /** @return the highest epoch in any reply or announcement. */
   uint32_t highestEpoch() const { return highestEpoch_; }
-  /** @return the node that still serves the shard, where one is known. */
-  std::optional<NodeId> server() const { return server_; }
+  /** @return the node that still serves the shard, if known. */
+  std::optional<NodeId> servingNode() const { return servingNode_; }
   bool timedOut(TimePoint now) const { return now - startedAt_ >= kTimeout; }
 
  private:
@@ -112,9 +112,11 @@
     NodeId node;
     bool answered = false;
     bool failed = false;
-    /** When an answer named it as the holder of a newer state; it may be new to the view. */
-    std::optional<TimePoint> namedAt;
-    uint32_t namedEpoch = 0;
+    /**
+     * When a reply reported the node as the holder of newer state; the view may not contain it yet.
+     */
+    std::optional<TimePoint> reportedAt;
+    uint32_t reportedEpoch = 0;
     TimePoint lastAnswer{};
     TakeoverReply reply;
   };
@@ -131,27 +133,31 @@
   const Candidate* find(NodeId node) const;
   void addCandidate(TimePoint now, NodeId node);
   /**
-   * A state of the epoch went on to the node, or is a copy of its state: it must be asked, though
-   * the view may not hold it yet, and asked again if it answered before it had that state.
+   * Adds a node that received state of the epoch, or from whose state a replica was made. It must
+   * be queried even if the view does not contain it yet, and again if it replied before it had that
+   * state.
    */
   void addHolder(TimePoint now, NodeId node, uint32_t epoch);
   bool mustWaitFor(TimePoint now, const Candidate& candidate) const;
-  /** @return whether it is dead, or unknown to the view and neither heard nor named just now. */
+  /**
+   * @return whether the node is dead, or is not in the view and has neither replied nor been
+   * reported recently.
+   */
   bool isGone(TimePoint now, const Candidate& candidate) const;
   /**
-   * @return whether the newest state was released to the node, which is fetching it: it decides by
-   * it as soon as it has it, whoever else takes the same state.
+   * @return whether the newest state was released to the node and the node is fetching it: it
+   * becomes the owner once it has the state, even if another node fetches the same state.
    */
   bool isTakingOver(TimePoint now, NodeId node) const;
-  /** @return whether a node that is yet to answer holds a newer state than the candidate. */
+  /** @return whether a node that has yet to reply holds newer state than the candidate. */
   bool hasNewerHolder(TimePoint now, const Candidate& candidate) const;
   bool isUsable(TimePoint now, const Candidate& candidate) const;
-  const Candidate* best(TimePoint now) const;
+  const Candidate* bestCandidate(TimePoint now) const;
   bool releasedToSelf(const Candidate& candidate) const;
-  /** @return whether the state was released to a node that says that it never took it. */
+  /** @return whether the state was released to a node that reports that it never took it over. */
   bool isUnclaimed(const Candidate& candidate) const;
   void sendRequests(TimePoint now, const SendRequest& request);
-  void choose(TimePoint now);
+  void chooseSource(TimePoint now);
   void pollFetch(TimePoint now, const SendAck& ack);
   TakeoverOutcome nothingToFetch(TimePoint now) const;
 
@@ -160,9 +166,9 @@
   TimePoint lastRequest_;
   bool requested_ = false;
   uint32_t highestEpoch_ = 0;
-  std::optional<NodeId> server_;
+  std::optional<NodeId> servingNode_;
   std::vector<Candidate> candidates_;
-  /** When a candidate was last added or last asked for patience. */
+  /** When a candidate was last added or its query was last restarted. */
   TimePoint waitStartedAt_;
   std::optional<Fetch> fetch_;
 };
--- a/source/common/shard/unacknowledged_flows.cc
+++ b/source/common/shard/unacknowledged_flows.cc
@@ -19,10 +19,10 @@
 
 std::vector<HoldQueue::Packet> UnacknowledgedFlows::takeAcknowledged(uint32_t first) {
   std::vector<HoldQueue::Packet> taken;
-  std::erase_if(flows_, [&](auto& named) {
-    const bool acknowledged = named.second.sequence < first;
+  std::erase_if(flows_, [&](auto& entry) {
+    const bool acknowledged = entry.second.sequence < first;
     if (acknowledged) {
-      taken.push_back(std::move(named.second.packet));
+      taken.push_back(std::move(entry.second.packet));
     }
     return acknowledged;
   });
@@ -31,10 +31,10 @@
 
 std::vector<UnacknowledgedFlows::Overdue> UnacknowledgedFlows::takeOverdue(TimePoint now) {
   std::vector<Overdue> taken;
-  std::erase_if(flows_, [&](auto& named) {
-    const bool overdue = now - named.second.since >= kPatience;
+  std::erase_if(flows_, [&](auto& entry) {
+    const bool overdue = now - entry.second.since >= kAcknowledgementTimeout;
     if (overdue) {
-      taken.push_back({named.first, std::move(named.second.packet)});
+      taken.push_back({entry.first, std::move(entry.second.packet)});
     }
     return overdue;
   });
--- a/source/common/shard/unacknowledged_flows.h
+++ b/source/common/shard/unacknowledged_flows.h
@@ -1,10 +1,10 @@
 /**
- * @file New flows that wait until their exceptions are known to the replica.
+ * @file New flows whose first packets are held until the replica has acknowledged their exceptions.
  *
- * A flow that its owner placed elsewhere than the base table says, and whose record has not reached
- * the replica, is led to the base's host by whoever takes the shard over. So where the replica has
- * not acknowledged anything just now and may be cut off, the flow's first packet waits for the
- * acknowledgement. No I/O.
+ * If a flow is placed differently from the base table and its record has not reached the replica, a
+ * node that takes over the shard sends the flow to the base table's host. Therefore, if the replica
+ * has not acknowledged anything recently and may be partitioned, the flow's first packet is held
+ * until the acknowledgement. No I/O.
  */
 #pragma once
 
@@ -20,33 +20,35 @@
 
 namespace umberhold {
 
-/** Not thread safe. */
+/** The held flows. Not thread safe. */
 class UnacknowledgedFlows {
  public:
-  /** Flows that wait at most; further ones go on at once. */
+  /** Maximum number of held flows; further ones are forwarded at once. */
   static constexpr size_t kMaximumFlows = 256;
-  /** A replica that needs longer for a record is cut off or has no budget. */
-  static constexpr Duration kPatience = std::chrono::milliseconds(250);
+  /** A replica that takes longer to acknowledge a record is partitioned or has no budget. */
+  static constexpr Duration kAcknowledgementTimeout = std::chrono::milliseconds(250);
 
   bool isFull() const { return flows_.size() >= kMaximumFlows; }
   bool isEmpty() const { return flows_.empty(); }
   bool contains(FlowHash flow) const { return flows_.contains(flow); }
-  /** @param sequence of its record in the replication log. */
+  /** @param sequence of the flow's record in the replication log. */
   void add(TimePoint now, FlowHash flow, uint32_t sequence, std::string_view bytes,
            PacketSource source);
-  /** A copy of a packet that waits: the latest is kept. */
+  /** Replaces the held packet of the flow by a repeated one. */
   void hold(FlowHash flow, std::string_view bytes, PacketSource source);
 
-  /** @param first sequence of the oldest record that is not acknowledged. @return packets whose
-   * records are; they wait no more. */
+  /**
+   * @param first sequence of the oldest unacknowledged record. @return the packets whose records
+   * are acknowledged; they are removed.
+   */
   std::vector<HoldQueue::Packet> takeAcknowledged(uint32_t first);
-  /** A flow that has waited for too long. */
+  /** A flow whose acknowledgement is overdue. */
   struct Overdue {
     FlowHash flow;
     HoldQueue::Packet packet;
   };
   std::vector<Overdue> takeOverdue(TimePoint now);
-  /** @return all packets, whatever became of their records. */
+  /** @return all packets, whether or not their records are acknowledged. */
   std::vector<HoldQueue::Packet> takeAll();
 
  private:
--- a/test/common/node/cluster_callers.h
+++ b/test/common/node/cluster_callers.h
@@ -1,4 +1,7 @@
-/** @file Callers of a fuzzed cluster: they open, repeat, continue and close flows, and watch. */
+/**
+ * @file Callers of a fuzzed cluster: they open, repeat, continue and close flows and check
+ * delivery.
+ */
 #pragma once
 
 #include <cstdint>
@@ -14,7 +17,9 @@
 
 namespace umberhold {
 
-/** Drives traffic through a cluster and feeds a FlowOracle. Not thread safe. */
+/**
+ * Drives traffic through a cluster and passes the observations to a FlowOracle. Not thread safe.
+ */
 class ClusterCallers {
  public:
   ClusterCallers(SimulatedCluster& cluster, uint64_t seed) : cluster_(cluster), random_(seed) {
@@ -30,11 +35,11 @@
   }
   void addHost(const std::string& service, const Endpoint& host) {
     hostsOf_[service].insert(host);
-    gone_.erase(host);
+    removedHosts_.erase(host);
     oracle_.addHost(host);
   }
   void removeHost(const Endpoint& host) {
-    gone_.insert(host);
+    removedHosts_.insert(host);
     oracle_.removeHost(host);
     for (uint32_t number = 0; number < calls_.size(); ++number) {
       if (calls_[number].openingsAt.contains(host)) {
@@ -42,7 +47,7 @@
       }
     }
   }
-  /** The callers give up their flows to the service and open no more. */
+  /** Ends all flows to the service; no more are opened. */
   void removeService(const std::string& name) {
     services_.erase(name);
     for (uint32_t number = 0; number < calls_.size(); ++number) {
@@ -52,7 +57,7 @@
     }
   }
 
-  /** One round of traffic; call every kRound. */
+  /** Runs one round of traffic; call it every kRound. */
   void round() {
     for (const auto& [name, service] : services_) {
       open(service);
@@ -67,16 +72,16 @@
   }
 
   FlowOracle& oracle() { return oracle_; }
-  /** Packets that reached a host of another service, or a host from a flow that nobody opened. */
-  uint32_t foreignPackets() const { return foreignPackets_; }
-  /** TCP flows of which openings reached two hosts. */
-  uint32_t doubledOpenings() const { return doubledOpenings_; }
+  /** Packets delivered to a host of another service, or belonging to no opened flow. */
+  uint32_t misdeliveredPackets() const { return misdeliveredPackets_; }
+  /** TCP flows whose openings reached two hosts. */
+  uint32_t flowsOpenedOnTwoHosts() const { return flowsOpenedOnTwoHosts_; }
   bool isTcp(uint32_t flow) const { return calls_[flow].protocol == TransportProtocol::kTcp; }
 
   static constexpr Duration kRound = std::chrono::milliseconds(100);
 
  private:
-  /** One flow as its caller sees it. */
+  /** One flow from its caller's point of view. */
   struct Call {
     std::string service;
     TransportProtocol protocol = TransportProtocol::kTcp;
@@ -88,8 +93,8 @@
   };
   static constexpr uint32_t kFirstCaller = 0xC0A80000U;
   static constexpr uint16_t kCallerPort = 20000;
-  static constexpr Duration kPatience = std::chrono::seconds(5);
-  static constexpr Duration kRepeatsOpening = std::chrono::seconds(2);
+  static constexpr Duration kOpenTimeout = std::chrono::seconds(5);
+  static constexpr Duration kOpeningRepeatPeriod = std::chrono::seconds(2);
 
   bool chance(double probability) { return random_.unit() < probability; }
 
@@ -109,7 +114,7 @@
     const OracleFlow& flow = oracle_.flow(number);
     if (flow.host) {
       proceedEstablished(number, age);
-    } else if (age > kPatience) {
+    } else if (age > kOpenTimeout) {
       end(number);
     } else if (chance(flow.refused ? 0.05 : 0.1)) {
       send(number, standins::PacketKind::kSyn);
@@ -117,7 +122,7 @@
   }
 
   void proceedEstablished(uint32_t number, Duration age) {
-    if (age < kRepeatsOpening && chance(0.02)) {
+    if (age < kOpeningRepeatPeriod && chance(0.02)) {
       send(number, standins::PacketKind::kSyn);
     }
     if (chance(0.05)) {
@@ -146,19 +151,19 @@
     const auto packet = standins::parsePacket(sent.bytes);
     const auto known = isOk(packet) ? numberOf_.find(valueOf(packet).source) : numberOf_.end();
     if (known == numberOf_.end()) {
-      ++foreignPackets_;
+      ++misdeliveredPackets_;
       return;
     }
     const uint32_t number = known->second;
     Call& call = calls_[number];
-    foreignPackets_ += hostsOf_[call.service].contains(sent.host) ? 0 : 1;
-    if (gone_.contains(sent.host)) {
+    misdeliveredPackets_ += hostsOf_[call.service].contains(sent.host) ? 0 : 1;
+    if (removedHosts_.contains(sent.host)) {
       end(number);
     }
     const PacketPhase phase = phaseOf(valueOf(packet).kind);
     if (phase == PacketPhase::kOpening && !call.ended) {
       call.openingsAt.insert(sent.host);
-      doubledOpenings_ += call.openingsAt.size() == 2 ? 1 : 0;
+      flowsOpenedOnTwoHosts_ += call.openingsAt.size() == 2 ? 1 : 0;
     }
     oracle_.onHost(cluster_.now(), number, sent.host, phase);
   }
@@ -168,7 +173,7 @@
     if (!isOk(packet)) {
       return;
     }
-    // An ICMP error quotes the caller's packet, a reset answers it.
+    // An ICMP error quotes the caller's packet; a reset is addressed to the caller.
     const bool quoted = valueOf(packet).kind == standins::PacketKind::kUnreachable;
     const auto known =
         numberOf_.find(quoted ? valueOf(packet).source : valueOf(packet).destination);
@@ -194,13 +199,13 @@
   RandomSource random_;
   FlowOracle oracle_;
   std::map<std::string, Service> services_;
-  /** Every host that a service ever had. */
+  /** All past and present hosts of each service. */
   std::map<std::string, std::set<Endpoint>> hostsOf_;
-  std::set<Endpoint> gone_;
+  std::set<Endpoint> removedHosts_;
   std::vector<Call> calls_;
   std::map<Endpoint, uint32_t> numberOf_;
-  uint32_t foreignPackets_ = 0;
-  uint32_t doubledOpenings_ = 0;
+  uint32_t misdeliveredPackets_ = 0;
+  uint32_t flowsOpenedOnTwoHosts_ = 0;
 };
 
 }  // namespace umberhold
--- a/test/common/node/cluster_fuzzer.cc
+++ b/test/common/node/cluster_fuzzer.cc
@@ -10,13 +10,13 @@
 namespace {
 
 constexpr uint32_t kNodes = 5;
-constexpr size_t kFewestNodes = 3;
-constexpr size_t kMostNodes = 7;
+constexpr size_t kMinimumNodes = 3;
+constexpr size_t kMaximumNodes = 7;
 constexpr uint8_t kHosts = 6;
 constexpr Duration kSettleTime = std::chrono::seconds(10);
 constexpr Duration kDrainDeadline = std::chrono::seconds(6);
-/** The fabric learns of a planned stop before the node's linger time is over. */
-constexpr Duration kLongestFabricLag = std::chrono::seconds(2);
+/** The fabric applies a planned stop before the node's linger time is over. */
+constexpr Duration kMaximumFabricLag = std::chrono::seconds(2);
 constexpr const char* kPolicy = "spread";
 constexpr const char* kServices[] = {"dispatch", "mapstore", "fleet"};
 
@@ -31,10 +31,10 @@
     "kHealZones",       "kKill",          "kSuddenRestart"};
 static_assert(std::size(kChangeNames) == kAllChanges);
 
-constexpr const char* kSpreading =
+constexpr const char* kSpreadingSource =
     "function weigh(host) if host.draining then return 0 end return host.weight end";
-constexpr const char* kBroken = "function weigh(host) return host.weight / nothing end";
-constexpr const char* kRefusing =
+constexpr const char* kBrokenSource = "function weigh(host) return host.weight / nothing end";
+constexpr const char* kRefusingSource =
     "function weigh(host) return host.weight end function admit(service) return false end";
 
 Service serviceNumber(uint8_t number) {
@@ -58,7 +58,7 @@
     cluster_.addNode();
   }
   cluster_.run(std::chrono::milliseconds(500));
-  history_.put(Policy{kPolicy, kSpreading});
+  history_.put(Policy{kPolicy, kSpreadingSource});
   for (uint8_t number = 0; number < std::size(kServices); ++number) {
     const Service service = serviceNumber(number);
     originals_[service.name] = service;
@@ -97,21 +97,23 @@
       ++paused;
     }
   }
-  endLeavers();
+  stopLeftNodes();
   removeExpiredHosts();
   callers_.round();
 }
 
-void ClusterFuzzer::endLeavers() {
-  for (auto leaver = leavers_.begin(); leaver != leavers_.end();) {
-    const auto [id, restarts] = *leaver;
+void ClusterFuzzer::stopLeftNodes() {
+  for (auto leavingNode = leavingNodes_.begin(); leavingNode != leavingNodes_.end();) {
+    const auto [id, restarts] = *leavingNode;
     if (cluster_.node(NodeId{id}).readiness() != NodeReadiness::kLeft) {
-      ++leaver;
+      ++leavingNode;
       continue;
     }
-    leaver = leavers_.erase(leaver);
+    leavingNode = leavingNodes_.erase(leavingNode);
     cluster_.killNode(NodeId{id});
-    std::erase_if(floors_, [id = id](const auto& floor) { return floor.first.first == id; });
+    std::erase_if(minimumVersions_, [id = id](const auto& minimumVersion) {
+      return minimumVersion.first.first == id;
+    });
     if (restarts) {
       cluster_.restartNode(NodeId{id});
     }
@@ -142,7 +144,7 @@
 
 uint32_t ClusterFuzzer::victim(uint32_t target) const {
   const std::vector<uint32_t> ready = readyNodes();
-  return ready.size() <= kFewestNodes ? 0 : ready[target % ready.size()];
+  return ready.size() <= kMinimumNodes ? 0 : ready[target % ready.size()];
 }
 
 std::string ClusterFuzzer::serviceName(uint32_t target) const {
@@ -157,7 +159,7 @@
 
 void ClusterFuzzer::applyToNodes(const ClusterStep& step) {
   if (step.change == ClusterChange::kJoin) {
-    if (cluster_.runningNodes().size() < kMostNodes) {
+    if (cluster_.runningNodes().size() < kMaximumNodes) {
       cluster_.addNode();
     }
     return;
@@ -169,7 +171,7 @@
   switch (step.change) {
     case ClusterChange::kLeave:
     case ClusterChange::kPlannedRestart:
-      leavers_[id] = step.change == ClusterChange::kPlannedRestart;
+      leavingNodes_[id] = step.change == ClusterChange::kPlannedRestart;
       cluster_.node(NodeId{id}).leave(cluster_.now());
       break;
     case ClusterChange::kPause:
@@ -180,7 +182,8 @@
     case ClusterChange::kSuddenRestart:
       died_ = true;
       cluster_.killNode(NodeId{id});
-      std::erase_if(floors_, [id](const auto& floor) { return floor.first.first == id; });
+      std::erase_if(minimumVersions_,
+                    [id](const auto& minimumVersion) { return minimumVersion.first.first == id; });
       if (step.change == ClusterChange::kSuddenRestart) {
         cluster_.restartNode(NodeId{id});
       }
@@ -224,13 +227,13 @@
       break;
     }
     case ClusterChange::kSpreadingPolicy:
-      setPolicy(step.target, kSpreading);
+      setPolicy(step.target, kSpreadingSource);
       break;
     case ClusterChange::kBrokenPolicy:
-      setPolicy(step.target, kBroken);
+      setPolicy(step.target, kBrokenSource);
       break;
     case ClusterChange::kRefusingPolicy:
-      setPolicy(step.target, kRefusing);
+      setPolicy(step.target, kRefusingSource);
       break;
     case ClusterChange::kStaleReader:
       republishOld(step.target);
@@ -337,7 +340,7 @@
   }
   cluster_.packet(victimNode, noise);
   cluster_.datagram(victimNode, noise);
-  // Changed, and as it was but a second time.
+  // A copy of the last datagram with one modified byte.
   std::string forged = cluster_.lastDatagram();
   forged[random_.below(forged.size())] ^= static_cast<char>(1 + random_.below(255));
   cluster_.datagram(victimNode, forged);
@@ -347,7 +350,7 @@
                          after.inForceVersion == before.inForceVersion &&
                          cluster_.toHosts().size() == hostsBefore;
   if (!unchanged) {
-    broken_.emplace_back("forged or malformed input had an effect");
+    failures_.emplace_back("forged or malformed input had an effect");
   }
 }
 
@@ -362,7 +365,7 @@
                                        std::chrono::milliseconds(1 + step.target % 50)});
       break;
     case ClusterChange::kFabricLag:
-      cluster_.setFabricLag(kLongestFabricLag * (step.target % 5) / 4);
+      cluster_.setFabricLag(kMaximumFabricLag * (step.target % 5) / 4);
       break;
     case ClusterChange::kCutZones:
       cluster_.cutZones(step.target % SimulatedCluster::kZones,
@@ -384,7 +387,7 @@
   }
   const std::vector<uint32_t> ready = readyNodes();
   if (died_ && !ready.empty()) {
-    // The reader may have died with what it alone had read: the next one lists the store.
+    // The reader may have died with records that only it had read: the next reader lists the store.
     cluster_.publish(NodeId{ready.front()}, history_.newest());
   }
 }
@@ -392,17 +395,20 @@
 void ClusterFuzzer::checkVersions() {
   for (const uint32_t id : readyNodes()) {
     for (const ConfigRecord& newest : history_.newest()) {
-      uint64_t& floor = floors_[{id, newest.key}];
+      uint64_t& minimumVersion = minimumVersions_[{id, newest.key}];
       const auto held = cluster_.node(NodeId{id}).record(newest.key);
       if (!isOk(held)) {
-        floor = floor == 0 ? 0 : std::max(floor, history_.successor(newest.key, floor));
+        minimumVersion =
+            minimumVersion == 0
+                ? 0
+                : std::max(minimumVersion, history_.successor(newest.key, minimumVersion));
         continue;
       }
-      if (valueOf(held).version < floor) {
-        broken_.push_back("node " + std::to_string(id) + " went back to an older " +
-                          newest.key.name);
+      if (valueOf(held).version < minimumVersion) {
+        failures_.push_back("node " + std::to_string(id) + " went back to an older " +
+                            newest.key.name);
       }
-      floor = std::max(floor, valueOf(held).version);
+      minimumVersion = std::max(minimumVersion, valueOf(held).version);
     }
   }
 }
@@ -416,14 +422,14 @@
       const auto held = core.record(newest.key);
       const bool converged = newest.deleted ? !isOk(held) : isOk(held) && valueOf(held) == newest;
       if (!converged) {
-        broken_.push_back("node " + std::to_string(id) + " does not hold the newest " +
-                          newest.key.name);
+        failures_.push_back("node " + std::to_string(id) + " does not hold the newest " +
+                            newest.key.name);
       }
     }
   }
   if (owned != history_.shards()) {
-    broken_.push_back(std::to_string(owned) + " owned shards of " +
-                      std::to_string(history_.shards()));
+    failures_.push_back(std::to_string(owned) + " owned shards of " +
+                        std::to_string(history_.shards()));
   }
 }
 
@@ -434,13 +440,13 @@
                     [kind](const Violation& violation) { return violation.kind == kind; }));
 }
 
-std::string ClusterFuzzer::alwaysBroken() const {
+std::string ClusterFuzzer::unconditionalViolations() const {
   std::ostringstream out;
-  for (const std::string& text : broken_) {
+  for (const std::string& text : failures_) {
     out << text << "\n";
   }
-  if (callers_.foreignPackets() != 0) {
-    out << callers_.foreignPackets() << " packets at a host of another service\n";
+  if (callers_.misdeliveredPackets() != 0) {
+    out << callers_.misdeliveredPackets() << " packets at a host of another service\n";
   }
   if (const uint64_t flows = count(Violation::Kind::kRefusedThenForwarded)) {
     out << flows << " flows refused, then forwarded\n";
@@ -448,9 +454,9 @@
   return out.str();
 }
 
-std::string ClusterFuzzer::plannedBroken() const {
+std::string ClusterFuzzer::plannedChangeViolations() const {
   std::ostringstream out;
-  out << alwaysBroken();
+  out << unconditionalViolations();
   const auto& violations = const_cast<ClusterCallers&>(callers_).oracle().violations();
   for (const Violation& violation : violations) {
     const bool undecidable =
--- a/test/common/node/cluster_fuzzer.h
+++ b/test/common/node/cluster_fuzzer.h
@@ -1,4 +1,5 @@
-/** @file Random changes and faults of a cluster of whole cores, under traffic, against an oracle.
+/**
+ * @file Random changes and faults of a cluster of node cores under traffic, checked by an oracle.
  */
 #pragma once
 
@@ -15,7 +16,7 @@
 
 namespace umberhold {
 
-/** What is done to the cluster in one step. */
+/** The change or fault applied in one step. */
 enum class ClusterChange : uint8_t {
   // Planned.
   kNothing,
@@ -49,14 +50,14 @@
 inline constexpr int kChangesWithoutDeath = static_cast<int>(ClusterChange::kKill);
 inline constexpr int kAllChanges = static_cast<int>(ClusterChange::kCount);
 
-/** One step: a change, what it hits, and how long the cluster then runs, in milliseconds. */
+/** One step: a change, its target, and the time that the cluster then runs. */
 struct ClusterStep {
   ClusterChange change = ClusterChange::kNothing;
   uint32_t target = 0;
   uint32_t milliseconds = 0;
 };
 
-/** Prints a step as the initialiser that a regression test takes. */
+/** Prints a step as an initialiser for a regression test. */
 std::ostream& operator<<(std::ostream& out, const ClusterStep& step);
 
 /** Runs steps on a cluster of five nodes and three services. Not thread safe. */
@@ -64,13 +65,13 @@
  public:
   explicit ClusterFuzzer(uint64_t seed);
 
-  /** Runs the steps, heals everything, and lets the cluster settle. */
+  /** Runs the steps, removes all faults, and runs the cluster until it has settled. */
   void run(const std::vector<ClusterStep>& steps);
 
-  /** @return what broke of the promises that hold whatever happens; empty if nothing. */
-  std::string alwaysBroken() const;
-  /** @return what broke of the promises that hold under planned changes; empty if nothing. */
-  std::string plannedBroken() const;
+  /** @return violations of the guarantees that hold under all faults; empty if none. */
+  std::string unconditionalViolations() const;
+  /** @return violations of the guarantees that hold under planned changes; empty if none. */
+  std::string plannedChangeViolations() const;
 
   uint64_t count(Violation::Kind kind) const;
   ClusterCallers& callers() { return callers_; }
@@ -83,10 +84,10 @@
   void applyToNetwork(const ClusterStep& step);
   void runFor(Duration time);
   void startRound();
-  void endLeavers();
+  void stopLeftNodes();
   void removeExpiredHosts();
 
-  /** @return a ready node that may stop, or 0 where too few would be left. */
+  /** @return a ready node that may stop, or 0 if too few would remain. */
   uint32_t victim(uint32_t target) const;
   std::vector<uint32_t> readyNodes() const;
   void publish(uint32_t target, const ConfigRecord& record);
@@ -105,14 +106,14 @@
   RandomSource random_;
   ConfigurationHistory history_;
   std::map<std::string, Service> originals_;
-  /** Nodes that were asked to leave; true: to be started again afterwards. */
-  std::map<uint32_t, bool> leavers_;
+  /** Leaving nodes; true if the node is to be restarted afterwards. */
+  std::map<uint32_t, bool> leavingNodes_;
   std::map<uint32_t, TimePoint> pausedUntil_;
   std::map<Endpoint, TimePoint> deadlines_;
   bool died_ = false;
-  /** Lowest version that a node may show of an object, by node and object. */
-  std::map<std::pair<uint32_t, RecordKey>, uint64_t> floors_;
-  std::vector<std::string> broken_;
+  /** Minimum version that a node may report of an object, by node and object. */
+  std::map<std::pair<uint32_t, RecordKey>, uint64_t> minimumVersions_;
+  std::vector<std::string> failures_;
 };
 
 }  // namespace umberhold
--- a/test/common/node/cluster_regression_test.cc
+++ b/test/common/node/cluster_regression_test.cc
@@ -1,4 +1,4 @@
-/** @file Step sequences by which fuzzing broke a promise, shrunk. */
+/** @file Minimised step sequences of faults found by fuzzing. */
 #include "cluster_fuzzer.h"
 
 #include <CppUTest/TestHarness.h>
@@ -7,26 +7,27 @@
 
 using namespace umberhold;
 
-// Lua keeps lazily made statics.
+// Lua keeps lazily initialised statics.
 TEST_GROUP_BASE(ClusterRegression, test::WithoutLeakDetection){};
 
-// A shard moved from an owner that did not know all flows; the repeat of an opening that it had
-// forwarded to the base's host went to another host, by the load bound.
-TEST(ClusterRegression, OpeningRepeatedAfterAHandOverReachesTheSameHost) {
+// A shard was handed over by an owner that did not have a complete flow list; a repeated opening
+// that this owner had forwarded to the base table's host was sent to another host because of the
+// load bound.
+TEST(ClusterRegression, OpeningRepeatedAfterHandoverReachesSameHost) {
   ClusterFuzzer fuzzer(0);
   fuzzer.run({{ClusterChange::kNothing, 0, 0}});
   CHECK(fuzzer.callers().oracle().established() > 50);
-  CHECK_EQUAL(0, fuzzer.callers().doubledOpenings());
-  STRCMP_EQUAL("", fuzzer.plannedBroken().c_str());
+  CHECK_EQUAL(0, fuzzer.callers().flowsOpenedOnTwoHosts());
+  STRCMP_EQUAL("", fuzzer.plannedChangeViolations().c_str());
 }
 
-// Two nodes that started at once took each other's list, which held only the two of them, for the
-// region's; one of them built a shard again beside its owner.
+// Two nodes that started at the same time took each other's member list, which contained only the
+// two of them, for that of the region; one of them created a shard that already had an owner.
 TEST(ClusterRegression, TwoPlannedRestartsAtOnceBreakNoFlow) {
   ClusterFuzzer fuzzer(0);
   fuzzer.run({{ClusterChange::kJoin, 0, 401},
               {ClusterChange::kPlannedRestart, 2, 101},
               {ClusterChange::kPlannedRestart, 6, 0}});
   CHECK(fuzzer.callers().oracle().established() > 50);
-  STRCMP_EQUAL("", fuzzer.plannedBroken().c_str());
+  STRCMP_EQUAL("", fuzzer.plannedChangeViolations().c_str());
 }
--- a/test/common/node/configuration_history.h
+++ b/test/common/node/configuration_history.h
@@ -1,5 +1,4 @@
-/** @file What the platform's store would hold: the configuration of now, and every version before.
- */
+/** @file Simulated store contents: the current configuration and all previous versions. */
 #pragma once
 
 #include <cstdint>
@@ -14,7 +13,7 @@
 
 namespace umberhold {
 
-/** The store of a fuzzed cluster. Versions grow over all objects. Not thread safe. */
+/** The store of a fuzzed cluster. Versions increase across all objects. Not thread safe. */
 class ConfigurationHistory {
  public:
   ConfigRecord put(const Service& service) {
@@ -29,7 +28,7 @@
     return add(ObjectKind::kService, service, true, "");
   }
 
-  /** @return the service as it is now, or nothing where it is deleted. */
+  /** @return the current service, or nothing if it is deleted. */
   std::optional<Service> service(const std::string& name) const {
     const auto found = services_.find(name);
     return found == services_.end() ? std::nullopt : std::optional<Service>(found->second);
@@ -41,9 +40,9 @@
     }
     return count;
   }
-  /** @return every record ever, oldest first. */
+  /** @return all records, oldest first. */
   const std::vector<ConfigRecord>& all() const { return records_; }
-  /** @return the newest record of every object, tombstones included. */
+  /** @return the newest record of every object, including tombstones. */
   std::vector<ConfigRecord> newest() const {
     std::map<RecordKey, ConfigRecord> latest;
     for (const ConfigRecord& record : records_) {
@@ -55,7 +54,7 @@
     }
     return records;
   }
-  /** @return the version that first followed the given one of the object, or 0. */
+  /** @return the next version of the object after the given one, or 0. */
   uint64_t successor(const RecordKey& key, uint64_t version) const {
     for (const ConfigRecord& record : records_) {
       if (record.key == key && record.version > version) {
--- a/test/common/node/cut_replication_test.cc
+++ b/test/common/node/cut_replication_test.cc
@@ -1,4 +1,4 @@
-/** @file What a cut of the network breaks of flows that are not where the base table says. */
+/** @file Flows broken by a network partition that are not placed by the base table. */
 #include <optional>
 #include <vector>
 
@@ -8,12 +8,11 @@
 namespace umberhold {
 namespace {
 
-/** Of the flows that live in a cut no more may break than one node's death may break: 1 of 1,000.
- */
-constexpr uint64_t kFlowsOfOneLoss = 1000;
+/** A partition may break no more of the live flows than the death of one node: 1 of 1,000. */
+constexpr uint64_t kFlowsPerAllowedLoss = 1000;
 constexpr uint64_t kSeeds = 12;
 constexpr uint32_t kServices = 3;
-constexpr uint32_t kCutMilliseconds = 9000;
+constexpr uint32_t kPartitionMilliseconds = 9000;
 
 }  // namespace
 
@@ -21,9 +20,11 @@
   uint64_t broken = 0;
   uint64_t established = 0;
 
-  /** A zone is cut off from both others. @param drainLead a host of each service drains so long
-   * before; nothing where none does. */
-  void cutAZone(std::optional<uint32_t> drainLead) {
+  /**
+   * Partitions one zone from both others. @param drainLead time in milliseconds before the
+   * partition at which one host of each service starts to drain; nothing for no drain.
+   */
+  void partitionOneZone(std::optional<uint32_t> drainLead) {
     for (uint64_t seed = 0; seed < kSeeds; ++seed) {
       std::vector<ClusterStep> steps = {{ClusterChange::kJoin, 0, 1000},
                                         {ClusterChange::kJoin, 0, 8000}};
@@ -32,7 +33,7 @@
             {ClusterChange::kDrainHost, service, service + 1 == kServices ? *drainLead : 0});
       }
       steps.push_back({ClusterChange::kCutZones, 0, 0});
-      steps.push_back({ClusterChange::kCutZones, 2, kCutMilliseconds});
+      steps.push_back({ClusterChange::kCutZones, 2, kPartitionMilliseconds});
       ClusterFuzzer fuzzer(seed);
       fuzzer.run(steps);
       broken += fuzzer.callers().oracle().broken();
@@ -42,17 +43,17 @@
   }
 };
 
-/** Guards against exceptions that only an owner beyond the cut knows. */
+/** Guards against exceptions that are known only to an owner beyond the partition. */
 TEST(CutReplication, ACutBreaksLessThanADeathMay) {
-  cutAZone(std::nullopt);
+  partitionOneZone(std::nullopt);
   CHECK_TRUE(established > 10000);
-  CHECK_TRUE(broken * kFlowsOfOneLoss < established);
+  CHECK_TRUE(broken * kFlowsPerAllowedLoss < established);
 }
 
 TEST(CutReplication, ACutRightAfterADrainBreaksLessThanADeathMay) {
-  cutAZone(3000);
+  partitionOneZone(3000);
   CHECK_TRUE(established > 10000);
-  CHECK_TRUE(broken * kFlowsOfOneLoss < established);
+  CHECK_TRUE(broken * kFlowsPerAllowedLoss < established);
 }
 
 }  // namespace umberhold
--- a/test/common/node/node_core_property.cc
+++ b/test/common/node/node_core_property.cc
@@ -1,4 +1,4 @@
-/** @file Stateful fuzzing of whole cores against an oracle of flows and configuration. */
+/** @file Stateful fuzzing of node cores against an oracle of flows and configuration. */
 #include <rapidcheck.h>
 
 #include <vector>
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr size_t kMostSteps = 10;
-constexpr uint32_t kLongestStep = 4000;
-/** Under deaths and cuts at most so many of the established flows break, out of kBrokenOutOf. */
+constexpr size_t kMaximumSteps = 10;
+constexpr uint32_t kMaximumStepMilliseconds = 4000;
+/** Maximum share of established flows that deaths and partitions may break, out of kBrokenOutOf. */
 constexpr uint64_t kBrokenFlows = 1;
 constexpr uint64_t kBrokenOutOf = 100;
 
@@ -25,8 +25,9 @@
                    rc::gen::map(rc::gen::inRange(0, changes),
                                 [](int number) { return static_cast<ClusterChange>(number); })),
       rc::gen::set(&ClusterStep::target, rc::gen::inRange<uint32_t>(0, 100)),
-      rc::gen::set(&ClusterStep::milliseconds, rc::gen::inRange<uint32_t>(0, kLongestStep)));
-  return rc::gen::mapcat(rc::gen::inRange<size_t>(1, kMostSteps), [step](size_t count) {
+      rc::gen::set(&ClusterStep::milliseconds,
+                   rc::gen::inRange<uint32_t>(0, kMaximumStepMilliseconds)));
+  return rc::gen::mapcat(rc::gen::inRange<size_t>(1, kMaximumSteps), [step](size_t count) {
     return rc::gen::container<std::vector<ClusterStep>>(count, step);
   });
 }
@@ -35,7 +36,7 @@
   return rc::gen::inRange<uint64_t>(0, 1000000);
 }
 
-void failOn(const std::string& broken) {
+void failIfNotEmpty(const std::string& broken) {
   if (!broken.empty()) {
     RC_FAIL(broken);
   }
@@ -43,7 +44,7 @@
 
 }  // namespace
 
-// rapidcheck and Lua keep lazily made statics.
+// rapidcheck and Lua keep lazily initialised statics.
 TEST_GROUP_BASE(ClusterFuzzing, test::WithoutLeakDetection){};
 
 TEST(ClusterFuzzing, PlannedChangesBreakNothing) {
@@ -52,26 +53,26 @@
     ClusterFuzzer fuzzer(*seeds());
     fuzzer.run(steps);
     RC_ASSERT(fuzzer.callers().oracle().established() > 50U);
-    failOn(fuzzer.plannedBroken());
+    failIfNotEmpty(fuzzer.plannedChangeViolations());
   }));
 }
 
-TEST(ClusterFuzzing, WithoutADeathNoOpeningReachesTwoHosts) {
+TEST(ClusterFuzzing, PausesAndPartitionsSendNoOpeningToTwoHosts) {
   CHECK(rc::check("pauses and cuts", [] {
     const auto steps = *stepsUpTo(kChangesWithoutDeath);
     ClusterFuzzer fuzzer(*seeds());
     fuzzer.run(steps);
-    RC_ASSERT(fuzzer.callers().doubledOpenings() == 0U);
-    failOn(fuzzer.alwaysBroken());
+    RC_ASSERT(fuzzer.callers().flowsOpenedOnTwoHosts() == 0U);
+    failIfNotEmpty(fuzzer.unconditionalViolations());
   }));
 }
 
-TEST(ClusterFuzzing, DeathsBreakFewFlowsAndNoRefusal) {
+TEST(ClusterFuzzing, DeathsBreakFewFlowsAndCauseNoWrongRefusal) {
   CHECK(rc::check("deaths", [] {
     const auto steps = *stepsUpTo(kAllChanges);
     ClusterFuzzer fuzzer(*seeds());
     fuzzer.run(steps);
-    failOn(fuzzer.alwaysBroken());
+    failIfNotEmpty(fuzzer.unconditionalViolations());
     const FlowOracle& oracle = fuzzer.callers().oracle();
     RC_ASSERT(oracle.broken() * kBrokenOutOf <= oracle.established() * kBrokenFlows);
   }));
--- a/test/common/node/node_core_test.cc
+++ b/test/common/node/node_core_test.cc
@@ -1,5 +1,7 @@
-/** @file Tests of whole cores together: join, configuration, sprayed packets, planned and unplanned
- * ends. */
+/**
+ * @file Tests of several node cores together: join, configuration, packets sprayed over the nodes,
+ * planned and unplanned stops.
+ */
 #include <functional>
 #include <map>
 #include <string>
@@ -21,7 +23,7 @@
 namespace {
 
 constexpr uint16_t kFlows = 300;
-constexpr Duration kPatience = std::chrono::seconds(20);
+constexpr Duration kReadyTimeout = std::chrono::seconds(20);
 
 Endpoint callerOf(uint16_t flow) {
   return Endpoint{0xC0A80101U, static_cast<uint16_t>(20000 + flow)};
@@ -64,13 +66,15 @@
           }
           return true;
         },
-        kPatience);
+        kReadyTimeout);
   }
 
-  /** Sends one packet of every flow, each through the next node. @return packets that reached no
-   * host or not the host of their flow. */
+  /**
+   * Sends one packet of every flow, each through the next node. @return the number of packets that
+   * reached no host or a host other than that of their flow.
+   */
   uint32_t sprayAll(PacketKind kind, const std::vector<uint32_t>& nodes) {
-    uint32_t astray = 0;
+    uint32_t misdirected = 0;
     for (uint16_t flow = 0; flow < kFlows; ++flow) {
       cluster.toHosts().clear();
       cluster.packet(NodeId{nodes[(flow + hostOf.size()) % nodes.size()]},
@@ -79,18 +83,18 @@
         cluster.run(std::chrono::milliseconds(50));
       }
       if (cluster.toHosts().size() != 1) {
-        ++astray;
+        ++misdirected;
         continue;
       }
       const Endpoint host = cluster.toHosts().front().host;
       const auto known = hostOf.emplace(flow, host).first;
-      astray += known->second == host ? 0 : 1;
+      misdirected += known->second == host ? 0 : 1;
     }
-    return astray;
+    return misdirected;
   }
 };
 
-TEST(NodeCore, TakesPacketsOnlyOnceItHoldsTheConfiguration) {
+TEST(NodeCore, AcceptsPacketsOnlyWithConfiguration) {
   cluster.addNode();
   cluster.run(std::chrono::seconds(3));
   CHECK(cluster.node(NodeId{1}).readiness() != NodeReadiness::kReady);
@@ -100,7 +104,7 @@
   CHECK_EQUAL(1, dropped[static_cast<size_t>(DropReason::kNotReady)]);
 }
 
-TEST(NodeCore, EveryNodeSendsAFlowToOneHost) {
+TEST(NodeCore, AllNodesSendFlowToSameHost) {
   start(4);
   CHECK_EQUAL(0, sprayAll(PacketKind::kSyn, {1, 2, 3, 4}));
   for (int round = 0; round < 3; ++round) {
@@ -116,19 +120,19 @@
     const uint32_t newest = 3 + leaving;
     CHECK(cluster.runUntil(
         [&] { return cluster.node(NodeId{newest}).readiness() == NodeReadiness::kReady; },
-        kPatience));
+        kReadyTimeout));
     cluster.node(NodeId{leaving}).leave(cluster.now());
     CHECK_EQUAL(0, sprayAll(PacketKind::kSegment, {leaving, newest}));
     CHECK(cluster.runUntil(
         [&] { return cluster.node(NodeId{leaving}).readiness() == NodeReadiness::kLeft; },
-        kPatience));
+        kReadyTimeout));
     cluster.killNode(NodeId{leaving});
     cluster.run(std::chrono::seconds(2));
     CHECK_EQUAL(0, sprayAll(PacketKind::kSegment, {newest}));
   }
 }
 
-TEST(NodeCore, ChangedWeightsMoveNoEstablishedFlow) {
+TEST(NodeCore, ChangedWeightsDoNotMoveEstablishedFlows) {
   start(3);
   CHECK_EQUAL(0, sprayAll(PacketKind::kSyn, {1, 2, 3}));
   service.hosts[0].state = HostState::kDraining;
@@ -138,7 +142,7 @@
   CHECK_EQUAL(0, sprayAll(PacketKind::kSegment, {1, 2, 3}));
 }
 
-TEST(NodeCore, ConfigurationNeverGoesBack) {
+TEST(NodeCore, ConfigurationNeverRevertsToOlderVersion) {
   start(3);
   Service older = service;
   older.port = 444;
@@ -152,7 +156,7 @@
   }
 }
 
-TEST(NodeCore, APolicyMayArriveAfterTheServiceThatNamesIt) {
+TEST(NodeCore, PolicyMayArriveAfterServiceThatUsesIt) {
   service.policy = "first-only";
   start(3);
   const Policy policy{
@@ -167,7 +171,7 @@
   }
 }
 
-TEST(NodeCore, AFailingPolicyLeavesTheLastGoodWeightsAndShowsInTheCounters) {
+TEST(NodeCore, FailingPolicyKeepsLastValidWeightsAndIsCounted) {
   service.policy = "first-only";
   start(3);
   const auto publishPolicy = [&](uint64_t version, const std::string& source) {
@@ -192,7 +196,7 @@
   CHECK(reporting > 0);
 }
 
-TEST(NodeCore, AnAcceptedChangeIsInForceEverywhereBeforeAReaderBringsIt) {
+TEST(NodeCore, AcceptedChangeIsEffectiveEverywhereBeforeReaderDeliversIt) {
   start(4);
   Service changed = service;
   changed.port = 444;
@@ -209,20 +213,20 @@
         return true;
       },
       std::chrono::seconds(3)));
-  // Version 8 may still be unknown here: nothing above 7 counts as complete.
+  // Version 8 may still be missing here: versions above 7 do not count as complete.
   CHECK_EQUAL(7, cluster.node(NodeId{3}).counters().inForceVersion);
   cluster.publish(NodeId{1}, {recordOf(changed, 9)});
   CHECK(cluster.runUntil([&] { return cluster.node(NodeId{4}).counters().inForceVersion == 9; },
-                         kPatience));
+                         kReadyTimeout));
 }
 
-TEST(NodeCore, CoverageCountsTheNodesAtAVersion) {
+TEST(NodeCore, CoverageCountsNodesAtVersion) {
   start(3);
   CHECK(cluster.runUntil(
       [&] {
         const CoverageStatus status = cluster.node(NodeId{2}).coverage(cluster.now(), 7);
         return status.nodes == 3 && status.nodesAtVersion == 3;
       },
-      kPatience));
+      kReadyTimeout));
   CHECK_EQUAL(0, cluster.node(NodeId{2}).coverage(cluster.now(), 8).nodesAtVersion);
 }
--- a/test/common/shard/datagram_test.cc
+++ b/test/common/shard/datagram_test.cc
@@ -1,7 +1,7 @@
-/** @file Flows of UDP services, whose packets do not say whether they are a flow's first. */
+/** @file Flows of UDP services, whose packets do not mark the start of a flow. */
 #include "region_scenario.h"
 
-// Last, because its macros replace operator new.
+// Included last because its macros replace operator new.
 #include <CppUTest/TestHarness.h>
 
 using namespace umberhold;
@@ -34,8 +34,8 @@
 
 TEST_GROUP(DatagramFlows){};
 
-/** Found with real processes: the service was older than the nodes, so no owner knew all flows. */
-TEST(DatagramFlows, NodesThatFindAServiceKeepNewFlowsOffDrainingHosts) {
+/** Guards against owners without a complete flow list when the service is older than the nodes. */
+TEST(DatagramFlows, KeepsNewFlowsOffDrainingHostsWhereServiceIsOlderThanNodes) {
   RegionScenario scenario(seeded(41), datagrams(), 15, RegionScenario::Start::kServiceFirst);
   scenario.region.runFor(std::chrono::seconds(20));
   drainThreeHosts(scenario.region);
--- a/test/common/shard/join_during_leave_test.cc
+++ b/test/common/shard/join_during_leave_test.cc
@@ -1,7 +1,7 @@
-/** @file A node joins while another one leaves, so that views name different successors. */
+/** @file A node joins while another one leaves, so that the views assign different successors. */
 #include "region_fuzzer.h"
 
-// Last, because its macros replace operator new.
+// Included last because its macros replace operator new.
 #include <CppUTest/TestHarness.h>
 
 using namespace umberhold;
@@ -9,10 +9,10 @@
 TEST_GROUP(JoinDuringLeave){};
 
 /**
- * Found by fuzzing: the shard had gone to a joiner, and a member that had not heard of the joiner
- * took the former owner's state beside it.
+ * The shard had been handed over to a joining node, and a member that had not received the join yet
+ * took over the former owner's state as well.
  */
-TEST(JoinDuringLeave, StateThatWentToAnUnknownNodeIsNotTakenBesideIt) {
+TEST(JoinDuringLeave, DoesNotTakeOverStateHandedOverToUnknownNode) {
   constexpr uint64_t kSeed = 25687;
   constexpr uint32_t kConnectionLimit = 60;
   RegionFuzzer fuzzer(kSeed, TransportProtocol::kTcp, kConnectionLimit);
@@ -24,9 +24,8 @@
   CHECK_EQUAL(3U, fuzzer.region().shardsWithOneOwner());
 }
 
-/** Found by fuzzing: the joiner was heard but in no view yet, and so its replica's copy was taken.
- */
-TEST(JoinDuringLeave, CopyOfALivingOwnerThatTheViewLacksIsNotTaken) {
+/** The owner had joined but was in no view yet, and its replica's copy was taken over. */
+TEST(JoinDuringLeave, DoesNotTakeOverReplicaOfLiveOwnerMissingFromView) {
   constexpr uint32_t kConnectionLimit = 60;
   for (const uint32_t seed : {160U, 166U, 178U, 196U, 238U}) {
     RegionFuzzer fuzzer(seed, TransportProtocol::kTcp, kConnectionLimit);
--- a/test/common/shard/known_flows_test.cc
+++ b/test/common/shard/known_flows_test.cc
@@ -1,50 +1,50 @@
-/** @file The list of known flows: what waits goes along with other datagrams, or alone. */
+/** @file The list of known flows: pending flows are sent with other datagrams, or alone. */
 #include "common/shard/known_flows.h"
 
-// Last, because its macros replace operator new.
+// Included last because its macros replace operator new.
 #include <CppUTest/TestHarness.h>
 
 using namespace umberhold;
 
 namespace {
 
-constexpr double kPlenty = 1e9;
+constexpr double kUnlimited = 1e9;
 
 }  // namespace
 
 TEST_GROUP(KnownFlows) {
   KnownFlowStream stream;
   KnownFlowCopy copy;
-  ByteBudget budget{{kPlenty, kPlenty}};
-  ByteBudget lists{{kPlenty, kPlenty}};
+  ByteBudget budget{{kUnlimited, kUnlimited}};
+  ByteBudget lists{{kUnlimited, kUnlimited}};
   TimePoint now{std::chrono::seconds(1000)};
 
   void deliver(const KnownFlowBatch& batch) {
     copy.onBatch(batch);
     stream.onAck(copy.next());
   }
-  /** The replica has the list, without a flow. */
+  /** Gives the replica an empty list. */
   void announce() {
     stream.restart({});
     deliver(*stream.poll(now, budget, lists));
   }
 };
 
-TEST(KnownFlows, GoAlongWithADatagramThatLeavesAnyway) {
+TEST(KnownFlows, AreSentWithDepartingDatagram) {
   announce();
   stream.add(7);
   stream.add(8);
-  const auto along = stream.takePiggybackBatch(now, budget);
-  CHECK_TRUE(along.has_value());
-  deliver(*along);
+  const auto piggybacked = stream.takePiggybackBatch(now, budget);
+  CHECK_TRUE(piggybacked.has_value());
+  deliver(*piggybacked);
   CHECK_EQUAL(2U, copy.complete()->size());
   CHECK_FALSE(stream.takePiggybackBatch(now, budget).has_value());
   now += KnownFlowStream::kPartialBatchDelay;
   CHECK_FALSE(stream.poll(now, budget, lists).has_value());
 }
 
-/** A part of them would leave the replica with a list that is not whole. */
-TEST(KnownFlows, GoAlongTogetherOrNotAtAll) {
+/** Sending only some of them would leave the replica with an incomplete list. */
+TEST(KnownFlows, AreSentWithDatagramAllOrNone) {
   announce();
   for (FlowFingerprint flow = 1; flow <= KnownFlowStream::kMaximumPiggybackedFlows + 1; ++flow) {
     stream.add(flow);
@@ -52,7 +52,7 @@
   CHECK_FALSE(stream.takePiggybackBatch(now, budget).has_value());
 }
 
-TEST(KnownFlows, DoNotGoAlongTwice) {
+TEST(KnownFlows, AreSentWithDatagramOnlyOnce) {
   announce();
   stream.add(7);
   const auto lost = stream.takePiggybackBatch(now, budget);
@@ -64,7 +64,7 @@
   CHECK_EQUAL(2U, again->fingerprints.size());
 }
 
-TEST(KnownFlows, WaitForOthersOnlyWhereTheBudgetIsScarce) {
+TEST(KnownFlows, AreBatchedOnlyWhileBudgetIsScarce) {
   constexpr double kPerSecond = 100.0;
   constexpr double kBurst = 1000.0;
   announce();
@@ -83,7 +83,7 @@
   CHECK_TRUE(stream.poll(now, scarce, lists).has_value());
 }
 
-TEST(KnownFlows, ADatagramTakesNoneAlongThatItsBudgetCannotPay) {
+TEST(KnownFlows, AreNotSentWithDatagramBeyondBudget) {
   announce();
   stream.add(7);
   ByteBudget empty{{1.0, 1.0}};
--- a/test/common/shard/region_fuzzer.h
+++ b/test/common/shard/region_fuzzer.h
@@ -1,4 +1,4 @@
-/** @file Random disturbances of a region; the oracle says whether the promises held. */
+/** @file Random disturbances of a region, checked by an oracle. */
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace umberhold {
 
-/** What is done to the region in one step. */
+/** The disturbance of one step. */
 enum class Disturbance : uint8_t {
   // Planned.
   kNothing,
@@ -30,7 +30,7 @@
 inline constexpr int kPlannedDisturbances = static_cast<int>(Disturbance::kKill);
 inline constexpr int kAllDisturbances = static_cast<int>(Disturbance::kCount);
 
-/** One step: a disturbance, what it hits, and how long the region then runs. */
+/** One step: a disturbance, its target, and the time that the region then runs. */
 struct FuzzStep {
   Disturbance disturbance = Disturbance::kNothing;
   uint32_t target = 0;
@@ -66,14 +66,13 @@
   }
 
   /**
-   * Waits for one owner of each shard where none can be named sooner: while a whole zone is silent
-   * the lost state may be alive there, so a shard is built again only when that zone counts as
-   * dead.
-   * @return whether each shard has one owner.
+   * Waits until each shard has one owner if that is not possible sooner: while a whole zone is
+   * unreachable the lost state may still exist there, so a shard is created again only once that
+   * zone counts as dead. @return whether each shard has one owner.
    */
   bool everyShardGetsOneOwner() {
-    const Duration patience = ShardDirectorOptions{}.zonePartitionTimeout + std::chrono::seconds(20);
-    const TimePoint end = region().now() + (aZoneIsDead() ? patience : Duration(0));
+    const Duration timeout = ShardDirectorOptions{}.zonePartitionTimeout + std::chrono::seconds(20);
+    const TimePoint end = region().now() + (anyZoneIsDead() ? timeout : Duration(0));
     while (region().shardsWithOneOwner() != kShards && region().now() < end) {
       region().runFor(std::chrono::seconds(1));
     }
@@ -89,8 +88,8 @@
   }
 
  private:
-  static constexpr size_t kFewestNodes = 3;
-  static constexpr uint32_t kMostNodes = 8;
+  static constexpr size_t kMinimumNodes = 3;
+  static constexpr uint32_t kMaximumNodes = 8;
   static constexpr uint32_t kShards = 3;
 
   static RegionOptions optionsOf(uint64_t seed) {
@@ -106,8 +105,8 @@
     return load;
   }
 
-  /** @return whether no node of some zone is left. */
-  bool aZoneIsDead() {
+  /** @return whether some zone has no running node. */
+  bool anyZoneIsDead() {
     std::set<uint32_t> zones;
     for (const uint32_t id : region().runningNodes()) {
       zones.insert(RegionScenario::zoneOf(id));
@@ -115,7 +114,7 @@
     return zones.size() < RegionScenario::kZones;
   }
 
-  /** @return a running node that is not leaving, or 0 where too few would be left. */
+  /** @return a running node that is not leaving, or 0 if too few would remain. */
   uint32_t victim(uint32_t target) {
     std::vector<uint32_t> candidates;
     for (const uint32_t id : region().runningNodes()) {
@@ -123,7 +122,7 @@
         candidates.push_back(id);
       }
     }
-    return candidates.size() <= kFewestNodes ? 0 : candidates[target % candidates.size()];
+    return candidates.size() <= kMinimumNodes ? 0 : candidates[target % candidates.size()];
   }
 
   void disturb(const FuzzStep& step) {
@@ -174,7 +173,7 @@
   }
 
   void join() {
-    for (uint32_t id = 1; id <= kMostNodes; ++id) {
+    for (uint32_t id = 1; id <= kMaximumNodes; ++id) {
       if (!region().isRunning(id)) {
         std::erase(leaving_, id);
         region().startNode(id, RegionScenario::zoneOf(id));
--- a/test/common/shard/region_property.cc
+++ b/test/common/shard/region_property.cc
@@ -1,9 +1,9 @@
-/** @file Stateful fuzzing of whole regions against the oracle. */
+/** @file Stateful fuzzing of regions against the oracle. */
 #include <rapidcheck.h>
 
 #include "region_fuzzer.h"
 
-// Last, because its macros replace operator new.
+// Included last because its macros replace operator new.
 #include <CppUTest/TestHarness.h>
 
 using namespace umberhold;
@@ -12,7 +12,7 @@
 
 constexpr uint32_t kAmpleLimit = 2000;
 constexpr uint32_t kScarceLimit = 60;
-constexpr size_t kMostSteps = 8;
+constexpr size_t kMaximumSteps = 8;
 
 rc::Gen<std::vector<FuzzStep>> stepsUpTo(int disturbances) {
   const auto step = rc::gen::build<FuzzStep>(
@@ -21,7 +21,7 @@
                                 [](int number) { return static_cast<Disturbance>(number); })),
       rc::gen::set(&FuzzStep::target, rc::gen::inRange<uint32_t>(0, 100)),
       rc::gen::set(&FuzzStep::milliseconds, rc::gen::inRange<uint32_t>(0, 5000)));
-  return rc::gen::mapcat(rc::gen::inRange<size_t>(1, kMostSteps), [step](size_t count) {
+  return rc::gen::mapcat(rc::gen::inRange<size_t>(1, kMaximumSteps), [step](size_t count) {
     return rc::gen::container<std::vector<FuzzStep>>(count, step);
   });
 }
@@ -31,7 +31,7 @@
 TEST_GROUP(RegionFuzzing){};
 
 TEST(RegionFuzzing, PlannedChangesBreakNoTcpFlow) {
-  // rapidcheck keeps lazily made statics.
+  // rapidcheck keeps lazily initialised statics.
   IGNORE_ALL_LEAKS_IN_TEST();
   CHECK(rc::check("planned, TCP", [] {
     const auto steps = *stepsUpTo(kPlannedDisturbances);
@@ -52,14 +52,14 @@
                         kAmpleLimit);
     fuzzer.run(steps);
     RC_ASSERT(fuzzer.region().oracle().established() > 100U);
-    // New on a draining host: docs/DESIGN.md says when a UDP packet can't be told from an old
-    // flow's.
+    // kNewOnDraining is not checked: docs/DESIGN.md describes when a UDP packet cannot be
+    // distinguished from one of an existing flow.
     RC_ASSERT(fuzzer.region().oracle().broken() == 0U);
     RC_ASSERT(fuzzer.region().shardsWithOneOwner() == 3U);
   }));
 }
 
-TEST(RegionFuzzing, NoFaultMakesARefusalUntrueOrLeavesAShardWithoutOwner) {
+TEST(RegionFuzzing, FaultsCauseNoWrongRefusalAndNoShardWithoutOwner) {
   IGNORE_ALL_LEAKS_IN_TEST();
   CHECK(rc::check("unplanned, TCP", [] {
     const auto steps = *stepsUpTo(kAllDisturbances);
--- a/test/common/shard/region_scenario.h
+++ b/test/common/shard/region_scenario.h
@@ -1,4 +1,4 @@
-/** @file A region with one service and callers, ready for a test to disturb. */
+/** @file A region with one service and callers, as a basis for tests. */
 #pragma once
 
 #include <string>
@@ -25,13 +25,16 @@
   return service;
 }
 
-/** Six nodes in three zones, fifteen hosts. */
+/** Six nodes in three zones, and fifteen hosts by default. */
 class RegionScenario {
  public:
   static constexpr uint32_t kNodes = 6;
   static constexpr uint32_t kZones = 3;
 
-  /** What there is first: nodes that see the service being created, or a service that they find. */
+  /**
+   * The order of creation: the nodes observe the creation of the service, or the service exists
+   * first.
+   */
   enum class Start : uint8_t { kNodesFirst, kServiceFirst };
 
   explicit RegionScenario(RegionOptions options, CallerLoadOptions load = {}, uint32_t hosts = 15,
@@ -43,7 +46,7 @@
     for (uint32_t id = 1; id <= kNodes; ++id) {
       region.startNode(id, zoneOf(id));
       if (start == Start::kServiceFirst) {
-        // A node is ready only when it has met the others.
+        // A node becomes ready only after it has contacted the others.
         region.runFor(std::chrono::seconds(1));
       }
     }
--- a/test/common/shard/region_test.cc
+++ b/test/common/shard/region_test.cc
@@ -1,7 +1,7 @@
-/** @file Whole regions under planned and unplanned changes, watched by the oracle. */
+/** @file Regions under planned and unplanned changes, checked by the oracle. */
 #include "region_scenario.h"
 
-// Last, because its macros replace operator new.
+// Included last because its macros replace operator new.
 #include <CppUTest/TestHarness.h>
 
 using namespace umberhold;
@@ -18,7 +18,7 @@
 
 TEST_GROUP(Region){};
 
-TEST(Region, EveryShardHasOneOwnerAndTheFirstPacketsArrive) {
+TEST(Region, EveryShardHasOneOwnerAndFlowsAreEstablished) {
   RegionScenario scenario(seeded(1));
   scenario.region.runFor(std::chrono::seconds(10));
   CHECK_EQUAL(3U, scenario.region.shardsWithOneOwner());
@@ -27,10 +27,10 @@
 }
 
 /**
- * Found by fuzzing: a simulated node was alive before it knew any other one, and owned all shards
- * beside the others.
+ * A simulated node was alive before it had contacted any other one, and owned all shards in
+ * parallel with the other nodes.
  */
-TEST(Region, NodesThatStartTogetherBuildEachShardOnce) {
+TEST(Region, NodesThatStartTogetherCreateEachShardOnce) {
   constexpr uint64_t kSeed = 94151;
   RegionScenario scenario(seeded(kSeed));
   scenario.region.runFor(std::chrono::seconds(20));
@@ -43,7 +43,7 @@
   CHECK(scenario.region.oracle().violations().empty());
 }
 
-TEST(Region, JoinerOwnsNothingAndGetsNoPacketBeforeItHasJoined) {
+TEST(Region, JoiningNodeOwnsNoShardAndReceivesNoPacket) {
   RegionScenario scenario(seeded(5));
   scenario.region.cutZone(RegionScenario::zoneOf(7));
   for (const uint32_t id : scenario.region.runningNodes()) {
@@ -72,7 +72,7 @@
   CHECK_EQUAL(3U, scenario.region.shardsWithOneOwner());
 }
 
-TEST(Region, RestartingEveryNodeOnALossyNetworkBreaksNoFlow) {
+TEST(Region, RestartingEveryNodeOnLossyNetworkBreaksNoFlow) {
   RegionOptions options = seeded(3);
   options.faults =
       NetworkFaults{0.1, 0.1, std::chrono::microseconds(100), std::chrono::milliseconds(30)};
@@ -86,7 +86,7 @@
   CHECK(scenario.region.oracle().violations().empty());
 }
 
-TEST(Region, DeathOfAnOwnerBreaksLessThanOneFlowInAThousand) {
+TEST(Region, DeathOfOwnerBreaksFewerThanOneFlowInAThousand) {
   uint64_t established = 0;
   uint64_t broken = 0;
   for (uint64_t seed = 10; seed < 15; ++seed) {
@@ -102,7 +102,7 @@
   CHECK(broken * 1000 < established);
 }
 
-TEST(Region, DrainingHostsGetNoNewFlowAndKeepTheirOwn) {
+TEST(Region, DrainingHostsGetNoNewFlowsAndKeepExistingOnes) {
   RegionScenario scenario(seeded(4));
   scenario.region.runFor(std::chrono::seconds(20));
   Service service = scenario.region.service();
@@ -118,8 +118,8 @@
   CHECK(scenario.region.oracle().violations().empty());
 }
 
-/** Found by fuzzing: the new owner dropped flows on hosts that it had not heard of yet. */
-TEST(Region, NewOwnerKeepsFlowsOnHostsThatItHasNotHeardOf) {
+/** The new owner dropped flows of hosts whose configuration it had not received yet. */
+TEST(Region, NewOwnerKeepsFlowsOnHostsMissingFromItsConfiguration) {
   RegionOptions options = seeded(25);
   options.lags.configuration = std::chrono::seconds(8);
   RegionScenario scenario(options);
@@ -141,8 +141,8 @@
   CHECK(scenario.region.oracle().violations().empty());
 }
 
-/** Found by fuzzing: members cut off from all holders of a shard took it for a new one. */
-TEST(Region, CutOffMembersDoNotStartAShardAnew) {
+/** Members that were partitioned from all holders of a shard took it for a new one. */
+TEST(Region, PartitionedMembersDoNotCreateExistingShard) {
   RegionScenario scenario(seeded(30));
   scenario.region.runFor(std::chrono::seconds(10));
   scenario.region.cutZone(1);
@@ -157,9 +157,8 @@
   CHECK_EQUAL(3U, scenario.region.shardsWithOneOwner());
 }
 
-/** Found by fuzzing: a death right after a heal was older news than the heal, so nobody heard it.
- */
-TEST(Region, DeathRightAfterAHealIsHeard) {
+/** A death right after a heal was older than the heal's update, so it was not propagated. */
+TEST(Region, DetectsDeathRightAfterHeal) {
   RegionScenario scenario(seeded(6));
   scenario.region.runFor(std::chrono::seconds(10));
   const uint32_t owner = scenario.ownerOf(0);
