--- a/test/common/shard/replication_log_test.cc
+++ b/test/common/shard/replication_log_test.cc
@@ -1,4 +1,6 @@
-/** @file The owner's log and the replica's copy: few datagrams, and the same flows at both ends. */
+/**
+ * @file The owner's log and the replica's copy: few datagrams, and identical flows on both sides.
+ */
 #include "common/shard/replication_log.h"
 
 #include <unordered_map>
@@ -7,7 +9,7 @@
 #include "common/shard/replica_copy.h"
 #include "common/shard/snapshot.h"
 
-// Last, because its macros replace operator new.
+// Included last because its macros replace operator new.
 #include <CppUTest/TestHarness.h>
 
 using namespace umberhold;
@@ -43,19 +45,19 @@
     log.onSnapshotDelivered(now);
   }
   void add(uint64_t flow, uint64_t host = 1) {
-    log.added(now, PinnedFlow{FlowHash{flow}, HostId{host}});
+    log.appendAdded(now, PinnedFlow{FlowHash{flow}, HostId{host}});
   }
   void remove(uint64_t flow) {
-    log.removed(now, FlowHash{flow});
+    log.appendRemoved(now, FlowHash{flow});
   }
   std::optional<ReplicaAppend> poll() {
     return log.poll(now, budget, kShard, kEpoch);
   }
-  /** The batch arrives, and so does its acknowledgement. */
+  /** Delivers the batch and its acknowledgement. */
   void deliver(const ReplicaAppend& batch) {
     log.onAck(now, copy.onAppend(now, kOwner, batch).nextSequence);
   }
-  std::unordered_map<FlowHash, HostId> copied() const {
+  std::unordered_map<FlowHash, HostId> replicatedFlows() const {
     std::unordered_map<FlowHash, HostId> flows;
     for (const PinnedFlow& pinned : copy.content().pinned) {
       flows[pinned.flow] = pinned.host;
@@ -64,8 +66,8 @@
   }
 };
 
-/** Flows come and go in turn all the time; each datagram costs more than several changes. */
-TEST(ReplicationLog, ChangesOfDifferentFlowsShareADatagramInAnyOrder) {
+/** Flows start and end alternately; a datagram costs more than several changes. */
+TEST(ReplicationLog, ChangesOfDifferentFlowsShareDatagramInAnyOrder) {
   for (uint64_t flow = 1; flow <= 10; ++flow) {
     add(flow);
     remove(100 + flow);
@@ -74,10 +76,10 @@
   CHECK_EQUAL(20U, changesOf(*batch));
   deliver(*batch);
   CHECK_EQUAL(0U, log.pending());
-  CHECK_EQUAL(10U, copied().size());
+  CHECK_EQUAL(10U, replicatedFlows().size());
 }
 
-TEST(ReplicationLog, AFlowThatLeavesAndReturnsWaitsForTheNextDatagram) {
+TEST(ReplicationLog, FlowRemovedAndAddedAgainWaitsForNextDatagram) {
   add(1, 5);
   remove(1);
   add(1, 6);
@@ -85,18 +87,18 @@
   const auto first = poll();
   CHECK_EQUAL(2U, changesOf(*first));
   deliver(*first);
-  CHECK(copied().empty());
+  CHECK(replicatedFlows().empty());
   const auto second = poll();
   deliver(*second);
-  CHECK(copied().at(FlowHash{1}) == HostId{6});
-  CHECK_EQUAL(2U, copied().size());
+  CHECK(replicatedFlows().at(FlowHash{1}) == HostId{6});
+  CHECK_EQUAL(2U, replicatedFlows().size());
 }
 
-TEST(ReplicationLog, AResentDatagramThatGrewMeanwhileIsTakenWhole) {
+TEST(ReplicationLog, AppliesResentDatagramWithAdditionalChanges) {
   add(1);
   remove(50);
   const auto first = poll();
-  copy.onAppend(now, kOwner, *first);  // Arrives; the acknowledgement is lost.
+  copy.onAppend(now, kOwner, *first);  // Delivered, but the acknowledgement is lost.
   add(2);
   remove(51);
   add(3);
@@ -104,29 +106,29 @@
   const auto again = poll();
   CHECK_EQUAL(5U, changesOf(*again));
   deliver(*again);
-  CHECK_EQUAL(3U, copied().size());
+  CHECK_EQUAL(3U, replicatedFlows().size());
   CHECK_EQUAL(0U, log.pending());
 }
 
-TEST(ReplicationLog, TheCopyFollowsThroughLossRepetitionAndDelay) {
-  constexpr uint64_t kFlows = 12;  // Few, so that flows return often.
+TEST(ReplicationLog, CopyConvergesDespiteLossDuplicationAndDelay) {
+  constexpr uint64_t kFlows = 12;  // Few, so that flows are added again often.
   for (const uint64_t seed : {1, 2, 3, 4, 5, 6, 7, 8}) {
     RandomSource random(seed);
-    std::unordered_map<FlowHash, HostId> truth = copied();
-    std::vector<ReplicaAppend> late;
+    std::unordered_map<FlowHash, HostId> expected = replicatedFlows();
+    std::vector<ReplicaAppend> delayed;
     for (int step = 0; step < 3000; ++step) {
       now += std::chrono::milliseconds(40);
       const FlowHash flow{random.below(kFlows)};
       const HostId host{1 + random.below(3)};
-      if (truth.erase(flow) > 0) {
-        log.removed(now, flow);
+      if (expected.erase(flow) > 0) {
+        log.appendRemoved(now, flow);
       } else {
-        truth[flow] = host;
-        log.added(now, PinnedFlow{flow, host});
+        expected[flow] = host;
+        log.appendAdded(now, PinnedFlow{flow, host});
       }
       const auto batch = poll();
       if (batch && random.unit() < 0.3) {
-        late.push_back(*batch);
+        delayed.push_back(*batch);
       }
       if (batch && random.unit() < 0.6) {
         const ReplicaAck ack = copy.onAppend(now, kOwner, *batch);
@@ -134,27 +136,27 @@
           log.onAck(now, ack.nextSequence);
         }
       }
-      if (!late.empty() && random.unit() < 0.2) {
-        copy.onAppend(now, kOwner, late[random.below(late.size())]);
+      if (!delayed.empty() && random.unit() < 0.2) {
+        copy.onAppend(now, kOwner, delayed[random.below(delayed.size())]);
       }
     }
     while (log.pending() > 0) {
       now += std::chrono::seconds(4);
       deliver(*poll());
     }
-    CHECK(truth == copied());
+    CHECK(expected == replicatedFlows());
   }
 }
 
 /**
- * Two shards of one owner share its budget: 17 exceptions a second with their ends, in datagrams
- * that have a fixed part. The log whose change waits longest goes first, as on a node.
+ * Two shards of one owner share its budget: 17 exceptions per second and their ends, in datagrams
+ * that have a fixed overhead. The log with the oldest pending change is served first, as on a node.
  */
 TEST(ReplicationLog, KeepsUpWithTwoBusyShardsOnTheUsualBudget) {
   constexpr auto kStep = std::chrono::milliseconds(5);
-  constexpr auto kEvery = std::chrono::milliseconds(60);
-  constexpr uint64_t kLife = 130;
-  ByteBudget usual{ByteBudgetOptions{}};
+  constexpr auto kFlowInterval = std::chrono::milliseconds(60);
+  constexpr uint64_t kLiveFlows = 130;
+  ByteBudget defaultBudget{ByteBudgetOptions{}};
   ReplicationLog logs[2];
   for (ReplicationLog& each : logs) {
     each.reset(now);
@@ -167,18 +169,18 @@
   const TimePoint end = now + std::chrono::seconds(60);
   for (; now < end; now += kStep) {
     if (now >= nextFlow) {
-      nextFlow += kEvery;
+      nextFlow += kFlowInterval;
       ++flow;
-      logs[flow % 2].added(now, PinnedFlow{FlowHash{flow}, HostId{flow % 15}});
-      if (flow > kLife) {
-        logs[flow % 2].removed(now, FlowHash{flow - kLife});
+      logs[flow % 2].appendAdded(now, PinnedFlow{FlowHash{flow}, HostId{flow % 15}});
+      if (flow > kLiveFlows) {
+        logs[flow % 2].appendRemoved(now, FlowHash{flow - kLiveFlows});
       }
     }
     const bool secondFirst = logs[1].oldestUrgentChangeTime() < logs[0].oldestUrgentChangeTime();
     for (const size_t index : {secondFirst ? 1U : 0U, secondFirst ? 0U : 1U}) {
       ReplicationLog& each = logs[index];
       stepsBehind += each.current(now) ? 0 : 1;
-      const auto batch = each.poll(now, usual, kShard, kEpoch);
+      const auto batch = each.poll(now, defaultBudget, kShard, kEpoch);
       if (batch) {
         each.onAck(now, each.firstSequence() + static_cast<uint32_t>(changesOf(*batch)));
       }
@@ -187,8 +189,8 @@
   LONGS_EQUAL(0, stepsBehind);
 }
 
-/** A log with little to say must not take the bytes that another one saves up for. */
-TEST(ReplicationLog, ALargeBatchGoesBeforeTheBytesForAllOfItAreThere) {
+/** A log with few changes must not use up the bytes that another log waits for. */
+TEST(ReplicationLog, SendsLargeBatchBeforeBudgetCoversAllOfIt) {
   constexpr double kPerSecond = 600.0;
   ByteBudget scarce{{kPerSecond, kPerSecond}};
   scarce.spend(now, kPerSecond - 1.0);
@@ -204,13 +206,13 @@
   CHECK_FALSE(log.poll(now, scarce, kShard, kEpoch).has_value());
 }
 
-TEST(ReplicationLog, AnAddedFlowIsToldAtOnce) {
+TEST(ReplicationLog, SendsAddedFlowAtOnce) {
   add(1);
   CHECK_TRUE(poll().has_value());
 }
 
-/** What a replica still pins of a flow that ended does no harm for a moment. */
-TEST(ReplicationLog, RemovalsAloneWaitForCompanyButNotForLong) {
+/** A replica that pins an ended flow a little longer does no harm. */
+TEST(ReplicationLog, DelaysRemovalsAloneUpToMaximum) {
   remove(1);
   CHECK_TRUE(log.oldestUrgentChangeTime() == TimePoint::max());
   CHECK_FALSE(poll().has_value());
@@ -225,8 +227,8 @@
   CHECK_EQUAL(1U, changesOf(*poll()));
 }
 
-/** Whether another owner refuses the flow, too, depends on it. */
-TEST(ReplicationLog, ARefusalIsToldAtOnce) {
-  log.refused(now, FlowHash{1});
+/** Another owner needs it to refuse the same flow. */
+TEST(ReplicationLog, SendsRefusalAtOnce) {
+  log.appendRefused(now, FlowHash{1});
   CHECK_TRUE(poll().has_value());
 }
--- a/test/common/shard/shard_director_test.cc
+++ b/test/common/shard/shard_director_test.cc
@@ -1,4 +1,4 @@
-/** @file One ShardDirector by itself. */
+/** @file Tests of a single ShardDirector. */
 #include "common/shard/shard_director.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 #include "standins/flows/simulated_node.h"
 
-// Last, because its macros replace operator new.
+// Included last because its macros replace operator new.
 #include <CppUTest/TestHarness.h>
 
 using namespace umberhold;
@@ -17,8 +17,8 @@
 namespace {
 
 constexpr NodeId kSelf{1};
-constexpr NodeId kAsker{3};
-constexpr NodeId kNewcomer{9};
+constexpr NodeId kRequester{3};
+constexpr NodeId kNewNode{9};
 const ShardId kShard{ServiceId{7}, 0};
 
 Endpoint endpointOf(NodeId node) {
@@ -26,9 +26,9 @@
   return Endpoint{kNetwork + static_cast<uint32_t>(node.value), 7001};
 }
 
-/** A director whose view holds its own node alone, with one service of one shard. */
-struct LoneNode {
-  LoneNode() {
+/** A director whose view contains only its own node, and one service with one shard. */
+struct SingleNode {
+  SingleNode() {
     Service service;
     service.name = "one";
     service.shardCount = 1;
@@ -47,20 +47,20 @@
     director.onMessage(now, endpointOf(sender), sender, Message{std::move(body)});
   }
 
-  /** @return the answer to a request, if there is one. */
-  std::optional<TakeoverReply> ask(NodeId asker, uint32_t epoch) {
+  /** Sends a takeover request. @return the reply, if there is one. */
+  std::optional<TakeoverReply> requestTakeover(NodeId requester, uint32_t epoch) {
     sent.clear();
-    deliver(asker, TakeoverRequest{kShard, 1, epoch});
+    deliver(requester, TakeoverRequest{kShard, 1, epoch});
     for (const auto& [to, message] : sent) {
       const auto* reply = std::get_if<TakeoverReply>(&message.body);
-      if (reply != nullptr && to == endpointOf(asker)) {
+      if (reply != nullptr && to == endpointOf(requester)) {
         return *reply;
       }
     }
     return std::nullopt;
   }
 
-  /** Lets it find out that it is to own the shard, and ask. */
+  /** Runs several ticks, in which the node detects its assignment and runs the takeover. */
   void tick() {
     constexpr int kTicks = 3;
     for (int count = 0; count < kTicks; ++count) {
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Makes this node a replica of the owner's shard, which is empty. */
+  /** Makes this node a replica of the owner's empty shard. */
   void becomeReplicaOf(NodeId owner) {
     SnapshotChunk chunk;
     chunk.shard = kShard;
@@ -90,7 +90,7 @@
     director.onServiceChanged(now, kShard.service);
   }
 
-  /** Opens a flow, for which this node makes an entry. */
+  /** Opens a flow, for which this node creates an entry. */
   void openFlow() {
     FlowPacket packet;
     packet.hash = FlowHash{1};
@@ -99,15 +99,15 @@
     director.decide(now, packet, "packet");
   }
 
-  /** The node hears of another one and leaves. */
-  void leaveBeside(NodeId other) {
-    Member newcomer;
-    newcomer.id = other;
-    newcomer.address = endpointOf(other).address;
-    newcomer.controlPort = endpointOf(other).port;
-    newcomer.state = MemberState::kAlive;
-    view.apply(newcomer);
-    director.onMemberChanged(newcomer);
+  /** Adds another member to the view and starts leaving. */
+  void leaveWithPeer(NodeId other) {
+    Member newMember;
+    newMember.id = other;
+    newMember.address = endpointOf(other).address;
+    newMember.controlPort = endpointOf(other).port;
+    newMember.state = MemberState::kAlive;
+    view.apply(newMember);
+    director.onMemberChanged(newMember);
     Member leaving = member();
     leaving.state = MemberState::kLeaving;
     view.apply(leaving);
@@ -116,7 +116,7 @@
   }
 
   /** @return the last notice that was sent to the node, if there is one. */
-  std::optional<OwnershipNotice> noticeTo(NodeId node) const {
+  std::optional<OwnershipNotice> lastNoticeTo(NodeId node) const {
     std::optional<OwnershipNotice> last;
     for (const auto& [to, message] : sent) {
       const auto* notice = std::get_if<OwnershipNotice>(&message.body);
@@ -142,8 +142,8 @@
 
 TEST_GROUP(ShardDirector){};
 
-/** Found by fuzzing: the owner could not answer a joiner that its view did not hold yet. */
-TEST(ShardDirector, AnswersAMemberThatItsViewDoesNotHoldYet) {
+/** The owner could not reply to a joining node that its view did not contain yet. */
+TEST(ShardDirector, RepliesToMemberMissingFromView) {
   Member self;
   self.id = NodeId{1};
   SimulatedView view(self);
@@ -156,110 +156,118 @@
 
   TakeoverRequest request;
   request.shard = ShardId{ServiceId{7}, 0};
-  const Endpoint stranger{0x0A000009, 7001};
-  director.onMessage(TimePoint(std::chrono::seconds(1)), stranger, NodeId{9}, Message{request});
+  const Endpoint unknownSender{0x0A000009, 7001};
+  director.onMessage(TimePoint(std::chrono::seconds(1)), unknownSender, NodeId{9},
+                     Message{request});
 
   CHECK_EQUAL(1U, receivers.size());
-  CHECK(receivers.front() == stranger);
+  CHECK(receivers.front() == unknownSender);
 }
 
-/** Found by fuzzing: an asker that does not hear whose copy it is takes it beside its owner. */
-TEST(ShardDirector, ReplicaNamesItsOwnerThatTheViewLacks) {
-  LoneNode node;
-  node.becomeReplicaOf(kNewcomer);
-  const auto reply = node.ask(kAsker, 0);
+/**
+ * A requester that does not receive the owner's identity takes over the replica's copy although the
+ * owner is alive.
+ */
+TEST(ShardDirector, ReplicaReportsOwnerMissingFromView) {
+  SingleNode node;
+  node.becomeReplicaOf(kNewNode);
+  const auto reply = node.requestTakeover(kRequester, 0);
   CHECK(reply.has_value());
   CHECK(reply->role == HeldRole::kReplica);
-  CHECK(reply->successor == kNewcomer);
+  CHECK(reply->successor == kNewNode);
 }
 
-TEST(ShardDirector, ReplicaAsksItsOwnerThatTheViewLacksBeforeItTakesTheCopy) {
-  LoneNode node;
-  node.becomeReplicaOf(kNewcomer);
+TEST(ShardDirector, ReplicaQueriesOwnerMissingFromViewBeforeTakeover) {
+  SingleNode node;
+  node.becomeReplicaOf(kNewNode);
   node.sent.clear();
   node.tick();
-  const bool asked = std::any_of(node.sent.begin(), node.sent.end(), [](const auto& entry) {
-    return entry.first == endpointOf(kNewcomer) &&
+  const bool wasAsked = std::any_of(node.sent.begin(), node.sent.end(), [](const auto& entry) {
+    return entry.first == endpointOf(kNewNode) &&
            std::holds_alternative<TakeoverRequest>(entry.second.body);
   });
-  CHECK(asked);
+  CHECK(wasAsked);
   CHECK_EQUAL(0U, node.director.ownedShards());
 }
 
-/** Found by fuzzing: the former owner named each asker as successor, and so there were two. */
-TEST(ShardDirector, FormerOwnerNamesTheSuccessorThatItsViewLacks) {
+/** The former owner reported each requester as successor, so that there were two. */
+TEST(ShardDirector, FormerOwnerReportsSuccessorMissingFromView) {
   constexpr uint32_t kNewerEpoch = 100;
-  LoneNode node;
+  SingleNode node;
   node.tick();
   CHECK_EQUAL(1U, node.director.ownedShards());
-  const auto released = node.ask(kNewcomer, kNewerEpoch);
+  const auto released = node.requestTakeover(kNewNode, kNewerEpoch);
   CHECK(released.has_value());
   CHECK(released->role == HeldRole::kOwner);
-  const auto reply = node.ask(kAsker, 0);
+  const auto reply = node.requestTakeover(kRequester, 0);
   CHECK(reply.has_value());
   CHECK(reply->role == HeldRole::kReleased);
-  CHECK(reply->successor == kNewcomer);
+  CHECK(reply->successor == kNewNode);
 }
 
 /**
- * Found with real processes: while views differed a former owner asked for the shard back, missed
- * that its successor had taken it, and gave its state of long ago to a node on its side of a cut.
+ * While views differed, a former owner requested the shard back, missed that its successor had
+ * taken it over, and gave its outdated state to a node on its side of a partition.
  */
-TEST(ShardDirector, FormerOwnerThatAsksForTheShardBackKnowsThatItIsGone) {
+TEST(ShardDirector, FormerOwnerThatRequestsShardBackOffersNoOutdatedState) {
   constexpr uint32_t kNewerEpoch = 100;
   constexpr uint32_t kAttempt = 1;
   for (const bool lastAcknowledgementArrives : {true, false}) {
-    LoneNode node;
+    SingleNode node;
     node.tick();
-    CHECK(node.ask(kNewcomer, kNewerEpoch)->role == HeldRole::kOwner);
+    CHECK(node.requestTakeover(kNewNode, kNewerEpoch)->role == HeldRole::kOwner);
     node.tick();
-    node.deliver(kNewcomer, SnapshotAck{kShard, SnapshotPurpose::kTakeover, kAttempt, 0});
+    node.deliver(kNewNode, SnapshotAck{kShard, SnapshotPurpose::kTakeover, kAttempt, 0});
     if (lastAcknowledgementArrives) {
       node.tick();
-      node.deliver(kNewcomer, SnapshotAck{kShard, SnapshotPurpose::kTakeover, kAttempt, 1});
+      node.deliver(kNewNode, SnapshotAck{kShard, SnapshotPurpose::kTakeover, kAttempt, 1});
     } else {
-      node.deliver(kNewcomer, OwnershipNotice{kShard, kNewerEpoch + 1, false});
+      node.deliver(kNewNode, OwnershipNotice{kShard, kNewerEpoch + 1, false});
     }
     Member dead;
     dead.id = NodeId{5};
     dead.state = MemberState::kDead;
     node.director.onMemberChanged(dead);
-    const auto reply = node.ask(kAsker, 0);
+    const auto reply = node.requestTakeover(kRequester, 0);
     CHECK(reply.has_value());
     CHECK(reply->role == HeldRole::kNothing);
   }
 }
 
-/** Found with real processes: two nodes built one shard, and the one that gave way served its empty
- * state to its side of a cut while the other lived on the far side. */
-TEST(ShardDirector, OwnerThatGaveWayKeepsItsStateToItselfWhileTheNewerOneMayLive) {
-  LoneNode node;
+/**
+ * Two nodes created the same shard, and the fenced one served its empty state to its side of a
+ * partition while the other was alive on the far side.
+ */
+TEST(ShardDirector, FencedOwnerOffersNoStateWhileNewerOwnerMayBeAlive) {
+  SingleNode node;
   node.tick();
   CHECK_EQUAL(1U, node.director.ownedShards());
-  node.deliver(kNewcomer, OwnershipNotice{kShard, 5, false});
+  node.deliver(kNewNode, OwnershipNotice{kShard, 5, false});
   CHECK_EQUAL(0U, node.director.ownedShards());
-  CHECK(node.ask(kAsker, 0)->role == HeldRole::kReleased);
+  CHECK(node.requestTakeover(kRequester, 0)->role == HeldRole::kReleased);
   Member dead;
   dead.id = NodeId{5};
   dead.state = MemberState::kDead;
   node.director.onMemberChanged(dead);
-  CHECK(node.ask(kAsker, 0)->role == HeldRole::kNothing);
+  CHECK(node.requestTakeover(kRequester, 0)->role == HeldRole::kNothing);
 }
 
-/** Found with real processes: nobody fetched the empty state of an owner that had given way to one
- * of the same epoch, and its planned stop waited for that until its limit. */
-TEST(ShardDirector, OwnerThatGaveWayWithoutFlowsHoldsNoLeaveUp) {
-  LoneNode node;
+/**
+ * The empty state of an owner fenced by another one of the same epoch was never fetched, and the
+ * planned stop waited for it until its limit.
+ */
+TEST(ShardDirector, FencedOwnerWithoutFlowsDoesNotDelayLeave) {
+  SingleNode node;
   node.tick();
   CHECK_EQUAL(1U, node.director.ownedShards());
-  node.deliver(kNewcomer, OwnershipNotice{kShard, 1, false});
+  node.deliver(kNewNode, OwnershipNotice{kShard, 1, false});
   CHECK_EQUAL(0U, node.director.ownedShards());
-  Member newcomer;
-  newcomer.id = kNewcomer;
-  newcomer.state = MemberState::kAlive;
-  node.view.apply(newcomer);
-  node.director.onMemberChanged(newcomer);
-  Member leaving = LoneNode::member();
+  Member newMember;
+  newMember.id = kNewNode;
+  newMember.state = MemberState::kAlive;
+  node.view.apply(newMember);
+  node.director.onMemberChanged(newMember);
+  Member leaving = SingleNode::member();
   leaving.state = MemberState::kLeaving;
   node.view.apply(leaving);
   node.director.onMemberChanged(leaving);
@@ -268,54 +276,58 @@
   CHECK(node.director.pendingHandovers().empty());
 }
 
-/** Found with whole cores: an owner that had given way to one of the same epoch kept its planned
- * stop waiting until the limit for flows that nobody fetches. */
-TEST(ShardDirector, OwnerThatGaveWayWithFlowsHoldsALeaveUpForItsNoticesOnly) {
+/**
+ * An owner fenced by another one of the same epoch delayed its planned stop until the limit for
+ * flows that are never fetched.
+ */
+TEST(ShardDirector, FencedOwnerWithFlowsDelaysLeaveOnlyForNotices) {
   constexpr auto kNoticeTime = std::chrono::seconds(5);
-  LoneNode node;
+  SingleNode node;
   node.addHost();
   node.tick();
   node.openFlow();
-  node.deliver(kNewcomer, OwnershipNotice{kShard, 1, false});
-  node.leaveBeside(kNewcomer);
+  node.deliver(kNewNode, OwnershipNotice{kShard, 1, false});
+  node.leaveWithPeer(kNewNode);
   CHECK_EQUAL(1U, node.director.pendingHandovers().size());
   CHECK_EQUAL(1U, node.director.pendingHandovers().front().flows);
   CHECK(node.director.pendingHandovers().front().fenced);
   node.sent.clear();
   node.tick();
-  CHECK(node.noticeTo(kNewcomer)->holdsFlows);
+  CHECK(node.lastNoticeTo(kNewNode)->holdsFlows);
   node.now += kNoticeTime;
   node.tick();
   CHECK(node.director.handedOver());
 }
 
-/** Found with whole cores: the last acknowledgement of a fetch was lost, and no message of the new
- * owner reached the one that was leaving. */
-TEST(ShardDirector, LeavingNodeAsksWhetherItsStateWasFetched) {
-  LoneNode node;
+/**
+ * The last acknowledgement of a fetch was lost, and no message of the new owner reached the leaving
+ * node.
+ */
+TEST(ShardDirector, LeavingNodeQueriesWhetherStateWasFetched) {
+  SingleNode node;
   node.tick();
-  node.leaveBeside(kNewcomer);
-  CHECK(node.ask(kNewcomer, 0)->role == HeldRole::kOwner);
+  node.leaveWithPeer(kNewNode);
+  CHECK(node.requestTakeover(kNewNode, 0)->role == HeldRole::kOwner);
   CHECK_EQUAL(1U, node.director.pendingHandovers().size());
   node.sent.clear();
   node.now += std::chrono::seconds(1);
   node.tick();
-  const auto asked = node.noticeTo(kNewcomer);
-  CHECK(asked.has_value());
-  CHECK_FALSE(asked->holdsFlows);
-  node.deliver(kNewcomer, OwnershipNotice{kShard, asked->epoch + 1, false});
+  const auto wasAsked = node.lastNoticeTo(kNewNode);
+  CHECK(wasAsked.has_value());
+  CHECK_FALSE(wasAsked->holdsFlows);
+  node.deliver(kNewNode, OwnershipNotice{kShard, wasAsked->epoch + 1, false});
   CHECK(node.director.handedOver());
 }
 
-TEST(ShardDirector, TellsWhatALeaveWaitsFor) {
-  LoneNode node;
+TEST(ShardDirector, ReportsPendingHandoversOfLeave) {
+  SingleNode node;
   node.tick();
-  Member newcomer;
-  newcomer.id = kNewcomer;
-  newcomer.state = MemberState::kAlive;
-  node.view.apply(newcomer);
-  node.director.onMemberChanged(newcomer);
-  Member leaving = LoneNode::member();
+  Member newMember;
+  newMember.id = kNewNode;
+  newMember.state = MemberState::kAlive;
+  node.view.apply(newMember);
+  node.director.onMemberChanged(newMember);
+  Member leaving = SingleNode::member();
   leaving.state = MemberState::kLeaving;
   node.view.apply(leaving);
   node.director.onMemberChanged(leaving);
--- a/test/common/shard/shard_map_property.cc
+++ b/test/common/shard/shard_map_property.cc
@@ -1,4 +1,4 @@
-/** @file The incremental shard map against ranking from scratch. */
+/** @file The incremental shard map compared with a complete ranking. */
 #include <rapidcheck.h>
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 #include "common/shard/shard_map.h"
 
-// Last, because its macros replace operator new.
+// Included last because its macros replace operator new.
 #include <CppUTest/TestHarness.h>
 
 using namespace umberhold;
@@ -29,9 +29,9 @@
   return member.state == MemberState::kAlive || member.state == MemberState::kSuspect;
 }
 
-/** Ranks all members again, straight from the definition in docs/DESIGN.md. */
+/** Ranks all members again, directly by the definition in docs/DESIGN.md. */
 std::optional<ShardAssignment> rankFromScratch(const ShardId& shard,
-                                         const std::map<uint32_t, Member>& members) {
+                                               const std::map<uint32_t, Member>& members) {
   std::vector<Member> ranked;
   for (const auto& [id, member] : members) {
     if (live(member)) {
@@ -44,26 +44,26 @@
   std::sort(ranked.begin(), ranked.end(), [&](const Member& left, const Member& right) {
     return ShardMap::score(shard, left.id) > ShardMap::score(shard, right.id);
   });
-  ShardAssignment named{ranked[0].id, std::nullopt};
-  for (size_t rank = 1; rank < ranked.size() && !named.replica; ++rank) {
+  ShardAssignment assignment{ranked[0].id, std::nullopt};
+  for (size_t rank = 1; rank < ranked.size() && !assignment.replica; ++rank) {
     if (ranked[rank].zone != ranked[0].zone) {
-      named.replica = ranked[rank].id;
+      assignment.replica = ranked[rank].id;
     }
   }
-  if (!named.replica && ranked.size() > 1) {
-    named.replica = ranked[1].id;
+  if (!assignment.replica && ranked.size() > 1) {
+    assignment.replica = ranked[1].id;
   }
-  return named;
+  return assignment;
 }
 
 }  // namespace
 
 TEST_GROUP(ShardMap){};
 
-TEST(ShardMap, AnyOrderOfChangesEqualsRankingFromScratch) {
-  // rapidcheck keeps lazily made statics.
+TEST(ShardMap, IncrementalChangesEqualCompleteRanking) {
+  // rapidcheck keeps lazily initialised statics.
   IGNORE_ALL_LEAKS_IN_TEST();
-  const bool held = rc::check("incremental equals scratch", [] {
+  const bool passed = rc::check("incremental equals scratch", [] {
     ShardMap map(NodeId{1});
     map.setService(kService, kShards);
     std::map<uint32_t, Member> members;
@@ -80,13 +80,13 @@
       }
     }
   });
-  CHECK(held);
+  CHECK(passed);
 }
 
-TEST(ShardMap, ReportsEveryChangeThatConcernsThisNode) {
-  // rapidcheck keeps lazily made statics.
+TEST(ShardMap, ReportsEveryChangeOfOwnAssignments) {
+  // rapidcheck keeps lazily initialised statics.
   IGNORE_ALL_LEAKS_IN_TEST();
-  const bool held = rc::check("takeChanged is complete", [] {
+  const bool passed = rc::check("takeChangedShards is complete", [] {
     const NodeId self{1};
     ShardMap map(self);
     map.setService(kService, kShards);
@@ -102,18 +102,19 @@
       for (uint16_t index = 0; index < kShards; ++index) {
         const ShardId shard{kService, index};
         const auto after = map.lookup(shard);
-        const auto names = [&](const std::optional<ShardAssignment>& named) {
-          return named && (named->owner == self || named->replica == self);
+        const auto assignsSelf = [&](const std::optional<ShardAssignment>& assignment) {
+          return assignment && (assignment->owner == self || assignment->replica == self);
         };
         const bool reported = std::count(changed.begin(), changed.end(), shard) == 1;
-        RC_ASSERT(reported == (before[index] != after && (names(before[index]) || names(after))));
+        RC_ASSERT(reported ==
+                  (before[index] != after && (assignsSelf(before[index]) || assignsSelf(after))));
       }
     }
   });
-  CHECK(held);
+  CHECK(passed);
 }
 
-TEST(ShardMap, LossMovesOnlyShardsOfTheLostMember) {
+TEST(ShardMap, LossMovesOnlyShardsOfLostMember) {
   ShardMap map(NodeId{1});
   map.setService(kService, kShards);
   for (uint32_t id = 1; id <= 6; ++id) {
--- a/test/common/shard/start_together_test.cc
+++ b/test/common/shard/start_together_test.cc
@@ -1,19 +1,21 @@
-/** @file Nodes that start within a second and hear of each other unevenly. */
+/**
+ * @file Nodes that start within a few seconds and receive each other's joins in different order.
+ */
 #include <vector>
 
 #include "region_scenario.h"
 
-// Last, because its macros replace operator new.
+// Included last because its macros replace operator new.
 #include <CppUTest/TestHarness.h>
 
 using namespace umberhold;
 
 namespace {
 
-constexpr uint64_t kLongestGapMillis = 400;
+constexpr uint64_t kMaximumGapMilliseconds = 400;
 constexpr uint32_t kHosts = 15;
 
-/** @return owned shards whose owner knows all flows: no flow was placed yet. */
+/** @return the number of owned shards whose owner knows all flows: no flow was placed yet. */
 uint32_t shardsThatKnowAllFlows(uint64_t seed, Duration membershipLag) {
   RegionOptions options;
   options.seed = seed;
@@ -25,23 +27,23 @@
   RandomSource random(seed);
   for (uint32_t id = 1; id <= RegionScenario::kNodes; ++id) {
     region.startNode(id, RegionScenario::zoneOf(id));
-    region.runFor(std::chrono::milliseconds(random.below(kLongestGapMillis)));
+    region.runFor(std::chrono::milliseconds(random.below(kMaximumGapMilliseconds)));
   }
   region.runFor(std::chrono::seconds(10));
-  uint32_t know = 0;
+  uint32_t complete = 0;
   for (const uint32_t id : region.runningNodes()) {
     for (const ShardStats& stats : region.director(id)->shardStats(region.now())) {
-      know += stats.role == ShardRole::kOwner && stats.knowsAllFlows ? 1 : 0;
+      complete += stats.role == ShardRole::kOwner && stats.knowsAllFlows ? 1 : 0;
     }
   }
-  return know;
+  return complete;
 }
 
 }  // namespace
 
 TEST_GROUP(StartTogether){};
 
-/** Seeds in which an owner of the version before took a copy, or its own outdated state. */
+/** Seeds with which an owner took over a replica's copy or its own outdated state. */
 TEST(StartTogether, OwnersOfANewRegionKnowAllFlows) {
   for (const uint64_t seed : {12U, 39U, 43U, 51U}) {
     CHECK_EQUAL(3U, shardsThatKnowAllFlows(seed, std::chrono::milliseconds(600)));
--- a/test/common/shard/takeover_test.cc
+++ b/test/common/shard/takeover_test.cc
@@ -1,11 +1,13 @@
-/** @file Which state the acquiring side of a takeover picks, and what it may believe of it. */
+/**
+ * @file Which state the acquiring side of a takeover selects, and whether it counts as complete.
+ */
 #include "common/shard/takeover.h"
 
 #include <optional>
 #include <set>
 #include <vector>
 
-// Last, because its macros replace operator new.
+// Included last because its macros replace operator new.
 #include <CppUTest/TestHarness.h>
 
 using namespace umberhold;
@@ -13,27 +15,27 @@
 namespace {
 
 constexpr NodeId kSelf{1};
-constexpr NodeId kFormer{2};
+constexpr NodeId kFormerOwner{2};
 constexpr NodeId kOther{3};
-constexpr NodeId kNewcomer{4};
+constexpr NodeId kNewNode{4};
 constexpr uint32_t kAttempt = 1;
 constexpr Duration kStep = std::chrono::milliseconds(10);
 const ShardId kShard{ServiceId{7}, 0};
 
-/** One attempt of kSelf, whose view holds kFormer and kOther at first. */
+/** One attempt of kSelf, whose view initially contains kFormerOwner and kOther. */
 struct Attempt {
-  /** @param copiedFrom owner of the copy that kSelf holds, if any. */
-  explicit Attempt(std::optional<NodeId> copiedFrom = std::nullopt)
-      : takeover(now, start(copiedFrom)) {}
+  /** @param replicaOwner owner of the copy that kSelf holds, if any. */
+  explicit Attempt(std::optional<NodeId> replicaOwner = std::nullopt)
+      : takeover(now, start(replicaOwner)) {}
 
-  Takeover::Start start(std::optional<NodeId> copiedFrom) {
+  Takeover::Start start(std::optional<NodeId> replicaOwner) {
     Takeover::Start start;
-    start.own = copiedFrom ? HeldState{HeldRole::kReplica, 2, 1} : HeldState{};
-    start.holder = copiedFrom;
+    start.own = replicaOwner ? HeldState{HeldRole::kReplica, 2, 1} : HeldState{};
+    start.holder = replicaOwner;
     start.shard = kShard;
     start.self = kSelf;
     start.attempt = kAttempt;
-    start.candidates = {kFormer, kOther};
+    start.candidates = {kFormerOwner, kOther};
     start.view.isDead = [this](NodeId node) { return dead.contains(node); };
     start.view.isReachable = [this](NodeId node) { return reachable.contains(node); };
     start.view.outranksSelf = [](NodeId) { return false; };
@@ -43,12 +45,12 @@
   TakeoverOutcome poll() {
     now += kStep;
     return takeover.poll(
-        now, [this](NodeId node, const TakeoverRequest&) { asked.insert(node); },
+        now, [this](NodeId node, const TakeoverRequest&) { requestedFrom.insert(node); },
         [this](NodeId node, const SnapshotAck&) { fetchedFrom.insert(node); });
   }
 
-  void answer(NodeId sender, HeldRole role, uint32_t epoch, NodeId successor = {},
-              bool acquiring = false) {
+  void replyFrom(NodeId sender, HeldRole role, uint32_t epoch, NodeId successor = {},
+                 bool acquiring = false) {
     TakeoverReply reply;
     reply.shard = kShard;
     reply.attempt = kAttempt;
@@ -59,7 +61,7 @@
     takeover.onReply(now, sender, reply);
   }
 
-  /** Delivers an empty state that claims to list all flows. */
+  /** Delivers an empty state that is marked as listing all flows. */
   TakeoverOutcome deliver(NodeId sender, uint32_t epoch) {
     SnapshotChunk chunk;
     chunk.shard = kShard;
@@ -72,9 +74,9 @@
   }
 
   TimePoint now{std::chrono::seconds(100)};
-  std::set<NodeId> reachable{kFormer, kOther};
+  std::set<NodeId> reachable{kFormerOwner, kOther};
   std::set<NodeId> dead;
-  std::set<NodeId> asked;
+  std::set<NodeId> requestedFrom;
   std::set<NodeId> fetchedFrom;
   Takeover takeover;
 };
@@ -83,207 +85,207 @@
 
 TEST_GROUP(Takeover){};
 
-/** Found in a run with real processes: nodes that start together learn of each other unevenly. */
-TEST(Takeover, AsksTheLivingOwnerThatAReplicaNamesBeforeItTakesTheCopy) {
+/** Nodes that start together receive each other's joins at different times. */
+TEST(Takeover, QueriesLiveOwnerReportedByReplicaBeforeFetchingCopy) {
   Attempt attempt;
   attempt.poll();
-  attempt.answer(kFormer, HeldRole::kReplica, 2, kNewcomer);
-  attempt.answer(kOther, HeldRole::kNothing, 0);
+  attempt.replyFrom(kFormerOwner, HeldRole::kReplica, 2, kNewNode);
+  attempt.replyFrom(kOther, HeldRole::kNothing, 0);
   for (int step = 0; step < 20; ++step) {
     attempt.poll();
   }
-  CHECK(attempt.asked.contains(kNewcomer));
+  CHECK(attempt.requestedFrom.contains(kNewNode));
   CHECK(attempt.fetchedFrom.empty());
 
-  attempt.answer(kNewcomer, HeldRole::kOwner, 2);
+  attempt.replyFrom(kNewNode, HeldRole::kOwner, 2);
   attempt.poll();
-  const TakeoverOutcome outcome = attempt.deliver(kNewcomer, 2);
+  const TakeoverOutcome outcome = attempt.deliver(kNewNode, 2);
   const auto* fetched = std::get_if<TakeoverFetched>(&outcome);
   CHECK(fetched != nullptr);
   CHECK(fetched->direct);
 }
 
-/** Found in simulated starts: it had answered while it was still fetching that state. */
-TEST(Takeover, AsksTheOwnerThatAReplicaNamesAgainIfItAnsweredBefore) {
+/** The node had replied while it was still fetching that state. */
+TEST(Takeover, QueriesOwnerReportedByReplicaAgainAfterEarlierReply) {
   Attempt attempt;
   attempt.poll();
-  attempt.answer(kOther, HeldRole::kNothing, 0);
-  attempt.asked.clear();
-  attempt.answer(kFormer, HeldRole::kReplica, 2, kOther);
+  attempt.replyFrom(kOther, HeldRole::kNothing, 0);
+  attempt.requestedFrom.clear();
+  attempt.replyFrom(kFormerOwner, HeldRole::kReplica, 2, kOther);
   for (int step = 0; step < 20; ++step) {
     attempt.poll();
   }
-  CHECK(attempt.asked.contains(kOther));
+  CHECK(attempt.requestedFrom.contains(kOther));
   CHECK(attempt.fetchedFrom.empty());
-  attempt.answer(kOther, HeldRole::kOwner, 2);
+  attempt.replyFrom(kOther, HeldRole::kOwner, 2);
   attempt.poll();
   CHECK(attempt.fetchedFrom.contains(kOther));
 }
 
-TEST(Takeover, AsksTheLivingOwnerOfItsOwnCopy) {
-  Attempt attempt(kNewcomer);
+TEST(Takeover, QueriesLiveOwnerOfOwnReplica) {
+  Attempt attempt(kNewNode);
   attempt.poll();
-  attempt.answer(kFormer, HeldRole::kNothing, 0);
-  attempt.answer(kOther, HeldRole::kNothing, 0);
+  attempt.replyFrom(kFormerOwner, HeldRole::kNothing, 0);
+  attempt.replyFrom(kOther, HeldRole::kNothing, 0);
   CHECK(std::holds_alternative<TakeoverPending>(attempt.poll()));
-  CHECK(attempt.asked.contains(kNewcomer));
-  attempt.answer(kNewcomer, HeldRole::kOwner, 2);
+  CHECK(attempt.requestedFrom.contains(kNewNode));
+  attempt.replyFrom(kNewNode, HeldRole::kOwner, 2);
   attempt.poll();
-  CHECK(attempt.fetchedFrom.contains(kNewcomer));
+  CHECK(attempt.fetchedFrom.contains(kNewNode));
 }
 
-TEST(Takeover, TakesItsOwnCopyOfADeadOwnerAtOnce) {
-  Attempt attempt(kNewcomer);
-  attempt.dead.insert(kNewcomer);
+TEST(Takeover, UsesOwnReplicaOfDeadOwnerAtOnce) {
+  Attempt attempt(kNewNode);
+  attempt.dead.insert(kNewNode);
   attempt.poll();
-  attempt.answer(kFormer, HeldRole::kNothing, 0);
-  attempt.answer(kOther, HeldRole::kNothing, 0);
+  attempt.replyFrom(kFormerOwner, HeldRole::kNothing, 0);
+  attempt.replyFrom(kOther, HeldRole::kNothing, 0);
   CHECK(std::holds_alternative<TakeoverOwnState>(attempt.poll()));
 }
 
-TEST(Takeover, TakesTheCopyOfAnOwnerThatIsDead) {
+TEST(Takeover, FetchesReplicaOfDeadOwner) {
   Attempt attempt;
-  attempt.dead.insert(kNewcomer);
+  attempt.dead.insert(kNewNode);
   attempt.poll();
-  attempt.answer(kFormer, HeldRole::kReplica, 2, kNewcomer);
-  attempt.answer(kOther, HeldRole::kNothing, 0);
+  attempt.replyFrom(kFormerOwner, HeldRole::kReplica, 2, kNewNode);
+  attempt.replyFrom(kOther, HeldRole::kNothing, 0);
   attempt.poll();
-  CHECK(attempt.fetchedFrom.contains(kFormer));
+  CHECK(attempt.fetchedFrom.contains(kFormerOwner));
 }
 
-TEST(Takeover, TakesTheCopyOfAnOwnerThatDoesNotAnswer) {
+TEST(Takeover, FetchesReplicaOfUnresponsiveOwner) {
   Attempt attempt;
   attempt.poll();
-  attempt.answer(kFormer, HeldRole::kReplica, 2, kNewcomer);
-  attempt.answer(kOther, HeldRole::kNothing, 0);
+  attempt.replyFrom(kFormerOwner, HeldRole::kReplica, 2, kNewNode);
+  attempt.replyFrom(kOther, HeldRole::kNothing, 0);
   for (TimePoint end = attempt.now + Takeover::kTimeout * 2; attempt.now < end;) {
     attempt.poll();
   }
-  CHECK(attempt.fetchedFrom.contains(kFormer));
-  const TakeoverOutcome outcome = attempt.deliver(kFormer, 2);
+  CHECK(attempt.fetchedFrom.contains(kFormerOwner));
+  const TakeoverOutcome outcome = attempt.deliver(kFormerOwner, 2);
   const auto* fetched = std::get_if<TakeoverFetched>(&outcome);
   CHECK(fetched != nullptr);
   CHECK_FALSE(fetched->direct);
 }
 
-/** Found in a run with real processes: the owner had released the shard, but counted as joining. */
-TEST(Takeover, FetchesFromAnOwnerThatTheViewDoesNotHoldYet) {
+/** The owner had released the shard, but was still joining in the view. */
+TEST(Takeover, FetchesFromOwnerMissingFromView) {
   Attempt attempt;
   attempt.poll();
-  attempt.takeover.onOwnerAnnounced(attempt.now, kNewcomer, 3);
-  attempt.answer(kNewcomer, HeldRole::kOwner, 3);
-  attempt.answer(kFormer, HeldRole::kReplica, 3, kNewcomer);
-  attempt.answer(kOther, HeldRole::kNothing, 0);
+  attempt.takeover.onOwnerAnnounced(attempt.now, kNewNode, 3);
+  attempt.replyFrom(kNewNode, HeldRole::kOwner, 3);
+  attempt.replyFrom(kFormerOwner, HeldRole::kReplica, 3, kNewNode);
+  attempt.replyFrom(kOther, HeldRole::kNothing, 0);
   attempt.poll();
-  CHECK(attempt.fetchedFrom.contains(kNewcomer));
-  CHECK_FALSE(attempt.fetchedFrom.contains(kFormer));
+  CHECK(attempt.fetchedFrom.contains(kNewNode));
+  CHECK_FALSE(attempt.fetchedFrom.contains(kFormerOwner));
 }
 
-/** Found in a run with real processes: the successor's view had named another node meanwhile. */
-TEST(Takeover, StateThatItsSuccessorDidNotTakeIsComplete) {
+/** The successor's view had assigned the shard to another node in the meantime. */
+TEST(Takeover, StateNotTakenOverBySuccessorIsComplete) {
   Attempt attempt;
   attempt.poll();
-  attempt.answer(kFormer, HeldRole::kReleased, 1, kOther);
-  attempt.answer(kOther, HeldRole::kNothing, 0);
+  attempt.replyFrom(kFormerOwner, HeldRole::kReleased, 1, kOther);
+  attempt.replyFrom(kOther, HeldRole::kNothing, 0);
   attempt.poll();
-  const TakeoverOutcome outcome = attempt.deliver(kFormer, 1);
+  const TakeoverOutcome outcome = attempt.deliver(kFormerOwner, 1);
   const auto* fetched = std::get_if<TakeoverFetched>(&outcome);
   CHECK(fetched != nullptr);
   CHECK(fetched->direct);
 }
 
-TEST(Takeover, StateIsCompleteWhereItsSuccessorKeepsOnlyACopyOfIt) {
+TEST(Takeover, StateIsCompleteWhereSuccessorHoldsOnlyReplica) {
   Attempt attempt;
   attempt.poll();
-  attempt.answer(kFormer, HeldRole::kReleased, 1, kOther);
-  attempt.answer(kOther, HeldRole::kReplica, 1, kFormer);
+  attempt.replyFrom(kFormerOwner, HeldRole::kReleased, 1, kOther);
+  attempt.replyFrom(kOther, HeldRole::kReplica, 1, kFormerOwner);
   attempt.poll();
-  const TakeoverOutcome outcome = attempt.deliver(kFormer, 1);
+  const TakeoverOutcome outcome = attempt.deliver(kFormerOwner, 1);
   const auto* fetched = std::get_if<TakeoverFetched>(&outcome);
   CHECK(fetched != nullptr);
   CHECK(fetched->direct);
 }
 
-TEST(Takeover, StateIsIncompleteWhereItsSuccessorMayHaveDiedAsOwner) {
+TEST(Takeover, StateIsIncompleteWhereSuccessorMayHaveDiedAsOwner) {
   Attempt attempt;
-  attempt.dead.insert(kNewcomer);
+  attempt.dead.insert(kNewNode);
   attempt.poll();
-  attempt.answer(kFormer, HeldRole::kReleased, 1, kNewcomer);
-  attempt.answer(kOther, HeldRole::kNothing, 0);
+  attempt.replyFrom(kFormerOwner, HeldRole::kReleased, 1, kNewNode);
+  attempt.replyFrom(kOther, HeldRole::kNothing, 0);
   attempt.poll();
-  const TakeoverOutcome outcome = attempt.deliver(kFormer, 1);
+  const TakeoverOutcome outcome = attempt.deliver(kFormerOwner, 1);
   const auto* fetched = std::get_if<TakeoverFetched>(&outcome);
   CHECK(fetched != nullptr);
   CHECK_FALSE(fetched->direct);
 }
 
-/** Found by fuzzing: two owners decided apart until the view came to hold the successor. */
-TEST(Takeover, StateThatWentToANodeTheViewLacksIsNotTakenBesideItFor3Seconds) {
+/** Two owners decided independently until the view contained the successor. */
+TEST(Takeover, WaitsThreeSecondsForSuccessorMissingFromView) {
   Attempt attempt;
   const TimePoint end = attempt.now + Takeover::kFetchTimeout;
   attempt.poll();
-  attempt.answer(kFormer, HeldRole::kReleased, 1, kNewcomer);
-  attempt.answer(kOther, HeldRole::kNothing, 0);
+  attempt.replyFrom(kFormerOwner, HeldRole::kReleased, 1, kNewNode);
+  attempt.replyFrom(kOther, HeldRole::kNothing, 0);
   while (attempt.now + kStep < end) {
     CHECK(std::holds_alternative<TakeoverPending>(attempt.poll()));
   }
-  CHECK(attempt.asked.contains(kNewcomer));
+  CHECK(attempt.requestedFrom.contains(kNewNode));
   CHECK(attempt.fetchedFrom.empty());
   attempt.poll();
-  CHECK(attempt.fetchedFrom.contains(kFormer));
+  CHECK(attempt.fetchedFrom.contains(kFormerOwner));
 }
 
-TEST(Takeover, StateIsNotTakenBesideItsSuccessorThatStillFetchesIt) {
+TEST(Takeover, WaitsForSuccessorThatStillFetchesState) {
   Attempt attempt;
   const TimePoint end = attempt.now + Takeover::kFetchTimeout;
   attempt.poll();
-  attempt.answer(kFormer, HeldRole::kReleased, 1, kNewcomer);
-  attempt.answer(kOther, HeldRole::kNothing, 0);
+  attempt.replyFrom(kFormerOwner, HeldRole::kReleased, 1, kNewNode);
+  attempt.replyFrom(kOther, HeldRole::kNothing, 0);
   while (attempt.now + kStep < end) {
-    attempt.answer(kNewcomer, HeldRole::kNothing, 0, {}, true);
+    attempt.replyFrom(kNewNode, HeldRole::kNothing, 0, {}, true);
     attempt.poll();
   }
   CHECK(attempt.fetchedFrom.empty());
   attempt.poll();
-  CHECK(attempt.fetchedFrom.contains(kFormer));
+  CHECK(attempt.fetchedFrom.contains(kFormerOwner));
 }
 
-TEST(Takeover, StateIsNotTakenBesideItsSuccessorThatOwnsTheShard) {
+TEST(Takeover, DoesNotFetchStateWhileSuccessorOwnsShard) {
   Attempt attempt;
   attempt.poll();
-  attempt.answer(kFormer, HeldRole::kReleased, 1, kNewcomer);
-  attempt.answer(kOther, HeldRole::kNothing, 0);
-  attempt.answer(kNewcomer, HeldRole::kStillOwner, 2);
+  attempt.replyFrom(kFormerOwner, HeldRole::kReleased, 1, kNewNode);
+  attempt.replyFrom(kOther, HeldRole::kNothing, 0);
+  attempt.replyFrom(kNewNode, HeldRole::kStillOwner, 2);
   for (int step = 0; step < 50; ++step) {
     attempt.poll();
   }
   CHECK(attempt.fetchedFrom.empty());
-  attempt.answer(kNewcomer, HeldRole::kOwner, 2);
+  attempt.replyFrom(kNewNode, HeldRole::kOwner, 2);
   attempt.poll();
-  CHECK(attempt.fetchedFrom.contains(kNewcomer));
-  CHECK_FALSE(attempt.fetchedFrom.contains(kFormer));
+  CHECK(attempt.fetchedFrom.contains(kNewNode));
+  CHECK_FALSE(attempt.fetchedFrom.contains(kFormerOwner));
 }
 
-TEST(Takeover, StateThatWentToADeadNodeIsTakenAtOnce) {
+TEST(Takeover, FetchesStateOfDeadSuccessorAtOnce) {
   Attempt attempt;
-  attempt.dead.insert(kNewcomer);
+  attempt.dead.insert(kNewNode);
   attempt.poll();
-  attempt.answer(kFormer, HeldRole::kReleased, 1, kNewcomer);
-  attempt.answer(kOther, HeldRole::kNothing, 0);
+  attempt.replyFrom(kFormerOwner, HeldRole::kReleased, 1, kNewNode);
+  attempt.replyFrom(kOther, HeldRole::kNothing, 0);
   attempt.poll();
-  CHECK(attempt.fetchedFrom.contains(kFormer));
+  CHECK(attempt.fetchedFrom.contains(kFormerOwner));
 }
 
-/** Found by fuzzing: the joiner was heard to own the shard, but no view held it yet. */
-TEST(Takeover, CopyIsNotTakenWhileAnOwnerThatTheViewLacksIsHeard) {
+/** A joining node had announced its ownership, but no view contained it yet. */
+TEST(Takeover, DoesNotFetchReplicaWhileOwnerMissingFromViewIsAlive) {
   Attempt attempt;
   attempt.poll();
-  attempt.answer(kFormer, HeldRole::kReplica, 2);
-  attempt.answer(kOther, HeldRole::kNothing, 0);
-  attempt.takeover.onOwnerAnnounced(attempt.now, kNewcomer, 2);
+  attempt.replyFrom(kFormerOwner, HeldRole::kReplica, 2);
+  attempt.replyFrom(kOther, HeldRole::kNothing, 0);
+  attempt.takeover.onOwnerAnnounced(attempt.now, kNewNode, 2);
   for (int step = 0; step < 50; ++step) {
     attempt.poll();
   }
-  CHECK(attempt.asked.contains(kNewcomer));
+  CHECK(attempt.requestedFrom.contains(kNewNode));
   CHECK(attempt.fetchedFrom.empty());
 }
--- a/test/common/shard/udp_drain_test.cc
+++ b/test/common/shard/udp_drain_test.cc
@@ -1,11 +1,11 @@
-/** @file Hosts of a UDP service drain after its owners changed: no packet says that it is the
- * first.
+/**
+ * @file Hosts of a UDP service drain after changes of owners; no packet marks the start of a flow.
  */
 #include <algorithm>
 
 #include "region_scenario.h"
 
-// Last, because its macros replace operator new.
+// Included last because its macros replace operator new.
 #include <CppUTest/TestHarness.h>
 
 using namespace umberhold;
@@ -20,8 +20,8 @@
   return options;
 }
 
-/** Flows of a minute that are silent for 5 s on average. */
-CallerLoadOptions quietFlows() {
+/** Flows of one minute with a mean packet gap of 5 s. */
+CallerLoadOptions sparseFlows() {
   CallerLoadOptions load;
   load.protocol = TransportProtocol::kUdp;
   load.flowsPerSecond = 50.0;
@@ -40,7 +40,7 @@
   scenario.region.configure(service);
 }
 
-uint64_t newOnDraining(RegionScenario& scenario) {
+uint64_t newFlowsOnDrainingHosts(RegionScenario& scenario) {
   const auto& violations = scenario.region.oracle().violations();
   return static_cast<uint64_t>(
       std::count_if(violations.begin(), violations.end(), [](const Violation& violation) {
@@ -48,12 +48,12 @@
       }));
 }
 
-/** Drains hosts, watches, and checks that old flows stayed while no new one came. */
+/** Drains hosts and checks that existing flows stay and no new ones arrive. */
 void checkDrain(RegionScenario& scenario) {
   const uint64_t brokenBefore = scenario.region.oracle().broken();
   drainHosts(scenario);
   scenario.region.runFor(std::chrono::seconds(20));
-  CHECK_EQUAL(0U, newOnDraining(scenario));
+  CHECK_EQUAL(0U, newFlowsOnDrainingHosts(scenario));
   CHECK_EQUAL(brokenBefore, scenario.region.oracle().broken());
   CHECK(scenario.region.oracle().established() > 1000);
 }
@@ -62,9 +62,9 @@
 
 TEST_GROUP(UdpDrain){};
 
-TEST(UdpDrain, HostThatDrainsAfterTheDeathOfAnOwnerGetsNoNewFlow) {
+TEST(UdpDrain, HostDrainingAfterOwnerDeathGetsNoNewFlow) {
   for (uint64_t seed = 1; seed <= 3; ++seed) {
-    RegionScenario scenario(seeded(seed), quietFlows());
+    RegionScenario scenario(seeded(seed), sparseFlows());
     scenario.region.runFor(std::chrono::seconds(40));
     scenario.region.killNode(scenario.ownerOf(0));
     scenario.region.runFor(std::chrono::seconds(15));
@@ -72,8 +72,8 @@
   }
 }
 
-TEST(UdpDrain, HostThatDrainsAfterTwoDeathsInARowGetsNoNewFlow) {
-  RegionScenario scenario(seeded(4), quietFlows());
+TEST(UdpDrain, HostDrainingAfterTwoConsecutiveDeathsGetsNoNewFlow) {
+  RegionScenario scenario(seeded(4), sparseFlows());
   scenario.region.runFor(std::chrono::seconds(40));
   for (int death = 0; death < 2; ++death) {
     scenario.region.killNode(scenario.ownerOf(0));
@@ -82,26 +82,28 @@
   checkDrain(scenario);
 }
 
-/** Of each seed alone fewer than one flow in a thousand may break. Owners that hear of the drain
- * only after the death leave what they had sent before. */
-TEST(UdpDrain, OwnerThatDiesJustAfterTheDrainBeganLeavesNoGap) {
+/**
+ * Each seed may break fewer than one flow in a thousand. If the owner dies before it receives the
+ * drain, only the flows that it had sent until then are listed.
+ */
+TEST(UdpDrain, OwnerDeathRightAfterDrainStartCausesNoNewFlow) {
   for (uint64_t seed = 1; seed <= 24; ++seed) {
-    RegionScenario scenario(seeded(seed), quietFlows());
+    RegionScenario scenario(seeded(seed), sparseFlows());
     scenario.region.runFor(std::chrono::seconds(40));
     drainHosts(scenario);
     scenario.region.runFor(std::chrono::milliseconds(700));
     scenario.region.killNode(scenario.ownerOf(0));
     scenario.region.runFor(std::chrono::seconds(25));
-    CHECK_EQUAL(0U, newOnDraining(scenario));
+    CHECK_EQUAL(0U, newFlowsOnDrainingHosts(scenario));
     const uint64_t established = scenario.region.oracle().established();
     CHECK(established > 2500);
     CHECK(scenario.region.oracle().broken() * 1000 < established);
   }
 }
 
-/** More flows than a hand-over lists one by one. */
-TEST(UdpDrain, HostThatDrainsAfterALargeHandOverGetsNoNewFlow) {
-  CallerLoadOptions load = quietFlows();
+/** More flows than a handover lists individually. */
+TEST(UdpDrain, HostDrainingAfterLargeHandoverGetsNoNewFlow) {
+  CallerLoadOptions load = sparseFlows();
   load.flowsPerSecond = 80.0;
   RegionScenario scenario(seeded(6), load);
   scenario.region.runFor(std::chrono::seconds(40));
--- a/test/common/shard/unacknowledged_flows_test.cc
+++ b/test/common/shard/unacknowledged_flows_test.cc
@@ -1,4 +1,4 @@
-/** @file New flows that wait for their replica. */
+/** @file New flows that are held until the replica acknowledges them. */
 #include "common/shard/unacknowledged_flows.h"
 
 #include <CppUTest/TestHarness.h>
@@ -11,7 +11,7 @@
   TimePoint now{std::chrono::seconds(100)};
 };
 
-TEST(UnacknowledgedFlows, GoOnOnceTheirRecordsAreAcknowledged) {
+TEST(UnacknowledgedFlows, AreReleasedOnceTheirRecordsAreAcknowledged) {
   flows.add(now, FlowHash{1}, 7, "one", PacketSource::kFabric);
   flows.add(now, FlowHash{2}, 8, "two", PacketSource::kFabric);
   CHECK_TRUE(flows.takeAcknowledged(7).empty());
@@ -22,7 +22,7 @@
   CHECK_TRUE(flows.contains(FlowHash{2}));
 }
 
-TEST(UnacknowledgedFlows, KeepTheLatestCopyOfAPacket) {
+TEST(UnacknowledgedFlows, KeepLatestRepeatedPacket) {
   flows.add(now, FlowHash{1}, 7, "one", PacketSource::kFabric);
   flows.hold(FlowHash{1}, "again", PacketSource::kFabric);
   flows.hold(FlowHash{2}, "other", PacketSource::kFabric);
@@ -32,9 +32,9 @@
   CHECK_TRUE(flows.isEmpty());
 }
 
-TEST(UnacknowledgedFlows, AreOverdueAfterTheirPatienceHoweverOftenTheyAreSent) {
+TEST(UnacknowledgedFlows, AreOverdueAfterTimeoutRegardlessOfRepeats) {
   flows.add(now, FlowHash{1}, 7, "one", PacketSource::kFabric);
-  now += UnacknowledgedFlows::kPatience - milliseconds(1);
+  now += UnacknowledgedFlows::kAcknowledgementTimeout - milliseconds(1);
   flows.hold(FlowHash{1}, "again", PacketSource::kFabric);
   CHECK_TRUE(flows.takeOverdue(now).empty());
   now += milliseconds(1);
--- a/test/common/shard/zone_cut_test.cc
+++ b/test/common/shard/zone_cut_test.cc
@@ -1,24 +1,27 @@
-/** @file Zones that are cut off from the others while callers' packets still reach all of them. */
+/**
+ * @file Zones that are partitioned from the others while callers' packets still reach all of them.
+ */
 #include "region_fuzzer.h"
 
-// Last, because its macros replace operator new.
+// Included last because its macros replace operator new.
 #include <CppUTest/TestHarness.h>
 
 using namespace umberhold;
 
 namespace {
 
-/** Few hosts, so that many flows are exceptions, and news that take up to 2 s. */
-class CutScenario : public RegionScenario {
+/** Few hosts, so that many flows are exceptions, and membership updates that take up to 2 s. */
+class PartitionScenario : public RegionScenario {
  public:
-  explicit CutScenario(uint64_t seed) : RegionScenario(slowNews(seed), busyCallers(), kHosts) {
+  explicit PartitionScenario(uint64_t seed)
+      : RegionScenario(slowMembershipUpdates(seed), busyCallers(), kHosts) {
     region.runFor(std::chrono::seconds(20));
   }
 
  private:
   static constexpr uint32_t kHosts = 4;
 
-  static RegionOptions slowNews(uint64_t seed) {
+  static RegionOptions slowMembershipUpdates(uint64_t seed) {
     RegionOptions options;
     options.seed = seed;
     options.lags.membership = std::chrono::seconds(2);
@@ -35,10 +38,10 @@
 
 TEST_GROUP(ZoneCut){};
 
-/** Found with real processes: a copy of minutes ago was taken over and flows sent by it. */
-TEST(ZoneCut, CutOffMembersDoNotServeAnOutdatedCopy) {
+/** A copy that was minutes old was taken over and used for placing flows. */
+TEST(ZoneCut, PartitionedMembersDoNotServeOutdatedReplica) {
   for (const uint64_t seed : {2, 6}) {
-    CutScenario scenario(seed);
+    PartitionScenario scenario(seed);
     scenario.region.cutZone(1);
     scenario.region.runFor(std::chrono::seconds(15));
     CHECK(scenario.region.oracle().established() > 3000);
@@ -46,10 +49,10 @@
   }
 }
 
-/** Owners of both sides place flows before they have heard of each other again. */
-TEST(ZoneCut, FlowsSurviveTheHeal) {
+/** Owners of both sides place flows before they can reach each other again. */
+TEST(ZoneCut, FlowsSurviveHeal) {
   for (const uint64_t seed : {4, 5}) {
-    CutScenario scenario(seed);
+    PartitionScenario scenario(seed);
     scenario.region.cutZone(1);
     scenario.region.runFor(std::chrono::seconds(15));
     scenario.region.healZones();
@@ -60,10 +63,10 @@
   }
 }
 
-/** Found with real processes: a member that heard few others again built a shard again. */
-TEST(ZoneCut, HalfHealedMembersDoNotStartAShardAnew) {
+/** A member that could reach only a few others again created an existing shard. */
+TEST(ZoneCut, PartiallyHealedMembersDoNotCreateExistingShard) {
   for (uint64_t seed = 60; seed < 66; ++seed) {
-    CutScenario scenario(seed);
+    PartitionScenario scenario(seed);
     scenario.region.cutZone(1);
     scenario.region.runFor(std::chrono::seconds(2));
     Service service = scenario.region.service();
@@ -80,10 +83,10 @@
   }
 }
 
-/** Found by fuzzing: a joiner hears of no dead member, so it took the silent zones for none. */
-TEST(ZoneCut, JoinersInACutOffZoneDoNotStartAShardAnew) {
+/** A joining node receives no dead members and therefore did not detect the unreachable zones. */
+TEST(ZoneCut, JoiningNodesInPartitionedZoneDoNotCreateExistingShard) {
   constexpr uint32_t kJoiners[] = {9, 12, 15, 18};
-  CutScenario scenario(7);
+  PartitionScenario scenario(7);
   scenario.region.cutZone(1);
   scenario.region.runFor(std::chrono::seconds(10));
   for (const uint32_t id : kJoiners) {
@@ -100,12 +103,12 @@
   CHECK_EQUAL(3U, scenario.region.shardsWithOneOwner());
 }
 
-/** The members are not cut off but dead: the survivors hold copies and go on. */
-TEST(ZoneCut, DeathOfAWholeZoneBreaksLessThanOneFlowInAThousand) {
+/** The members are dead, not partitioned: the survivors hold replicas and continue. */
+TEST(ZoneCut, DeathOfWholeZoneBreaksFewerThanOneFlowInAThousand) {
   uint64_t established = 0;
   uint64_t broken = 0;
   for (uint64_t seed = 50; seed < 54; ++seed) {
-    CutScenario scenario(seed);
+    PartitionScenario scenario(seed);
     for (const uint32_t id : scenario.region.runningNodes()) {
       if (RegionScenario::zoneOf(id) == 2) {
         scenario.region.killNode(id);
@@ -121,10 +124,10 @@
 }
 
 /**
- * Found by fuzzing: a whole zone and all state of two shards are gone. Nobody can tell that from a
- * cut, so the shards wait until the zone counts as dead, and no longer.
+ * A whole zone and all state of two shards are lost. This cannot be distinguished from a partition,
+ * so the shards wait until the zone counts as dead, and no longer.
  */
-TEST(ZoneCut, ShardWhoseStateDiedWithAZoneIsBuiltAnewWhenTheZoneCountsAsDead) {
+TEST(ZoneCut, CreatesShardAgainOnceZoneWithItsStateCountsAsDead) {
   constexpr uint64_t kSeed = 20336;
   constexpr uint32_t kConnectionLimit = 60;
   RegionFuzzer fuzzer(kSeed, TransportProtocol::kTcp, kConnectionLimit);
