--- a/source/common/shard/known_flows.cc
+++ b/source/common/shard/known_flows.cc
@@ -66,10 +66,10 @@
                                                     ByteBudget& lists) {
   const bool nothingNew = announced_ && waiting_.empty();
   const bool full = waiting_.size() >= kBatchFlows;
-  const Duration usual =
+  const Duration interval =
       full || !announced_ || budget.isAmple(now) ? kMinimumBatchInterval : kPartialBatchDelay;
-  const Duration pause = inFlight_ ? kResendInterval : (flushRequested_ ? Duration(0) : usual);
-  if (state_ == State::kStopped || nothingNew || now - lastSend_ < pause) {
+  const Duration delay = inFlight_ ? kResendInterval : (flushRequested_ ? Duration(0) : interval);
+  if (state_ == State::kStopped || nothingNew || now - lastSend_ < delay) {
     return std::nullopt;
   }
   const size_t count = std::min(waiting_.size(), kBatchFlows);
--- a/source/common/shard/local_shard.cc
+++ b/source/common/shard/local_shard.cc
@@ -223,7 +223,7 @@
   becomeOwner(now, !fresh, {});
 }
 
-void LocalShard::becomeOwner(TimePoint now, bool cautious,
+void LocalShard::becomeOwner(TimePoint now, bool baseOnly,
                              const std::vector<HostPermits>& permits) {
   role_ = ShardRole::kOwner;
   epoch_ = std::max(highestEpochSeen_, epoch_) + 1;
@@ -240,7 +240,7 @@
   takeoverSenders_.clear();
   ownedSince_ = now;
   lastBaseAdvance_ = now;
-  baseOnlyUntil_ = cautious ? now + context_.options.baseOnlyTime : now;
+  baseOnlyUntil_ = baseOnly ? now + context_.options.baseOnlyTime : now;
   log_.reset(now);
   replicaOverdue_ = false;
   knownFlows_.stop();
@@ -317,22 +317,22 @@
   refused_.expire(now);
   tickReplica(now);
   tickSenders(now);
-  const bool assignment = isAssignedOwner();
+  const bool assigned = isAssignedOwner();
   switch (role_) {
     case ShardRole::kNone:
-      if (assignment) {
+      if (assigned) {
         startTakeover(now);
       }
       break;
     case ShardRole::kAcquiring:
-      if (assignment) {
+      if (assigned) {
         pollTakeover(now);
       } else {
         abandonTakeover(now);
       }
       break;
     case ShardRole::kReleased:
-      if (assignment) {
+      if (assigned) {
         startTakeover(now);
       } else {
         tickReleased(now);
@@ -444,9 +444,10 @@
   // The state of a fenced owner is not fetched, since the newer owner has its own. The newer owner
   // only needs the notice that flows unknown to it exist.
   const bool fencedByPeer = fenced_ && successor_ != context_.self();
-  const bool noticed = now - releasedAt_ >= kFencedNoticePeriod;
-  const bool nothingToGive = fencedByPeer && (noticed || context_.flows.flowCount(flowSlot_) == 0);
-  return role_ != ShardRole::kReleased || handedOver_ || nothingToGive;
+  const bool noticePeriodOver = now - releasedAt_ >= kFencedNoticePeriod;
+  const bool nothingToHandOver =
+      fencedByPeer && (noticePeriodOver || context_.flows.flowCount(flowSlot_) == 0);
+  return role_ != ShardRole::kReleased || handedOver_ || nothingToHandOver;
 }
 
 }  // namespace umberhold
--- a/source/common/shard/local_shard.h
+++ b/source/common/shard/local_shard.h
@@ -139,7 +139,7 @@
    */
   void createEmpty(TimePoint now, bool fresh, bool knowsAllFlows);
   bool isNewService(TimePoint now) const;
-  void becomeOwner(TimePoint now, bool cautious, const std::vector<HostPermits>& permits);
+  void becomeOwner(TimePoint now, bool baseOnly, const std::vector<HostPermits>& permits);
   void countEntries(TimePoint now);
   void releaseHeldPackets(TimePoint now);
   void release(TimePoint now, NodeId successor);
--- a/source/common/shard/local_shard_replication.cc
+++ b/source/common/shard/local_shard_replication.cc
@@ -139,7 +139,7 @@
   if (isUdp && latest && !full && knowsOldFlows()) {
     auto known = listKnownFlows(now);
     const auto bytes = static_cast<double>(known.size() * kListedFlowBytes);
-    if (context_.handOverListBudget.trySpend(now, bytes)) {
+    if (context_.handoverListBudget.trySpend(now, bytes)) {
       content.oldFlows = std::move(known);
     }
   }
@@ -196,7 +196,7 @@
       knownFlows_.restart(listKnownFlows(now));
     }
   }
-  if (auto batch = knownFlows_.poll(now, context_.knownFlowBudget, context_.wholeListBudget)) {
+  if (auto batch = knownFlows_.poll(now, context_.knownFlowBudget, context_.completeListBudget)) {
     ReplicaAppend message{id_, epoch_, log_.firstSequence(), {}, {}, {}, {}, std::move(*batch)};
     context_.send(*replicaNode_, std::move(message));
   }
--- a/source/common/shard/replication_log.cc
+++ b/source/common/shard/replication_log.cc
@@ -144,9 +144,9 @@
 }
 
 bool ReplicationLog::current(TimePoint now) const {
-  const bool silent = inFlight_ && now - firstSend_ > kMaximumUnacknowledgedTime;
+  const bool unacknowledged = inFlight_ && now - firstSend_ > kMaximumUnacknowledgedTime;
   const bool lags = !changes_.empty() && now - changes_.front().when > kMaximumLag;
-  return synchronised_ && !silent && !lags;
+  return synchronised_ && !unacknowledged && !lags;
 }
 
 }  // namespace umberhold
--- a/source/common/shard/shard_context.h
+++ b/source/common/shard/shard_context.h
@@ -56,12 +56,12 @@
   /** The list of known flows of UDP services, in addition to the log. */
   ByteBudgetOptions knownFlows{700.0, 2800.0};
   /** The complete list of known flows, for a new replica. */
-  ByteBudgetOptions wholeLists{500.0, 16384.0};
+  ByteBudgetOptions completeLists{500.0, 16384.0};
   /**
    * The list of known flows in handovers. Without budget it is omitted; no handover is delayed for
    * it.
    */
-  ByteBudgetOptions handOverLists{500.0, 65536.0};
+  ByteBudgetOptions handoverLists{500.0, 65536.0};
   ExceptionBudgetOptions exceptions;
 };
 
@@ -76,8 +76,8 @@
   ByteBudget replicationBudget;
   ByteBudget snapshotBudget;
   ByteBudget knownFlowBudget;
-  ByteBudget wholeListBudget;
-  ByteBudget handOverListBudget;
+  ByteBudget completeListBudget;
+  ByteBudget handoverListBudget;
   ShardCounters counters;
   UnixSeconds unixNow = 0;
   /** Set after a pause of the process, since other nodes may own this node's shards by now. */
@@ -118,11 +118,11 @@
   }
   void send(NodeId to, MessageBody body) {
     const Member* member = view.find(to);
-    const auto stranger = unknownSenders.find(to);
+    const auto unknownSender = unknownSenders.find(to);
     if (member != nullptr) {
       sink.send(member->controlEndpoint(), Message{std::move(body)});
-    } else if (stranger != unknownSenders.end()) {
-      sink.send(stranger->second, Message{std::move(body)});
+    } else if (unknownSender != unknownSenders.end()) {
+      sink.send(unknownSender->second, Message{std::move(body)});
     }
   }
   /** Records the reply endpoint of a node that the view does not contain yet. */
--- a/source/common/shard/shard_director.cc
+++ b/source/common/shard/shard_director.cc
@@ -24,12 +24,12 @@
                map_,
                parts.flows,
                parts.messages,
-               parts.held,
+               parts.pending,
                ByteBudget(options.replication),
                ByteBudget(options.snapshots),
                ByteBudget(options.knownFlows),
-               ByteBudget(options.wholeLists),
-               ByteBudget(options.handOverLists),
+               ByteBudget(options.completeLists),
+               ByteBudget(options.handoverLists),
                {},
                0,
                {},
@@ -73,8 +73,8 @@
   runtime->hosts.update(id, *service);
   runtime->idleTimeoutSeconds = service->idleTimeoutSeconds;
   runtime->protocol = service->protocol;
-  if (const auto born = serviceCreationTimes_.find(id); born != serviceCreationTimes_.end()) {
-    runtime->createdAt = born->second;
+  if (const auto created = serviceCreationTimes_.find(id); created != serviceCreationTimes_.end()) {
+    runtime->createdAt = created->second;
   }
   ServicePlacementOptions options;
   options.zoneName = context_.options.zoneName;
@@ -297,15 +297,15 @@
 }
 
 std::vector<PendingHandover> ShardDirector::pendingHandovers() const {
-  std::vector<PendingHandover> held;
+  std::vector<PendingHandover> pending;
   for (const auto& [id, shard] : shards_) {
     const auto assignment = map_.lookup(id);
     const bool noSuccessor = !assignment || assignment->owner == context_.self();
     if (!noSuccessor && !shard->isHandedOver(now_)) {
-      held.push_back(shard->pendingHandover());
+      pending.push_back(shard->pendingHandover());
     }
   }
-  return held;
+  return pending;
 }
 
 ServicePlacement* ShardDirector::placementOf(ServiceId id) {
--- a/source/common/shard/shard_map.cc
+++ b/source/common/shard/shard_map.cc
@@ -46,13 +46,13 @@
   const auto known = std::find_if(members_.begin(), members_.end(),
                                   [&](const LiveMember& live) { return live.id == member.id; });
   const bool wasEligible = known != members_.end();
-  const bool named = isEligible(member.state);
-  if (wasEligible && (!named || known->zone != member.zone)) {
+  const bool eligible = isEligible(member.state);
+  if (wasEligible && (!eligible || known->zone != member.zone)) {
     removeMember(member.id);
   } else if (wasEligible) {
     return;
   }
-  if (named) {
+  if (eligible) {
     addMember(LiveMember{member.id, member.zone});
   }
 }
@@ -96,17 +96,17 @@
 void ShardMap::insertInto(const ShardId& shard, Assignment& assignment, const LiveMember& member) {
   const Assignment before = assignment;
   const RankedMember joining{score(shard, member.id), member, true};
-  const RankedMember oldOwner = assignment.owner;
-  if (!oldOwner.present) {
+  const RankedMember previousOwner = assignment.owner;
+  if (!previousOwner.present) {
     assignment.owner = joining;
-  } else if (outranks(joining.score, member.id, oldOwner.score, oldOwner.member.id)) {
+  } else if (outranks(joining.score, member.id, previousOwner.score, previousOwner.member.id)) {
     assignment.owner = joining;
     // The previous owner outranks all other members, so only a replica in another zone can be
     // better.
-    if (betterReplica(joining, oldOwner, assignment.replica)) {
-      assignment.replica = oldOwner;
+    if (betterReplica(joining, previousOwner, assignment.replica)) {
+      assignment.replica = previousOwner;
     }
-  } else if (betterReplica(oldOwner, joining, assignment.replica)) {
+  } else if (betterReplica(previousOwner, joining, assignment.replica)) {
     assignment.replica = joining;
   }
   recordChange(shard, before, assignment);
@@ -136,8 +136,8 @@
 
 void ShardMap::recordChange(const ShardId& shard, const Assignment& before,
                             const Assignment& after) {
-  const auto isSelf = [this](const RankedMember& named) {
-    return named.present && named.member.id == self_;
+  const auto isSelf = [this](const RankedMember& ranked) {
+    return ranked.present && ranked.member.id == self_;
   };
   const auto differs = [](const RankedMember& left, const RankedMember& right) {
     return left.present != right.present || left.member.id != right.member.id;
@@ -159,11 +159,11 @@
   if (!assignment.owner.present) {
     return std::nullopt;
   }
-  ShardAssignment named{assignment.owner.member.id, std::nullopt};
+  ShardAssignment result{assignment.owner.member.id, std::nullopt};
   if (assignment.replica.present) {
-    named.replica = assignment.replica.member.id;
+    result.replica = assignment.replica.member.id;
   }
-  return named;
+  return result;
 }
 
 std::vector<NodeId> ShardMap::ranked(const ShardId& shard, size_t limit) const {
--- a/source/common/shard/snapshot.cc
+++ b/source/common/shard/snapshot.cc
@@ -107,23 +107,23 @@
 
 std::vector<SnapshotChunk> splitSnapshot(const SnapshotIdentity& identity,
                                          const ShardContent& content) {
-  ChunkWriter cutter(identity, content);
+  ChunkWriter writer(identity, content);
   for (const BaseHost& host : content.base) {
-    cutter.addBase(host);
+    writer.addBase(host);
   }
   for (const PinnedFlow& pinned : content.pinned) {
-    cutter.addPinned(pinned);
+    writer.addPinned(pinned);
   }
   for (const FlowHash& flow : content.refused) {
-    cutter.addRefused(flow);
+    writer.addRefused(flow);
   }
   for (const HostPermits& permits : content.permits) {
-    cutter.addPermits(permits);
+    writer.addPermits(permits);
   }
   for (const uint32_t fingerprint : content.oldFlows.value_or(std::vector<uint32_t>{})) {
-    cutter.addOldFlow(fingerprint);
+    writer.addOldFlow(fingerprint);
   }
-  return cutter.finish();
+  return writer.finish();
 }
 
 size_t estimatedBytes(const SnapshotChunk& chunk) {
--- a/test/common/node/cluster_fuzzer.cc
+++ b/test/common/node/cluster_fuzzer.cc
@@ -405,7 +405,7 @@
         continue;
       }
       if (valueOf(held).version < minimumVersion) {
-        failures_.push_back("node " + std::to_string(id) + " went back to an older " +
+        failures_.push_back("node " + std::to_string(id) + " reverted to an older " +
                             newest.key.name);
       }
       minimumVersion = std::max(minimumVersion, valueOf(held).version);
@@ -422,7 +422,7 @@
       const auto held = core.record(newest.key);
       const bool converged = newest.deleted ? !isOk(held) : isOk(held) && valueOf(held) == newest;
       if (!converged) {
-        failures_.push_back("node " + std::to_string(id) + " does not hold the newest " +
+        failures_.push_back("node " + std::to_string(id) + " does not have the newest " +
                             newest.key.name);
       }
     }
--- a/test/common/node/node_core_property.cc
+++ b/test/common/node/node_core_property.cc
@@ -58,7 +58,7 @@
 }
 
 TEST(ClusterFuzzing, PausesAndPartitionsSendNoOpeningToTwoHosts) {
-  CHECK(rc::check("pauses and cuts", [] {
+  CHECK(rc::check("pauses and partitions", [] {
     const auto steps = *stepsUpTo(kChangesWithoutDeath);
     ClusterFuzzer fuzzer(*seeds());
     fuzzer.run(steps);
--- a/test/common/shard/region_test.cc
+++ b/test/common/shard/region_test.cc
@@ -34,11 +34,11 @@
   constexpr uint64_t kSeed = 94151;
   RegionScenario scenario(seeded(kSeed));
   scenario.region.runFor(std::chrono::seconds(20));
-  uint64_t built = 0;
+  uint64_t created = 0;
   for (const uint32_t id : scenario.region.runningNodes()) {
-    built += scenario.region.director(id)->counters().shardsCreated;
+    created += scenario.region.director(id)->counters().shardsCreated;
   }
-  CHECK_EQUAL(3U, built);
+  CHECK_EQUAL(3U, created);
   CHECK(scenario.region.oracle().established() > 1500);
   CHECK(scenario.region.oracle().violations().empty());
 }
--- a/test/common/shard/shard_director_test.cc
+++ b/test/common/shard/shard_director_test.cc
@@ -182,11 +182,11 @@
   node.becomeReplicaOf(kNewNode);
   node.sent.clear();
   node.tick();
-  const bool wasAsked = std::any_of(node.sent.begin(), node.sent.end(), [](const auto& entry) {
+  const bool requestSent = std::any_of(node.sent.begin(), node.sent.end(), [](const auto& entry) {
     return entry.first == endpointOf(kNewNode) &&
            std::holds_alternative<TakeoverRequest>(entry.second.body);
   });
-  CHECK(wasAsked);
+  CHECK(requestSent);
   CHECK_EQUAL(0U, node.director.ownedShards());
 }
 
@@ -312,10 +312,10 @@
   node.sent.clear();
   node.now += std::chrono::seconds(1);
   node.tick();
-  const auto wasAsked = node.lastNoticeTo(kNewNode);
-  CHECK(wasAsked.has_value());
-  CHECK_FALSE(wasAsked->holdsFlows);
-  node.deliver(kNewNode, OwnershipNotice{kShard, wasAsked->epoch + 1, false});
+  const auto query = node.lastNoticeTo(kNewNode);
+  CHECK(query.has_value());
+  CHECK_FALSE(query->holdsFlows);
+  node.deliver(kNewNode, OwnershipNotice{kShard, query->epoch + 1, false});
   CHECK(node.director.handedOver());
 }
 
@@ -332,10 +332,10 @@
   node.view.apply(leaving);
   node.director.onMemberChanged(leaving);
   node.director.leave(node.now);
-  const std::vector<PendingHandover> held = node.director.pendingHandovers();
-  CHECK_EQUAL(1U, held.size());
-  CHECK(held.front().shard == kShard);
-  CHECK(held.front().role == ShardRole::kOwner);
-  CHECK_FALSE(held.front().fenced);
+  const std::vector<PendingHandover> pending = node.director.pendingHandovers();
+  CHECK_EQUAL(1U, pending.size());
+  CHECK(pending.front().shard == kShard);
+  CHECK(pending.front().role == ShardRole::kOwner);
+  CHECK_FALSE(pending.front().fenced);
   CHECK_FALSE(node.director.handedOver());
 }
--- a/test/common/shard/shard_map_property.cc
+++ b/test/common/shard/shard_map_property.cc
@@ -63,7 +63,7 @@
 TEST(ShardMap, IncrementalChangesEqualCompleteRanking) {
   // rapidcheck keeps lazily initialised statics.
   IGNORE_ALL_LEAKS_IN_TEST();
-  const bool passed = rc::check("incremental equals scratch", [] {
+  const bool passed = rc::check("incremental changes equal complete ranking", [] {
     ShardMap map(NodeId{1});
     map.setService(kService, kShards);
     std::map<uint32_t, Member> members;
--- a/test/common/shard/udp_drain_test.cc
+++ b/test/common/shard/udp_drain_test.cc
@@ -86,7 +86,7 @@
  * Each seed may break fewer than one flow in a thousand. If the owner dies before it receives the
  * drain, only the flows that it had sent until then are listed.
  */
-TEST(UdpDrain, OwnerDeathRightAfterDrainStartCausesNoNewFlow) {
+TEST(UdpDrain, OwnerDeathRightAfterDrainStartPlacesNoNewFlowOnDrainingHost) {
   for (uint64_t seed = 1; seed <= 24; ++seed) {
     RegionScenario scenario(seeded(seed), sparseFlows());
     scenario.region.runFor(std::chrono::seconds(40));
