--- a/source/common/shard/shard_director.cc
+++ b/source/common/shard/shard_director.cc
@@ -24,7 +24,7 @@
                map_,
                parts.flows,
                parts.messages,
-               parts.pending,
+               parts.held,
                ByteBudget(options.replication),
                ByteBudget(options.snapshots),
                ByteBudget(options.knownFlows),
