--- a/source/common/shard/known_flows.cc
+++ b/source/common/shard/known_flows.cc
@@ -8,10 +8,10 @@
 namespace umberhold {
 namespace {
 
-// Encoded sizes; the fixed part covers UDP and IP headers and the envelope, too.
+// Encoded sizes; the fixed part includes the UDP and IP headers and the envelope.
 constexpr size_t kFixedBytes = 130;
 constexpr size_t kFingerprintBytes = 5;
-/** Makes fingerprints independent of what else is derived from a flow's hash. */
+/** Makes fingerprints independent of other values derived from a flow's hash. */
 constexpr uint64_t kFingerprintSeed = 0x6B6E6F776E666C6FULL;
 constexpr unsigned kFingerprintShift = 32;
 
@@ -31,24 +31,24 @@
   return std::binary_search(sorted_.begin(), sorted_.end(), fingerprintOf(flow));
 }
 
-void KnownFlowStream::startNumbers() {
-  // An acknowledgement of the last list must not fit the new one.
+void KnownFlowStream::resetNumbering() {
+  // An acknowledgement of the previous list must not match the new one.
   start_ = end() + 1;
   first_ = start_;
   waiting_.clear();
   announced_ = false;
-  onTheWay_ = false;
+  inFlight_ = false;
 }
 
 void KnownFlowStream::restart(std::vector<FlowFingerprint> all) {
-  startNumbers();
+  resetNumbering();
   waiting_.assign(all.begin(), all.end());
-  placedSince_ = end();
+  firstPlacedNumber_ = end();
   state_ = State::kRunning;
 }
 
 void KnownFlowStream::revoke() {
-  startNumbers();
+  resetNumbering();
   state_ = State::kRevoked;
 }
 
@@ -58,32 +58,35 @@
   }
 }
 
-bool KnownFlowStream::needsRenewal(size_t livingFlows) const {
-  return running() && end() - start_ > 2 * livingFlows + kMostEnded;
+bool KnownFlowStream::needsRenewal(size_t liveFlows) const {
+  return running() && end() - start_ > 2 * liveFlows + kMaximumEndedFlows;
 }
 
 std::optional<KnownFlowBatch> KnownFlowStream::poll(TimePoint now, ByteBudget& budget,
                                                     ByteBudget& lists) {
   const bool nothingNew = announced_ && waiting_.empty();
   const bool full = waiting_.size() >= kBatchFlows;
-  const Duration usual = full || !announced_ || budget.isAtLeastHalfFull(now) ? kPace : kBatchTime;
-  const Duration pause = onTheWay_ ? kResend : (hurries_ ? Duration(0) : usual);
-  if (state_ == State::kStopped || nothingNew || now - lastSend_ < pause) {
+  const Duration interval =
+      full || !announced_ || budget.isAtLeastHalfFull(now) ? kMinimumBatchInterval : kPartialBatchDelay;
+  const Duration delay = inFlight_ ? kResendInterval : (flushRequested_ ? Duration(0) : interval);
+  if (state_ == State::kStopped || nothingNew || now - lastSend_ < delay) {
     return std::nullopt;
   }
   const size_t count = std::min(waiting_.size(), kBatchFlows);
   const auto bytes = static_cast<double>(kFixedBytes + kFingerprintBytes * count);
   const bool paid =
-      budget.tryConsume(now, bytes) || (first_ < placedSince_ && lists.tryConsume(now, bytes));
+      budget.tryConsume(now, bytes) || (first_ < firstPlacedNumber_ && lists.tryConsume(now, bytes));
   if (!paid) {
     return std::nullopt;
   }
   return makeBatch(now, count);
 }
 
-std::optional<KnownFlowBatch> KnownFlowStream::takeAlong(TimePoint now, ByteBudget& budget) {
+std::optional<KnownFlowBatch> KnownFlowStream::takePiggybackBatch(TimePoint now,
+                                                                  ByteBudget& budget) {
   const size_t count = waiting_.size();
-  const bool fits = announced_ && running() && !onTheWay_ && count > 0 && count <= kMostAlong;
+  const bool fits =
+      announced_ && running() && !inFlight_ && count > 0 && count <= kMaximumPiggybackedFlows;
   if (!fits || !budget.tryConsume(now, static_cast<double>(kFingerprintBytes * count))) {
     return std::nullopt;
   }
@@ -94,11 +97,11 @@
   KnownFlowBatch batch;
   batch.start = start_;
   batch.first = first_;
-  // A revoked list ends where it never arrives.
+  // A revoked list has an end that is never reached, so that the copy stays incomplete.
   batch.end = state_ == State::kRevoked ? end() + 1 : end();
   batch.fingerprints.assign(waiting_.begin(), waiting_.begin() + static_cast<ptrdiff_t>(count));
-  onTheWay_ = true;
-  hurries_ = hurries_ && count < waiting_.size();
+  inFlight_ = true;
+  flushRequested_ = flushRequested_ && count < waiting_.size();
   lastSend_ = now;
   return batch;
 }
@@ -110,7 +113,7 @@
   waiting_.erase(waiting_.begin(), waiting_.begin() + static_cast<ptrdiff_t>(next - first_));
   first_ = next;
   announced_ = true;
-  onTheWay_ = false;
+  inFlight_ = false;
 }
 
 void KnownFlowCopy::reset() {
--- a/source/common/shard/local_shard.cc
+++ b/source/common/shard/local_shard.cc
@@ -9,16 +9,28 @@
 namespace umberhold {
 namespace {
 
-/** How many of the best-ranked members are asked for state, besides the best of each zone. */
+/**
+ * Number of best-ranked members that are asked for state, in addition to the best one of each zone.
+ */
 constexpr size_t kRankedCandidates = 4;
-/** So long after its creation a service whose shards nobody holds has had no flows. */
-constexpr Duration kNewServiceTime = std::chrono::seconds(10);
+/**
+ * Within this time after its creation a service has no flows if no node holds state of its shard.
+ */
+constexpr Duration kNewServicePeriod = std::chrono::seconds(10);
 constexpr Duration kNoticeInterval = std::chrono::milliseconds(500);
-/** So long a former owner that lost its shard says that it has flows which the new one lacks. */
-constexpr Duration kFencedNoticeTime = std::chrono::seconds(5);
-/** A copy that no owner has fed for this long, while no view asked for it, lacks changes. */
-constexpr Duration kReplicaPatience = std::chrono::seconds(2);
-/** A copy that no owner has fed for this long, and no view asks for, is dropped. */
+/**
+ * How long a fenced former owner notifies the new owner that it holds flows unknown to the latter.
+ */
+constexpr Duration kFencedNoticePeriod = std::chrono::seconds(5);
+/**
+ * A replica that has received nothing from an owner for this long, while the view does not assign
+ * the shard to this node, is missing changes.
+ */
+constexpr Duration kReplicaStaleTimeout = std::chrono::seconds(2);
+/**
+ * A replica that has received nothing from an owner for this long, while the view does not assign
+ * the shard to this node, is dropped.
+ */
 constexpr Duration kReplicaLifetime = std::chrono::seconds(120);
 
 void addUnique(std::vector<NodeId>& nodes, NodeId node) {
@@ -39,9 +51,9 @@
   context_.flows.removeShard(flowSlot_);
 }
 
-bool LocalShard::isNamedOwner() const {
-  const auto named = context_.map.lookup(id_);
-  return named && named->owner == context_.self() && !context_.leaving;
+bool LocalShard::isAssignedOwner() const {
+  const auto assignment = context_.map.lookup(id_);
+  return assignment && assignment->owner == context_.self() && !context_.leaving;
 }
 
 bool LocalShard::outranksSelf(NodeId node) const {
@@ -51,17 +63,17 @@
 }
 
 HeldState LocalShard::held(TimePoint now) const {
-  // While the nodes that hold newer state may be cut off, an outdated one would send their flows to
-  // other hosts. Where they are dead it is the best that is left.
-  const bool outdatedServes = !context_.mayHaveRivals(now);
-  // A node that was paused releases its shards to itself, to ask whether they are still its own.
-  const bool gaveWay = fenced_ && successor_ != context_.self();
-  const bool superseded = gaveWay || (handedOver_ && !fenced_);
+  // While the nodes that hold newer state may be beyond a network partition, outdated state would
+  // send their flows to other hosts. If they are dead, it is the best state left.
+  const bool allowOutdated = !context_.mayHaveRivals(now);
+  // After a process pause a node releases its shards to itself and asks whether it still owns them.
+  const bool fencedByPeer = fenced_ && successor_ != context_.self();
+  const bool superseded = fencedByPeer || (handedOver_ && !fenced_);
   HeldState best;
-  if (hasState_ && (!superseded || outdatedServes)) {
+  if (hasState_ && (!superseded || allowOutdated)) {
     best = HeldState{HeldRole::kReleased, epoch_, 0};
   }
-  if (replica_ && replica_->synchronised() && (!replica_->outdated() || outdatedServes)) {
+  if (replica_ && replica_->synchronised() && (!replica_->outdated() || allowOutdated)) {
     best =
         std::max(best, HeldState{HeldRole::kReplica, replica_->epoch(), replica_->nextSequence()});
   }
@@ -76,7 +88,7 @@
   for (const NodeId& node : context_.map.ranked(id_, kRankedCandidates)) {
     addUnique(candidates, node);
   }
-  for (const NodeId& node : context_.map.bestOfEachZone(id_)) {
+  for (const NodeId& node : context_.map.highestRankedPerZone(id_)) {
     addUnique(candidates, node);
   }
   context_.view.forEach([&](const Member& member) {
@@ -110,7 +122,7 @@
 void LocalShard::abandonTakeover(TimePoint now) {
   takeover_.reset();
   role_ = hasState_ ? ShardRole::kReleased : ShardRole::kNone;
-  releaseHeld(now);
+  releaseHeldPackets(now);
 }
 
 void LocalShard::pollTakeover(TimePoint now) {
@@ -124,22 +136,23 @@
     takeOverContent(now, fetched->direct, fetched->content);
   } else if (std::holds_alternative<TakeoverOwnState>(outcome)) {
     if (held(now).role == HeldRole::kNothing) {
-      // What counted when the takeover began may be outdated: a cut is suspected by now.
+      // The state that was usable when the takeover began may be outdated: a partition is suspected
+      // now.
       startTakeover(now);
     } else {
       takeOverOwnState(now);
     }
   } else if (const auto* nothing = std::get_if<TakeoverNothing>(&outcome)) {
     const bool fresh = nothing->allAnswered && isNewService(now);
-    // Nobody has state and nobody can have died with it: the shard never had an owner.
+    // No node holds state and none can have died with it: the shard never had an owner.
     const bool firstOwner = nothing->allAnswered && !nothing->memberDied && !context_.memberDied;
-    // While a whole zone is silent, the state that is not found here is probably alive there. A
-    // death just now may be the first sign of that, and a heal takes a while. A node that joined
-    // meanwhile knows of none of these itself, but those that it asks do.
+    // While a whole zone is unreachable, state that is not found here probably still exists there.
+    // A recent death may be the first sign of a partition, and healing takes a while. A node that
+    // joined in the meantime has not observed any of this, but the members that it asks have.
     if ((context_.mayHaveRivals(now) || nothing->mayHaveRivals) && !fresh) {
       startTakeover(now);
     } else {
-      buildNew(now, fresh, fresh || firstOwner);
+      createEmpty(now, fresh, fresh || firstOwner);
     }
   }
 }
@@ -147,8 +160,8 @@
 void LocalShard::takeOverContent(TimePoint now, bool direct, const ShardContent& content) {
   const bool superseded = hasState_ && handedOver_ && !fenced_;
   if (superseded) {
-    // What this node gave away came back in the content, where it still lives.
-    forgetState();
+    // The fetched content contains all flows of the handed-over state that still exist.
+    discardState();
   }
   highestEpochSeen_ = std::max(highestEpochSeen_, content.epoch);
   setBase(now, content.base);
@@ -177,8 +190,8 @@
   if (!knowsAllFlows_ && content.oldFlows) {
     oldFlows_.emplace(*content.oldFlows);
   }
-  // An opening that the previous owner forwarded to the base's host is not in the content unless
-  // that lists all flows: its repeat must not be placed elsewhere.
+  // An opening that the previous owner forwarded to the base table's host is in the content only if
+  // that lists all flows: a repeated opening must not be placed elsewhere.
   becomeOwner(now, !knowsAllFlows_, content.permits);
 }
 
@@ -198,11 +211,11 @@
 }
 
 bool LocalShard::isNewService(TimePoint now) const {
-  return service_.bornAt && now - *service_.bornAt < kNewServiceTime;
+  return service_.createdAt && now - *service_.createdAt < kNewServicePeriod;
 }
 
-void LocalShard::buildNew(TimePoint now, bool fresh, bool knowsAllFlows) {
-  ++context_.counters.shardsBuiltNew;
+void LocalShard::createEmpty(TimePoint now, bool fresh, bool knowsAllFlows) {
+  ++context_.counters.shardsCreated;
   setBase(now, service_.placement->currentBase());
   markExceptions(now);
   knowsAllFlows_ = knowsAllFlows;
@@ -210,7 +223,7 @@
   becomeOwner(now, !fresh, {});
 }
 
-void LocalShard::becomeOwner(TimePoint now, bool cautious,
+void LocalShard::becomeOwner(TimePoint now, bool baseOnly,
                              const std::vector<HostPermits>& permits) {
   role_ = ShardRole::kOwner;
   epoch_ = std::max(highestEpochSeen_, epoch_) + 1;
@@ -227,14 +240,14 @@
   takeoverSenders_.clear();
   ownedSince_ = now;
   lastBaseAdvance_ = now;
-  cautiousUntil_ = cautious ? now + context_.options.cautiousTime : now;
+  baseOnlyUntil_ = baseOnly ? now + context_.options.baseOnlyTime : now;
   log_.reset(now);
-  replicaLate_ = false;
+  replicaOverdue_ = false;
   knownFlows_.stop();
   service_.placement->shardOwned(now, id_, permits);
   countEntries(now);
   chooseReplica(now);
-  releaseHeld(now);
+  releaseHeldPackets(now);
 }
 
 void LocalShard::countEntries(TimePoint now) {
@@ -248,13 +261,13 @@
   }
 }
 
-void LocalShard::releaseHeld(TimePoint now) {
-  releasePackets(now, held_.takeAll());
+void LocalShard::releaseHeldPackets(TimePoint now) {
+  releasePackets(now, heldPackets_.takeAll());
 }
 
 void LocalShard::release(TimePoint now, NodeId successor) {
   ++context_.counters.releases;
-  std::vector<HoldQueue::Packet> unforwarded = giveUpUnacknowledged(now);
+  std::vector<HoldQueue::Packet> unforwarded = dropUnacknowledged(now);
   releasedPermits_ = service_.placement->handOverPermits(id_);
   service_.placement->shardReleased(now, id_);
   role_ = ShardRole::kReleased;
@@ -276,17 +289,17 @@
   highestEpochSeen_ = std::max(highestEpochSeen_, newerEpoch);
 }
 
-void LocalShard::reconfirm(TimePoint now) {
+void LocalShard::reconfirmOwnership(TimePoint now) {
   if (role_ == ShardRole::kOwner) {
     release(now, context_.self());
     fenced_ = true;
   }
-  if (role_ == ShardRole::kAcquiring || isNamedOwner()) {
+  if (role_ == ShardRole::kAcquiring || isAssignedOwner()) {
     startTakeover(now);
   }
 }
 
-void LocalShard::forgetState() {
+void LocalShard::discardState() {
   context_.flows.removeShard(flowSlot_);
   flowSlot_ = context_.flows.addShard(service_.idleTimeoutSeconds);
   slots_.clear();
@@ -304,22 +317,22 @@
   refused_.expire(now);
   tickReplica(now);
   tickSenders(now);
-  const bool named = isNamedOwner();
+  const bool assigned = isAssignedOwner();
   switch (role_) {
     case ShardRole::kNone:
-      if (named) {
+      if (assigned) {
         startTakeover(now);
       }
       break;
     case ShardRole::kAcquiring:
-      if (named) {
+      if (assigned) {
         pollTakeover(now);
       } else {
         abandonTakeover(now);
       }
       break;
     case ShardRole::kReleased:
-      if (named) {
+      if (assigned) {
         startTakeover(now);
       } else {
         tickReleased(now);
@@ -334,35 +347,35 @@
 
 void LocalShard::tickReleased(TimePoint now) {
   const bool holdsFlows = fenced_ && context_.flows.flowCount(flowSlot_) > 0;
-  const bool due = now - lastNotice_ >= kNoticeInterval && now - releasedAt_ < kFencedNoticeTime;
+  const bool due = now - lastNotice_ >= kNoticeInterval && now - releasedAt_ < kFencedNoticePeriod;
   if (holdsFlows && due) {
     lastNotice_ = now;
     context_.send(successor_, OwnershipNotice{id_, epoch_, true});
   }
   if (context_.leaving && !fenced_ && !handedOver_) {
-    askWhoOwns(now);
+    queryOwner(now);
   }
-  if (now - releasedAt_ >= context_.options.releasedTime) {
-    forgetState();
+  if (now - releasedAt_ >= context_.options.releasedStateLifetime) {
+    discardState();
     role_ = ShardRole::kNone;
   }
 }
 
 /**
- * Asks whoever may have fetched the state whether it owns the shard now; an owner answers with its
- * epoch. A leaving node hears of a newer owner in no other way: the last acknowledgement of a fetch
- * may be lost, and the successor may have taken a replica's copy instead.
+ * Asks the nodes that may have fetched the state whether they own the shard; an owner replies with
+ * its epoch. A leaving node has no other way to detect a newer owner: the last acknowledgement of a
+ * fetch may be lost, or the successor may have used a replica's copy instead.
  */
-void LocalShard::askWhoOwns(TimePoint now) {
+void LocalShard::queryOwner(TimePoint now) {
   if (now - lastNotice_ < kNoticeInterval) {
     return;
   }
   lastNotice_ = now;
   const OwnershipNotice notice{id_, epoch_, false};
   context_.send(successor_, notice);
-  const auto named = context_.map.lookup(id_);
-  if (named && named->owner != successor_) {
-    context_.send(named->owner, notice);
+  const auto assignment = context_.map.lookup(id_);
+  if (assignment && assignment->owner != successor_) {
+    context_.send(assignment->owner, notice);
   }
 }
 
@@ -382,28 +395,28 @@
     return;
   }
   replica_->tick(now);
-  const auto named = context_.map.lookup(id_);
-  const bool wanted =
-      named && (named->owner == context_.self() || named->replica == context_.self());
-  if (!wanted && now - replica_->lastHeard() >= kReplicaPatience) {
+  const auto assignment = context_.map.lookup(id_);
+  const bool wanted = assignment && (assignment->owner == context_.self() ||
+                                     assignment->replica == context_.self());
+  if (!wanted && now - replica_->lastOwnerMessage() >= kReplicaStaleTimeout) {
     replica_->setOutdated();
   }
-  if (!wanted && now - replica_->lastHeard() >= kReplicaLifetime) {
+  if (!wanted && now - replica_->lastOwnerMessage() >= kReplicaLifetime) {
     replica_.reset();
   }
 }
 
 void LocalShard::sendNotice(TimePoint now) {
-  const auto named = context_.map.lookup(id_);
-  const bool another = named && named->owner != context_.self();
+  const auto assignment = context_.map.lookup(id_);
+  const bool another = assignment && assignment->owner != context_.self();
   if (another && now - lastNotice_ >= kNoticeInterval) {
     lastNotice_ = now;
-    context_.send(named->owner, OwnershipNotice{id_, epoch_, false});
+    context_.send(assignment->owner, OwnershipNotice{id_, epoch_, false});
   }
 }
 
-bool LocalShard::isIdle() const {
-  return role_ == ShardRole::kNone && !replica_ && !isNamedOwner();
+bool LocalShard::isUnused() const {
+  return role_ == ShardRole::kNone && !replica_ && !isAssignedOwner();
 }
 
 std::string_view toString(ShardRole role) {
@@ -420,7 +433,7 @@
   return "unknown";
 }
 
-HeldShard LocalShard::heldShard() const {
+PendingHandover LocalShard::pendingHandover() const {
   return {id_, role_, epoch_, context_.flows.flowCount(flowSlot_), fenced_, successor_};
 }
 
@@ -428,12 +441,13 @@
   if (role_ == ShardRole::kOwner) {
     return false;
   }
-  // Nobody fetches the state of an owner that gave way: the newer one has its own. It only has to
-  // hear that there are flows which it doesn't know.
-  const bool gaveWay = fenced_ && successor_ != context_.self();
-  const bool noticed = now - releasedAt_ >= kFencedNoticeTime;
-  const bool nothingToGive = gaveWay && (noticed || context_.flows.flowCount(flowSlot_) == 0);
-  return role_ != ShardRole::kReleased || handedOver_ || nothingToGive;
+  // The state of a fenced owner is not fetched, since the newer owner has its own. The newer owner
+  // only needs the notice that flows unknown to it exist.
+  const bool fencedByPeer = fenced_ && successor_ != context_.self();
+  const bool noticePeriodOver = now - releasedAt_ >= kFencedNoticePeriod;
+  const bool nothingToHandOver =
+      fencedByPeer && (noticePeriodOver || context_.flows.flowCount(flowSlot_) == 0);
+  return role_ != ShardRole::kReleased || handedOver_ || nothingToHandOver;
 }
 
 }  // namespace umberhold
--- a/source/common/shard/local_shard_replication.cc
+++ b/source/common/shard/local_shard_replication.cc
@@ -1,4 +1,4 @@
-/** @file Base table and replication of an owner, for LocalShard. */
+/** @file Base table and replication of a LocalShard that is owner. */
 #include <algorithm>
 #include <tuple>
 #include <utility>
@@ -8,7 +8,7 @@
 namespace umberhold {
 namespace {
 
-/** Weights alone change the base table only this rarely, and only by at least this share. */
+/** Minimum interval and minimum weight change of base table updates that change only weights. */
 constexpr Duration kWeightAdvanceInterval = std::chrono::minutes(5);
 constexpr int kLeastWeightChange = 64;
 
@@ -24,7 +24,7 @@
       [](const BaseHost& one, const BaseHost& other) { return one.host == other.host; });
 }
 
-/** Both lists hold the same hosts in the same order. */
+/** Both lists must contain the same hosts in the same order. */
 bool weightsDiffer(const std::vector<BaseHost>& left, const std::vector<BaseHost>& right) {
   for (size_t index = 0; index < left.size(); ++index) {
     if (std::abs(int{left[index].weight} - int{right[index].weight}) >= kLeastWeightChange) {
@@ -34,7 +34,7 @@
   return false;
 }
 
-/** Of one fingerprint in a snapshot. */
+/** Encoded size of one fingerprint in a snapshot. */
 constexpr size_t kListedFlowBytes = 5;
 
 bool hasWeight(const std::vector<BaseHost>& hosts) {
@@ -61,9 +61,9 @@
     return service_.hosts.isGone(entry.host, context_.unixNow);
   });
   if (!hasWeight(base)) {
-    // No flow follows a base table without hosts, so that it may be replaced at any time.
+    // No flow depends on a base table without hosts, so it can be replaced at any time.
     base = service_.placement->currentBase();
-    log_.loseReplica();
+    log_.markReplicaLost();
   }
   base_ = BaseTable(std::move(base));
 }
@@ -76,10 +76,10 @@
       slot.endpoint = record->endpoint;
     }
     const bool moved = record != nullptr && record->endpoint != slot.endpoint;
-    slot.runs = slot.runs && !gone && !moved;
+    slot.usable = slot.usable && !gone && !moved;
   }
   if (replica_) {
-    replica_->keepHosts(
+    replica_->retainHosts(
         [this](HostId host) { return !service_.hosts.isGone(host, context_.unixNow); });
   }
   if (role_ != ShardRole::kOwner && !hasState_) {
@@ -88,9 +88,9 @@
   const size_t before = base_.hosts().size();
   setBase(now, base_.hosts());
   if (nextBase_ && base_.hosts().size() != before) {
-    // The table under way may name a host that is gone: start over.
+    // The next table may contain a removed host: start over.
     nextBase_.reset();
-    log_.loseReplica();
+    log_.markReplicaLost();
     replicaSnapshot_.reset();
   }
 }
@@ -110,7 +110,7 @@
   for (const Change& change : changes) {
     context_.flows.setHost(flowSlot_, change.entry.flow, change.entry.hostSlot, change.exception);
     if (role_ == ShardRole::kOwner && !change.exception) {
-      log_.removed(now, change.entry.flow);
+      log_.appendRemoved(now, change.entry.flow);
     }
   }
 }
@@ -120,14 +120,14 @@
   content.epoch = epoch_;
   content.sequence = log_.nextSequence();
   content.base = nextBase_ && !handOver ? nextBase_->hosts() : base_.hosts();
-  // Once another node owned the shard, flows exist that are not listed here.
+  // After another node has owned the shard, flows exist that are not listed here.
   const bool latest = handOver && !handedOver_ && !fenced_;
   const bool full = latest && knowsAllFlows_ &&
                     context_.flows.flowCount(flowSlot_) <= context_.options.fullSnapshotFlows;
   content.knowsAllFlows = full;
   context_.flows.forEach(now, flowSlot_, [&](const FlowEntry& entry) {
     const HostSlot& slot = slots_.at(entry.hostSlot);
-    if (slot.runs && (full || entry.exception)) {
+    if (slot.usable && (full || entry.exception)) {
       content.pinned.push_back(PinnedFlow{entry.flow, slot.host});
     }
   });
@@ -139,7 +139,7 @@
   if (isUdp && latest && !full && knowsOldFlows()) {
     auto known = listKnownFlows(now);
     const auto bytes = static_cast<double>(known.size() * kListedFlowBytes);
-    if (context_.handOverListBudget.tryConsume(now, bytes)) {
+    if (context_.handoverListBudget.tryConsume(now, bytes)) {
       content.oldFlows = std::move(known);
     }
   }
@@ -148,9 +148,9 @@
 
 void LocalShard::tickReplication(TimePoint now) {
   chooseReplica(now);
-  learnAllFlows(now);
+  updateAllFlowsKnown(now);
   advanceBase(now);
-  placeOverdue(now);
+  releaseOverdue(now);
   if (!replicaNode_) {
     return;
   }
@@ -162,8 +162,9 @@
   streamKnownFlows(now);
 }
 
-TimePoint LocalShard::replicationWaitsSince() const {
-  return role_ == ShardRole::kOwner && replicaNode_ ? log_.waitsSince() : TimePoint::max();
+TimePoint LocalShard::pendingReplicationSince() const {
+  return role_ == ShardRole::kOwner && replicaNode_ ? log_.oldestUrgentChangeTime()
+                                                    : TimePoint::max();
 }
 
 void LocalShard::sendReplication(TimePoint now) {
@@ -174,7 +175,7 @@
   if (!batch) {
     return;
   }
-  if (auto known = knownFlows_.takeAlong(now, context_.knownFlowBudget)) {
+  if (auto known = knownFlows_.takePiggybackBatch(now, context_.knownFlowBudget)) {
     batch->known = std::move(*known);
   }
   context_.send(*replicaNode_, std::move(*batch));
@@ -189,13 +190,13 @@
       knownFlows_.revoke();
     }
   } else {
-    const size_t living =
+    const size_t liveFlows =
         context_.flows.flowCount(flowSlot_) + (oldFlows_ ? oldFlows_->list().size() : 0);
-    if (!knownFlows_.running() || knownFlows_.needsRenewal(living)) {
+    if (!knownFlows_.running() || knownFlows_.needsRenewal(liveFlows)) {
       knownFlows_.restart(listKnownFlows(now));
     }
   }
-  if (auto batch = knownFlows_.poll(now, context_.knownFlowBudget, context_.wholeListBudget)) {
+  if (auto batch = knownFlows_.poll(now, context_.knownFlowBudget, context_.completeListBudget)) {
     ReplicaAppend message{id_, epoch_, log_.firstSequence(), {}, {}, {}, {}, std::move(*batch)};
     context_.send(*replicaNode_, std::move(message));
   }
@@ -214,31 +215,31 @@
   return known;
 }
 
-void LocalShard::forgetWhatIsKnown(TimePoint now) {
+void LocalShard::invalidateKnownFlows(TimePoint now) {
   knowsAllFlows_ = false;
   oldFlows_.reset();
   ownedSince_ = now;
 }
 
 void LocalShard::chooseReplica(TimePoint now) {
-  const auto named = context_.map.lookup(id_);
-  if (!named) {
+  const auto assignment = context_.map.lookup(id_);
+  if (!assignment) {
     return;
   }
-  const bool namedSelf = named->owner == context_.self();
+  const bool assignedToSelf = assignment->owner == context_.self();
   std::optional<NodeId> wanted = replicaNode_;
-  if (namedSelf) {
-    wanted = named->replica;
+  if (assignedToSelf) {
+    wanted = assignment->replica;
   } else if (!wanted || !context_.isReachable(*wanted)) {
-    // Until the named owner asks for the shard it is as good a replica as any.
-    wanted = named->owner;
+    // Until the assigned owner requests the shard, it is as good a replica as any other node.
+    wanted = assignment->owner;
   }
   if (wanted != replicaNode_) {
     replicaNode_ = wanted;
-    replicaHeardAt_ = TimePoint{};
+    lastReplicaAck_ = TimePoint{};
     replicaSnapshot_.reset();
     nextBase_.reset();
-    log_.loseReplica();
+    log_.markReplicaLost();
     knownFlows_.stop();
     markExceptions(now);
   }
@@ -249,7 +250,7 @@
   snapshotCarriesNextBase_ = nextBase_.has_value();
   const SnapshotIdentity identity{id_, SnapshotPurpose::kReplica, ++replicaSnapshotNumber_};
   replicaSnapshot_ =
-      std::make_unique<SnapshotSender>(now, cutSnapshot(identity, content(now, false)));
+      std::make_unique<SnapshotSender>(now, splitSnapshot(identity, content(now, false)));
 }
 
 void LocalShard::pollReplicaSnapshot(TimePoint now) {
@@ -264,10 +265,10 @@
   }
   replicaSnapshot_.reset();
   if (log_.firstSequence() != replicaSnapshotSequence_) {
-    // The log overflowed meanwhile and the snapshot no longer joins it.
+    // The log overflowed during the transfer, so its changes no longer follow the snapshot.
     return;
   }
-  log_.snapshotArrived(now);
+  log_.onSnapshotDelivered(now);
   releaseAcknowledged(now);
   if (nextBase_ && snapshotCarriesNextBase_) {
     finishBaseAdvance(now);
@@ -312,20 +313,20 @@
   if (context_.mayHaveRivals(now)) {
     return false;
   }
-  return replicaNode_ ? log_.current(now) && !replicaLate_ : context_.map.liveMembers() <= 1;
+  return replicaNode_ ? log_.current(now) && !replicaOverdue_ : context_.map.liveMembers() <= 1;
 }
 
 void LocalShard::releaseAcknowledged(TimePoint now) {
-  replicaHeardAt_ = now;
-  replicaLate_ = false;
+  lastReplicaAck_ = now;
+  replicaOverdue_ = false;
   if (log_.synchronised()) {
     releasePackets(now, unacknowledged_.takeAcknowledged(log_.firstSequence()));
   }
 }
 
-void LocalShard::placeOverdue(TimePoint now) {
+void LocalShard::releaseOverdue(TimePoint now) {
   for (UnacknowledgedFlows::Overdue& overdue : unacknowledged_.takeOverdue(now)) {
-    replicaLate_ = true;
+    replicaOverdue_ = true;
     if (const auto entry = context_.flows.find(now, flowSlot_, overdue.flow)) {
       dropEntry(now, *entry);
     }
@@ -333,7 +334,7 @@
   }
 }
 
-std::vector<HoldQueue::Packet> LocalShard::giveUpUnacknowledged(TimePoint now) {
+std::vector<HoldQueue::Packet> LocalShard::dropUnacknowledged(TimePoint now) {
   if (unacknowledged_.isEmpty()) {
     return {};
   }
@@ -355,7 +356,7 @@
   }
 }
 
-void LocalShard::learnAllFlows(TimePoint now) {
+void LocalShard::updateAllFlowsKnown(TimePoint now) {
   const Duration idleTimeout = std::chrono::seconds(service_.idleTimeoutSeconds);
   if (!knowsAllFlows_ && now - ownedSince_ >= idleTimeout) {
     knowsAllFlows_ = true;
@@ -365,7 +366,7 @@
 }
 
 void LocalShard::onReplicaAppend(TimePoint now, NodeId sender, const ReplicaAppend& batch) {
-  onOwnerHeard(now, sender, batch.epoch);
+  onOwnerAnnounced(now, sender, batch.epoch);
   if (role_ == ShardRole::kOwner) {
     context_.send(sender, ReplicaAck{id_, epoch_, 0, false, context_.self(), 0});
     return;
@@ -391,7 +392,7 @@
     return;
   }
   if (ack.needsSnapshot) {
-    log_.loseReplica();
+    log_.markReplicaLost();
     knownFlows_.stop();
   } else {
     log_.onAck(now, ack.nextSequence);
--- a/source/common/shard/replica_copy.cc
+++ b/source/common/shard/replica_copy.cc
@@ -5,7 +5,7 @@
 namespace umberhold {
 
 bool ReplicaCopy::outranks(uint32_t epoch, NodeId sender) const {
-  // Two owners of one epoch can't hear each other; the copy follows the one of the higher
+  // Two owners of the same epoch cannot reach each other; the copy follows the one with the higher
   // identifier.
   return std::tie(epoch_, owner_) > std::tie(epoch, sender);
 }
@@ -14,7 +14,7 @@
   if (outranks(batch.epoch, sender)) {
     return ReplicaAck{batch.shard, epoch_, 0, false, owner_, 0};
   }
-  lastHeard_ = now;
+  lastOwnerMessage_ = now;
   const bool follows = synchronised_ && batch.epoch == epoch_ && sender == owner_;
   if (!follows) {
     return ReplicaAck{batch.shard, batch.epoch, 0, true, NodeId{}, 0};
@@ -32,7 +32,7 @@
   if (gap || nothingNew) {
     return;
   }
-  // What of it is already here is applied again: the last change of each flow decides.
+  // Changes that are already applied are applied again: the last change of each flow decides.
   for (const FlowException& exception : batch.added) {
     if (exception.host < batch.hosts.size()) {
       pinned_[exception.flow] = batch.hosts[exception.host];
@@ -53,31 +53,31 @@
   if (outranks(chunk.epoch, sender)) {
     return std::nullopt;
   }
-  lastHeard_ = now;
+  lastOwnerMessage_ = now;
   const bool alreadyInstalled = synchronised_ && chunk.epoch == epoch_ && sender == owner_ &&
                                 chunk.attempt <= installedAttempt_;
   if (alreadyInstalled) {
     return SnapshotAck{chunk.shard, chunk.purpose, chunk.attempt, chunk.chunks};
   }
-  const bool another = !arriving_ || arriving_->owner != sender ||
-                       arriving_->epoch != chunk.epoch || arriving_->attempt != chunk.attempt;
+  const bool another = !incoming_ || incoming_->owner != sender ||
+                       incoming_->epoch != chunk.epoch || incoming_->attempt != chunk.attempt;
   if (another) {
-    if (arriving_ && arriving_->owner == sender && arriving_->epoch == chunk.epoch &&
-        arriving_->attempt > chunk.attempt) {
+    if (incoming_ && incoming_->owner == sender && incoming_->epoch == chunk.epoch &&
+        incoming_->attempt > chunk.attempt) {
       return std::nullopt;
     }
-    arriving_.emplace(Arriving{sender, chunk.epoch, chunk.attempt, {}});
+    incoming_.emplace(IncomingSnapshot{sender, chunk.epoch, chunk.attempt, {}});
   }
-  arriving_->assembler.accept(chunk);
-  const SnapshotAck answer{chunk.shard, chunk.purpose, chunk.attempt, arriving_->assembler.next()};
-  if (arriving_->assembler.complete()) {
+  incoming_->assembler.accept(chunk);
+  const SnapshotAck answer{chunk.shard, chunk.purpose, chunk.attempt, incoming_->assembler.next()};
+  if (incoming_->assembler.complete()) {
     if (owner_ != sender || epoch_ != chunk.epoch) {
       known_.reset();
     }
     owner_ = sender;
     installedAttempt_ = chunk.attempt;
-    install(now, arriving_->assembler.assemble());
-    arriving_.reset();
+    install(now, incoming_->assembler.assemble());
+    incoming_.reset();
   }
   return answer;
 }
@@ -102,7 +102,7 @@
   ShardContent content;
   content.epoch = epoch_;
   content.sequence = nextSequence_;
-  // Flows that follow the base table are not replicated, so a replica never knows all flows.
+  // Flows that follow the base table are not replicated, so a replica never lists all flows.
   content.knowsAllFlows = false;
   content.base = base_;
   for (const auto& [flow, host] : pinned_) {
@@ -115,9 +115,9 @@
   return content;
 }
 
-void ReplicaCopy::keepHosts(const std::function<bool(HostId)>& runs) {
-  std::erase_if(base_, [&](const BaseHost& entry) { return !runs(entry.host); });
-  std::erase_if(pinned_, [&](const auto& entry) { return !runs(entry.second); });
+void ReplicaCopy::retainHosts(const std::function<bool(HostId)>& usable) {
+  std::erase_if(base_, [&](const BaseHost& entry) { return !usable(entry.host); });
+  std::erase_if(pinned_, [&](const auto& entry) { return !usable(entry.second); });
 }
 
 }  // namespace umberhold
--- a/source/common/shard/shard_director.cc
+++ b/source/common/shard/shard_director.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Duration kHostCheckInterval = std::chrono::seconds(1);
-/** A zone of one member that falls silent is more likely dead than cut off. */
-constexpr Duration kSingleMemberZoneTime = std::chrono::seconds(15);
+/** A zone with a single member that becomes unreachable is more likely dead than partitioned. */
+constexpr Duration kSingleMemberZoneTimeout = std::chrono::seconds(15);
 
 }  // namespace
 
@@ -28,8 +28,8 @@
                ByteBudget(options.replication),
                ByteBudget(options.snapshots),
                ByteBudget(options.knownFlows),
-               ByteBudget(options.wholeLists),
-               ByteBudget(options.handOverLists),
+               ByteBudget(options.completeLists),
+               ByteBudget(options.handoverLists),
                {},
                0,
                {},
@@ -73,8 +73,8 @@
   runtime->hosts.update(id, *service);
   runtime->idleTimeoutSeconds = service->idleTimeoutSeconds;
   runtime->protocol = service->protocol;
-  if (const auto born = bornServices_.find(id); born != bornServices_.end()) {
-    runtime->bornAt = born->second;
+  if (const auto created = serviceCreationTimes_.find(id); created != serviceCreationTimes_.end()) {
+    runtime->createdAt = created->second;
   }
   ServicePlacementOptions options;
   options.zoneName = context_.options.zoneName;
@@ -97,7 +97,7 @@
 
 FlowDecision ShardDirector::decide(TimePoint now, const FlowPacket& packet,
                                    std::string_view bytes) {
-  noticePause(now);
+  detectPause(now);
   now_ = now;
   const Service* service = services_.find(packet.service);
   if (service == nullptr || service->shardCount == 0) {
@@ -105,22 +105,22 @@
   }
   const ShardId id{packet.service, static_cast<uint16_t>(packet.hash.value % service->shardCount)};
   LocalShard* shard = find(id);
-  const auto named = map_.lookup(id);
-  if (shard == nullptr && named && named->owner == context_.self()) {
+  const auto assignment = map_.lookup(id);
+  if (shard == nullptr && assignment && assignment->owner == context_.self()) {
     shard = findOrMake(now, id);
   }
   if (shard != nullptr) {
-    return decideElsewhere(now, packet, bytes, shard->decide(now, packet, bytes));
+    return applyRelayOption(now, packet, bytes, shard->decide(now, packet, bytes));
   }
-  const Member* owner = named ? context_.view.find(named->owner) : nullptr;
+  const Member* owner = assignment ? context_.view.find(assignment->owner) : nullptr;
   if (owner == nullptr) {
     return DropPacket{DropReason::kNoOwner};
   }
-  return decideElsewhere(now, packet, bytes, RelayToNode{owner->id, owner->relayEndpoint()});
+  return applyRelayOption(now, packet, bytes, RelayToNode{owner->id, owner->relayEndpoint()});
 }
 
-FlowDecision ShardDirector::decideElsewhere(TimePoint now, const FlowPacket& packet,
-                                            std::string_view bytes, FlowDecision decision) {
+FlowDecision ShardDirector::applyRelayOption(TimePoint now, const FlowPacket& packet,
+                                             std::string_view bytes, FlowDecision decision) {
   const bool relays = std::holds_alternative<RelayToNode>(decision);
   if (relays && !context_.options.ownerRelay) {
     return localTable_.decide(now, packet, bytes);
@@ -129,76 +129,77 @@
 }
 
 void ShardDirector::tick(TimePoint now, UnixSeconds unixNow) {
-  noticePause(now);
+  detectPause(now);
   lastTick_ = now;
   now_ = now;
   context_.unixNow = unixNow;
   flows_.tick(now);
-  suspectZoneCuts(now);
+  updateZonePartitionSuspicion(now);
   checkHosts(now);
   tickShards(now);
   shareLoads(now);
   requestPermits(now);
-  dropIdleShards();
+  dropUnusedShards();
 }
 
-void ShardDirector::noticePause(TimePoint now) {
+void ShardDirector::detectPause(TimePoint now) {
   if (lastTick_ && now - *lastTick_ >= context_.options.pauseThreshold) {
-    context_.cautiousUntil = now + context_.options.cautiousTime;
+    context_.baseOnlyUntil = now + context_.options.baseOnlyTime;
     for (auto& [id, shard] : shards_) {
-      shard->reconfirm(now);
+      shard->reconfirmOwnership(now);
     }
     lastTick_ = now;
   }
 }
 
-void ShardDirector::suspectZoneCuts(TimePoint now) {
-  context_.zoneCutSuspected = false;
-  for (const auto& [zone, silent] : silentZones_) {
-    const Duration patience =
-        silent.members > 1 ? context_.options.zoneCutTime : kSingleMemberZoneTime;
-    context_.zoneCutSuspected = context_.zoneCutSuspected || now - silent.since < patience;
+void ShardDirector::updateZonePartitionSuspicion(TimePoint now) {
+  context_.zonePartitionSuspected = false;
+  for (const auto& [zone, unreachable] : unreachableZones_) {
+    const Duration timeout =
+        unreachable.members > 1 ? context_.options.zonePartitionTimeout : kSingleMemberZoneTimeout;
+    context_.zonePartitionSuspected =
+        context_.zonePartitionSuspected || now - unreachable.since < timeout;
   }
 }
 
 void ShardDirector::onMemberChanged(const Member& member) {
   map_.onMember(member);
   if (member.state == MemberState::kLeaving) {
-    left_.insert(member.id);
+    departedMembers_.insert(member.id);
   } else if (member.state != MemberState::kDead) {
-    left_.erase(member.id);
+    departedMembers_.erase(member.id);
   }
-  std::unordered_map<ZoneId, size_t> dead;
-  std::unordered_set<ZoneId> heard;
+  std::unordered_map<ZoneId, size_t> deadMembersByZone;
+  std::unordered_set<ZoneId> reachableZones;
   context_.view.forEach([&](const Member& other) {
     if (other.state != MemberState::kDead) {
-      heard.insert(other.zone);
-    } else if (!left_.contains(other.id)) {
-      ++dead[other.zone];
+      reachableZones.insert(other.zone);
+    } else if (!departedMembers_.contains(other.id)) {
+      ++deadMembersByZone[other.zone];
     }
   });
-  context_.memberDied = !dead.empty();
-  if (member.state == MemberState::kDead && !left_.contains(member.id)) {
+  context_.memberDied = !deadMembersByZone.empty();
+  if (member.state == MemberState::kDead && !departedMembers_.contains(member.id)) {
     context_.lastDeath = now_;
   }
-  const auto healed = std::erase_if(silentZones_, [&](const auto& entry) {
-    return heard.contains(entry.first) || !dead.contains(entry.first);
+  const auto healed = std::erase_if(unreachableZones_, [&](const auto& entry) {
+    return reachableZones.contains(entry.first) || !deadMembersByZone.contains(entry.first);
   });
   if (healed > 0) {
     context_.lastHeal = now_;
   }
-  for (const auto& [zone, members] : dead) {
-    if (!heard.contains(zone)) {
-      silentZones_.try_emplace(zone, SilentZone{now_, members});
+  for (const auto& [zone, members] : deadMembersByZone) {
+    if (!reachableZones.contains(zone)) {
+      unreachableZones_.try_emplace(zone, UnreachableZone{now_, members});
     }
   }
-  suspectZoneCuts(now_);
+  updateZonePartitionSuspicion(now_);
 }
 
 void ShardDirector::tickShards(TimePoint now) {
-  for (const ShardId& id : map_.takeChanged()) {
-    const auto named = map_.lookup(id);
-    if (named && named->owner == context_.self() && !context_.leaving) {
+  for (const ShardId& id : map_.takeChangedShards()) {
+    const auto assignment = map_.lookup(id);
+    if (assignment && assignment->owner == context_.self() && !context_.leaving) {
       findOrMake(now, id);
     }
   }
@@ -215,15 +216,15 @@
     order.push_back(shard.get());
   }
   std::stable_sort(order.begin(), order.end(), [](const LocalShard* left, const LocalShard* right) {
-    return left->replicationWaitsSince() < right->replicationWaitsSince();
+    return left->pendingReplicationSince() < right->pendingReplicationSince();
   });
   for (LocalShard* shard : order) {
     shard->sendReplication(now);
   }
 }
 
-void ShardDirector::dropIdleShards() {
-  std::erase_if(shards_, [](const auto& entry) { return entry.second->isIdle(); });
+void ShardDirector::dropUnusedShards() {
+  std::erase_if(shards_, [](const auto& entry) { return entry.second->isUnused(); });
   std::erase_if(runtimes_, [this](const auto& runtime) {
     return std::none_of(shards_.begin(), shards_.end(),
                         [&](const auto& shard) { return shard.first.service == runtime.first; });
@@ -248,7 +249,7 @@
     return;
   }
   if (knownServices_.insert(id).second && caughtUp_) {
-    bornServices_[id] = now;
+    serviceCreationTimes_[id] = now;
   }
   map_.setService(id, service->shardCount);
   localTable_.onServiceChanged(id);
@@ -264,7 +265,7 @@
     if (shardId.service == id) {
       flows_.setIdleTimeout(shard->flowSlot(), service->idleTimeoutSeconds);
       shard->onHostsChanged(now);
-      shard->hurryKnownFlows();
+      shard->flushKnownFlows();
     }
   }
 }
@@ -274,7 +275,7 @@
   map_.removeService(id);
   localTable_.onServiceChanged(id);
   knownServices_.erase(id);
-  bornServices_.erase(id);
+  serviceCreationTimes_.erase(id);
   std::erase_if(shards_, [&](const auto& entry) { return entry.first.service == id; });
   runtimes_.erase(id);
 }
@@ -292,19 +293,19 @@
 }
 
 bool ShardDirector::handedOver() const {
-  return heldShards().empty();
+  return pendingHandovers().empty();
 }
 
-std::vector<HeldShard> ShardDirector::heldShards() const {
-  std::vector<HeldShard> held;
+std::vector<PendingHandover> ShardDirector::pendingHandovers() const {
+  std::vector<PendingHandover> pending;
   for (const auto& [id, shard] : shards_) {
-    const auto named = map_.lookup(id);
-    const bool noSuccessor = !named || named->owner == context_.self();
+    const auto assignment = map_.lookup(id);
+    const bool noSuccessor = !assignment || assignment->owner == context_.self();
     if (!noSuccessor && !shard->isHandedOver(now_)) {
-      held.push_back(shard->heldShard());
+      pending.push_back(shard->pendingHandover());
     }
   }
-  return held;
+  return pending;
 }
 
 ServicePlacement* ShardDirector::placementOf(ServiceId id) {
@@ -330,8 +331,8 @@
     return shard->explain(now, flow);
   }
   answer.shard = id;
-  if (const auto named = map_.lookup(id)) {
-    answer.owner = named->owner;
+  if (const auto assignment = map_.lookup(id)) {
+    answer.owner = assignment->owner;
   }
   return answer;
 }
--- a/source/common/shard/shard_map.cc
+++ b/source/common/shard/shard_map.cc
@@ -8,11 +8,11 @@
 namespace umberhold {
 namespace {
 
-bool isNamed(MemberState state) {
+bool isEligible(MemberState state) {
   return state == MemberState::kAlive || state == MemberState::kSuspect;
 }
 
-/** Orders by score; equal scores (64 bits, so next to never) by identifier. */
+/** Orders by score, and equal scores (64 bits, hence very rare) by identifier. */
 bool outranks(uint64_t leftScore, NodeId left, uint64_t rightScore, NodeId right) {
   return std::tie(leftScore, left) > std::tie(rightScore, right);
 }
@@ -27,11 +27,11 @@
   Assignments& assignments = services_[service];
   const auto before = static_cast<uint16_t>(assignments.size());
   for (uint16_t index = shardCount; index < before; ++index) {
-    noteChange(ShardId{service, index}, assignments[index], Assignment{});
+    recordChange(ShardId{service, index}, assignments[index], Assignment{});
   }
   assignments.resize(shardCount);
   for (uint16_t index = before; index < shardCount; ++index) {
-    rankAgain(ShardId{service, index}, assignments[index]);
+    rerank(ShardId{service, index}, assignments[index]);
   }
 }
 
@@ -45,14 +45,14 @@
 void ShardMap::onMember(const Member& member) {
   const auto known = std::find_if(members_.begin(), members_.end(),
                                   [&](const LiveMember& live) { return live.id == member.id; });
-  const bool wasNamed = known != members_.end();
-  const bool named = isNamed(member.state);
-  if (wasNamed && (!named || known->zone != member.zone)) {
+  const bool wasEligible = known != members_.end();
+  const bool eligible = isEligible(member.state);
+  if (wasEligible && (!eligible || known->zone != member.zone)) {
     removeMember(member.id);
-  } else if (wasNamed) {
+  } else if (wasEligible) {
     return;
   }
-  if (named) {
+  if (eligible) {
     addMember(LiveMember{member.id, member.zone});
   }
 }
@@ -74,48 +74,50 @@
     for (uint16_t index = 0; index < shardCount; ++index) {
       Assignment& assignment = assignments[index];
       if (assignment.owner.member.id == id || assignment.replica.member.id == id) {
-        rankAgain(ShardId{service, index}, assignment);
+        rerank(ShardId{service, index}, assignment);
       }
     }
   }
 }
 
-bool ShardMap::betterReplica(const Named& owner, const Named& candidate, const Named& current) {
+bool ShardMap::betterReplica(const RankedMember& owner, const RankedMember& candidate,
+                             const RankedMember& current) {
   if (!current.present) {
     return true;
   }
-  const bool candidateApart = candidate.member.zone != owner.member.zone;
-  const bool currentApart = current.member.zone != owner.member.zone;
-  if (candidateApart != currentApart) {
-    return candidateApart;
+  const bool candidateInOtherZone = candidate.member.zone != owner.member.zone;
+  const bool currentInOtherZone = current.member.zone != owner.member.zone;
+  if (candidateInOtherZone != currentInOtherZone) {
+    return candidateInOtherZone;
   }
   return outranks(candidate.score, candidate.member.id, current.score, current.member.id);
 }
 
 void ShardMap::insertInto(const ShardId& shard, Assignment& assignment, const LiveMember& member) {
   const Assignment before = assignment;
-  const Named newcomer{score(shard, member.id), member, true};
-  const Named oldOwner = assignment.owner;
-  if (!oldOwner.present) {
-    assignment.owner = newcomer;
-  } else if (outranks(newcomer.score, member.id, oldOwner.score, oldOwner.member.id)) {
-    assignment.owner = newcomer;
-    // The old owner outranks all others, so it only loses against a replica of another zone.
-    if (betterReplica(newcomer, oldOwner, assignment.replica)) {
-      assignment.replica = oldOwner;
+  const RankedMember joining{score(shard, member.id), member, true};
+  const RankedMember previousOwner = assignment.owner;
+  if (!previousOwner.present) {
+    assignment.owner = joining;
+  } else if (outranks(joining.score, member.id, previousOwner.score, previousOwner.member.id)) {
+    assignment.owner = joining;
+    // The previous owner outranks all other members, so only a replica in another zone can be
+    // better.
+    if (betterReplica(joining, previousOwner, assignment.replica)) {
+      assignment.replica = previousOwner;
     }
-  } else if (betterReplica(oldOwner, newcomer, assignment.replica)) {
-    assignment.replica = newcomer;
+  } else if (betterReplica(previousOwner, joining, assignment.replica)) {
+    assignment.replica = joining;
   }
-  noteChange(shard, before, assignment);
+  recordChange(shard, before, assignment);
 }
 
-void ShardMap::rankAgain(const ShardId& shard, Assignment& assignment) {
+void ShardMap::rerank(const ShardId& shard, Assignment& assignment) {
   const Assignment before = assignment;
   assignment = Assignment{};
   for (const LiveMember& member : members_) {
-    const Named candidate{score(shard, member.id), member, true};
-    const Named& owner = assignment.owner;
+    const RankedMember candidate{score(shard, member.id), member, true};
+    const RankedMember& owner = assignment.owner;
     if (!owner.present || outranks(candidate.score, member.id, owner.score, owner.member.id)) {
       assignment.owner = candidate;
     }
@@ -124,30 +126,31 @@
     if (member.id == assignment.owner.member.id) {
       continue;
     }
-    const Named candidate{score(shard, member.id), member, true};
+    const RankedMember candidate{score(shard, member.id), member, true};
     if (betterReplica(assignment.owner, candidate, assignment.replica)) {
       assignment.replica = candidate;
     }
   }
-  noteChange(shard, before, assignment);
+  recordChange(shard, before, assignment);
 }
 
-void ShardMap::noteChange(const ShardId& shard, const Assignment& before, const Assignment& after) {
-  const auto names = [this](const Named& named) {
-    return named.present && named.member.id == self_;
+void ShardMap::recordChange(const ShardId& shard, const Assignment& before,
+                            const Assignment& after) {
+  const auto isSelf = [this](const RankedMember& ranked) {
+    return ranked.present && ranked.member.id == self_;
   };
-  const auto differs = [](const Named& left, const Named& right) {
+  const auto differs = [](const RankedMember& left, const RankedMember& right) {
     return left.present != right.present || left.member.id != right.member.id;
   };
   const bool changed = differs(before.owner, after.owner) || differs(before.replica, after.replica);
-  const bool concernsSelf =
-      names(before.owner) || names(before.replica) || names(after.owner) || names(after.replica);
+  const bool concernsSelf = isSelf(before.owner) || isSelf(before.replica) || isSelf(after.owner) ||
+                            isSelf(after.replica);
   if (changed && concernsSelf) {
     changed_.push_back(shard);
   }
 }
 
-std::optional<ShouldOwn> ShardMap::lookup(const ShardId& shard) const {
+std::optional<ShardAssignment> ShardMap::lookup(const ShardId& shard) const {
   const auto service = services_.find(shard.service);
   if (service == services_.end() || shard.index >= service->second.size()) {
     return std::nullopt;
@@ -156,11 +159,11 @@
   if (!assignment.owner.present) {
     return std::nullopt;
   }
-  ShouldOwn named{assignment.owner.member.id, std::nullopt};
+  ShardAssignment result{assignment.owner.member.id, std::nullopt};
   if (assignment.replica.present) {
-    named.replica = assignment.replica.member.id;
+    result.replica = assignment.replica.member.id;
   }
-  return named;
+  return result;
 }
 
 std::vector<NodeId> ShardMap::ranked(const ShardId& shard, size_t limit) const {
@@ -178,7 +181,7 @@
   return members;
 }
 
-std::vector<NodeId> ShardMap::bestOfEachZone(const ShardId& shard) const {
+std::vector<NodeId> ShardMap::highestRankedPerZone(const ShardId& shard) const {
   std::vector<LiveMember> best;
   for (const LiveMember& member : members_) {
     const auto sameZone = std::find_if(best.begin(), best.end(), [&](const LiveMember& other) {
@@ -202,7 +205,7 @@
   return ids;
 }
 
-std::vector<ShardId> ShardMap::takeChanged() {
+std::vector<ShardId> ShardMap::takeChangedShards() {
   std::vector<ShardId> changed;
   changed.swap(changed_);
   std::sort(changed.begin(), changed.end());
