--- a/bench/load_model/heavy_days.cc
+++ b/bench/load_model/heavy_days.cc
@@ -94,7 +94,7 @@
           {"no room by times", withHostTime(0.0)},
           {"a fifth at hosts", withHostTime(0.2)},
           {"half at hosts", withHostTime(0.5)},
-          {"refused at once", [](LoadDay& day) { day.openings.longestWaitPart = 0.0; }},
+          {"refused at once", [](LoadDay& day) { day.openings.maxWaitPart = 0.0; }},
           {"full at 0.5", [](LoadDay& day) { day.placement.fullZoneLoad = 0.5; }},
           {"no zone preferred", [](LoadDay& day) { day.placement.prefersOwnZone = false; }}};
 }
--- a/bench/placement_sim/strategy.cc
+++ b/bench/placement_sim/strategy.cc
@@ -66,7 +66,7 @@
 }
 
 SimChoice SimOwner::choose(TimePoint now, FlowHash flow) {
-  const auto flows = loads_.choiceLoad(now);
+  const auto flows = loads_.placementLoad(now);
   for (size_t host = 0; host < hosts_.size(); ++host) {
     conditions_[host] = {true, flows[host]};
   }
--- a/source/common/admission/admission.cc
+++ b/source/common/admission/admission.cc
@@ -22,7 +22,7 @@
   return found == pools_.end() ? nullptr : &found->second;
 }
 
-bool Admission::isCalm(TimePoint now, const std::string& pool, const OpeningNeeds& needs) {
+bool Admission::isCalm(TimePoint now, const std::string& pool, const OpeningParameters& needs) {
   if (!holdsOpenings_) {
     return true;
   }
@@ -33,18 +33,18 @@
   return !mayYield && queue_.isCalm(now, pool);
 }
 
-OpeningTurn Admission::turnOf(TimePoint now, const std::string& pool, const OpeningNeeds& needs,
+OpeningDecision Admission::decideOpening(TimePoint now, const std::string& pool, const OpeningParameters& needs,
                               FlowHash flow, const std::function<PoolSize()>& size) {
   if (isCalm(now, pool, needs)) {
-    return OpeningTurn::kPlace;
+    return OpeningDecision::kPlace;
   }
   const PoolSize known = size();
   if (known.slots == 0.0) {
-    return OpeningTurn::kPlace;  // Nothing is known, or there is nothing to wait for.
+    return OpeningDecision::kPlace;  // Nothing is known, or there is nothing to wait for.
   }
   const uint32_t limit = queue_.limitOf(known.slots, known.sendingNodes);
-  const OpeningTurn turn = queue_.turnOf(now, pool, limit, flow, claimOf(now, pool, needs, known));
-  return turn == OpeningTurn::kWait ? turn : noted(turn, pool, needs);
+  const OpeningDecision turn = queue_.decideOpening(now, pool, limit, flow, claimOf(now, pool, needs, known));
+  return turn == OpeningDecision::kWait ? turn : noted(turn, pool, needs);
 }
 
 OpeningUse Admission::openingsAt(TimePoint now, const std::string& pool, const PoolSize& size) {
@@ -52,26 +52,26 @@
           static_cast<double>(queue_.limitOf(size.slots, size.sendingNodes))};
 }
 
-void Admission::hold(TimePoint now, const std::string& pool, const OpeningNeeds& needs,
+void Admission::hold(TimePoint now, const std::string& pool, const OpeningParameters& needs,
                      FlowHash flow, std::string_view bytes) {
   if (!queue_.isWaiting(flow)) {
-    noted(OpeningTurn::kWait, pool, needs);
+    noted(OpeningDecision::kWait, pool, needs);
   }
   queue_.hold(now, {flow, pool, needs.priority, needs.requestTimeout, bytes,
                     orderlyWait(now, pool, needs)});
 }
 
-OpeningTurn Admission::noted(OpeningTurn turn, const std::string& pool, const OpeningNeeds& needs) {
-  if (turn == OpeningTurn::kPlace) {
+OpeningDecision Admission::noted(OpeningDecision turn, const std::string& pool, const OpeningParameters& needs) {
+  if (turn == OpeningDecision::kPlace) {
     return turn;
   }
   AdmissionCounters& counters = countersOf(pool, needs);
-  counters.waited += turn == OpeningTurn::kWait ? 1 : 0;
-  counters.refusedAfterWait += turn == OpeningTurn::kRefuse ? 1 : 0;
+  counters.waited += turn == OpeningDecision::kWait ? 1 : 0;
+  counters.refusedAfterWait += turn == OpeningDecision::kRefuse ? 1 : 0;
   return turn;
 }
 
-OpeningClaim Admission::claimOf(TimePoint now, const std::string& pool, const OpeningNeeds& needs,
+OpeningClaim Admission::claimOf(TimePoint now, const std::string& pool, const OpeningParameters& needs,
                                 const PoolSize& size) {
   OpeningClaim claim;
   claim.priority = needs.priority;
@@ -89,7 +89,7 @@
 }
 
 std::optional<Duration> Admission::orderlyWait(TimePoint now, const std::string& pool,
-                                               const OpeningNeeds& needs) const {
+                                               const OpeningParameters& needs) const {
   const Pool* state = known(pool);
   if (limits_.hostTimePart <= 0.0 || needs.targetLatency == Duration{0} || state == nullptr) {
     return std::nullopt;
@@ -98,7 +98,7 @@
   return atHosts ? std::optional(orderlyWaitOf(needs.targetLatency, *atHosts)) : std::nullopt;
 }
 
-void Admission::onEnded(TimePoint now, const std::string& pool, const OpeningNeeds& needs,
+void Admission::onEnded(TimePoint now, const std::string& pool, const OpeningParameters& needs,
                         const EndedRequest& request) {
   Pool& state = pools_[pool];
   state.use.onEnded(now, request);
@@ -140,7 +140,7 @@
   std::erase_if(counters_, [&](const auto& entry) { return entry.first.first == pool; });
 }
 
-AdmissionCounters& Admission::countersOf(const std::string& pool, const OpeningNeeds& needs) {
+AdmissionCounters& Admission::countersOf(const std::string& pool, const OpeningParameters& needs) {
   return counters_[{pool, std::string(needs.service)}];
 }
 
--- a/source/common/admission/admission.h
+++ b/source/common/admission/admission.h
@@ -28,7 +28,7 @@
 namespace umberhold {
 
 /** What admission knows of the service of an opening. */
-struct OpeningNeeds {
+struct OpeningParameters {
   std::string_view service;
   uint32_t priority = 0;
   /** Callers give the request up after so long; 0: not known. */
@@ -80,10 +80,10 @@
    * @return what becomes of an opening that arrived, or that take() gave. One that is to wait is
    * given to hold(), unless it goes elsewhere.
    */
-  OpeningTurn turnOf(TimePoint now, const std::string& pool, const OpeningNeeds& needs,
+  OpeningDecision decideOpening(TimePoint now, const std::string& pool, const OpeningParameters& needs,
                      FlowHash flow, const std::function<PoolSize()>& size);
   /** Keeps an opening that is to wait, or the copy of one. @param bytes the whole packet. */
-  void hold(TimePoint now, const std::string& pool, const OpeningNeeds& needs, FlowHash flow,
+  void hold(TimePoint now, const std::string& pool, const OpeningParameters& needs, FlowHash flow,
             std::string_view bytes);
   bool isWaiting(FlowHash flow) const { return queue_.isWaiting(flow); }
   /** @return the pool that an opening waits for; see OpeningQueue. */
@@ -93,11 +93,11 @@
     queue_.onPlaced(now, pool, flow, priority);
   }
   /** A later packet of a flow; see OpeningQueue. */
-  bool onFollowed(TimePoint now, const FlowPacket& packet, std::optional<Duration> patience) {
-    return queue_.onFollowed(now, packet, patience);
+  bool onLaterPacket(TimePoint now, const FlowPacket& packet, std::optional<Duration> patience) {
+    return queue_.onLaterPacket(now, packet, patience);
   }
   /** A request of a service ended, or waits beyond all measure. */
-  void onEnded(TimePoint now, const std::string& pool, const OpeningNeeds& needs,
+  void onEnded(TimePoint now, const std::string& pool, const OpeningParameters& needs,
                const EndedRequest& request);
 
   /** @return openings that wait no longer; see OpeningQueue. */
@@ -129,15 +129,15 @@
 
   const Pool* known(const std::string& pool) const;
   /** Counts what became of an opening. @return the turn. */
-  OpeningTurn noted(OpeningTurn turn, const std::string& pool, const OpeningNeeds& needs);
-  OpeningClaim claimOf(TimePoint now, const std::string& pool, const OpeningNeeds& needs,
+  OpeningDecision noted(OpeningDecision turn, const std::string& pool, const OpeningParameters& needs);
+  OpeningClaim claimOf(TimePoint now, const std::string& pool, const OpeningParameters& needs,
                        const PoolSize& size);
   /** @return how long openings keep their order; none: always. */
   std::optional<Duration> orderlyWait(TimePoint now, const std::string& pool,
-                                      const OpeningNeeds& needs) const;
+                                      const OpeningParameters& needs) const;
   /** @return whether the opening is placed whatever the pool's size. */
-  bool isCalm(TimePoint now, const std::string& pool, const OpeningNeeds& needs);
-  AdmissionCounters& countersOf(const std::string& pool, const OpeningNeeds& needs);
+  bool isCalm(TimePoint now, const std::string& pool, const OpeningParameters& needs);
+  AdmissionCounters& countersOf(const std::string& pool, const OpeningParameters& needs);
 
   const RoomLimits limits_;
   /** OpeningLimits::openingsPerSlot is above 0; otherwise no opening waits. */
--- a/source/common/admission/opening_queue.cc
+++ b/source/common/admission/opening_queue.cc
@@ -49,13 +49,13 @@
   return known == pools_.end() ? 0 : known->second.underWay;
 }
 
-OpeningTurn OpeningQueue::turnOf(TimePoint now, const std::string& pool, uint32_t limit,
+OpeningDecision OpeningQueue::decideOpening(TimePoint now, const std::string& pool, uint32_t limit,
                                  FlowHash flow, const OpeningClaim& claim) {
   const auto turn = turns_.find(flow);
   if (turn != turns_.end()) {
     // A pool that the opening has not waited for decides on it as on any other.
     const bool isOfPool = turn->second.pool == pool;
-    const OpeningTurn given = isOfPool ? turn->second.turn : OpeningTurn::kPlace;
+    const OpeningDecision given = isOfPool ? turn->second.turn : OpeningDecision::kPlace;
     turns_.erase(turn);
     return given;
   }
@@ -65,10 +65,10 @@
   Level& level = state.levels[claim.priority];
   level.claim = claim;
   if (waiting_.contains(flow)) {
-    return OpeningTurn::kWait;
+    return OpeningDecision::kWait;
   }
   const bool isFull = !state.isFor(level) && waiting_.size() < kCapacity;
-  return isFull ? OpeningTurn::kWait : OpeningTurn::kPlace;
+  return isFull ? OpeningDecision::kWait : OpeningDecision::kPlace;
 }
 
 const std::string* OpeningQueue::poolOf(FlowHash flow) const {
@@ -90,7 +90,7 @@
   if (requestTimeout == Duration{0}) {
     return kLongestWait;
   }
-  const double part = limits_.longestWaitPart * static_cast<double>(requestTimeout.count());
+  const double part = limits_.maxWaitPart * static_cast<double>(requestTimeout.count());
   return std::min(kLongestWait, Duration{static_cast<Duration::rep>(part)});
 }
 
@@ -124,7 +124,7 @@
   }
 }
 
-bool OpeningQueue::onFollowed(TimePoint now, const FlowPacket& packet,
+bool OpeningQueue::onLaterPacket(TimePoint now, const FlowPacket& packet,
                               std::optional<Duration> patience) {
   const auto entry = underWay_.find(packet.hash);
   if (entry == underWay_.end()) {
@@ -159,7 +159,7 @@
     const auto entry = waiting_.find(refusedAt_.begin()->second);
     refusedAt_.erase(refusedAt_.begin());
     if (entry != waiting_.end() && entry->second.until <= now) {
-      taken.push_back(release(entry, OpeningTurn::kRefuse));
+      taken.push_back(release(entry, OpeningDecision::kRefuse));
     }
   }
   return taken;
@@ -171,7 +171,7 @@
   for (auto& [priority, level] : pool.levels) {
     const uint32_t ownBefore = level.underWay;
     while (!level.queue.empty() && pool.isFor(level)) {
-      taken.push_back(release(waiting_.find(nextOf(now, level)), OpeningTurn::kPlace));
+      taken.push_back(release(waiting_.find(nextOf(now, level)), OpeningDecision::kPlace));
       ++pool.underWay;
       ++level.underWay;
     }
@@ -187,7 +187,7 @@
   return isOrderly ? earliest : level.queue.rbegin()->second;
 }
 
-std::string OpeningQueue::release(WaitingFlows::iterator entry, OpeningTurn turn) {
+std::string OpeningQueue::release(WaitingFlows::iterator entry, OpeningDecision turn) {
   turns_[entry->first] = {turn, entry->second.pool};
   pools_[entry->second.pool].levels[entry->second.priority].queue.erase(entry->second.arrival);
   std::string bytes = std::move(entry->second.bytes);
--- a/source/common/admission/opening_queue.h
+++ b/source/common/admission/opening_queue.h
@@ -52,7 +52,7 @@
    * up; 0: it is refused at once. A sixth leaves time for three tries, each with as much time at
    * the host as in the queue.
    */
-  double longestWaitPart = 1.0 / 6.0;
+  double maxWaitPart = 1.0 / 6.0;
 
   bool operator==(const OpeningLimits&) const = default;
 };
@@ -69,7 +69,7 @@
 };
 
 /** What becomes of an opening. */
-enum class OpeningTurn : uint8_t {
+enum class OpeningDecision : uint8_t {
   kPlace,
   kWait,
   /** It has waited as long as it may. */
@@ -106,7 +106,7 @@
   bool isCalm(TimePoint now, const std::string& pool);
   /** @param limit of this node, see limitOf(). @return what becomes of an opening that arrived, or
    * that take() gave. */
-  OpeningTurn turnOf(TimePoint now, const std::string& pool, uint32_t limit, FlowHash flow,
+  OpeningDecision decideOpening(TimePoint now, const std::string& pool, uint32_t limit, FlowHash flow,
                      const OpeningClaim& claim = {});
   /** Keeps an opening whose turn is kWait; a copy takes the place of the one before. */
   void hold(TimePoint now, const WaitingOpening& opening);
@@ -114,7 +114,7 @@
   void onPlaced(TimePoint now, const std::string& pool, FlowHash flow, uint32_t priority = 0);
   /** A later packet of a flow. @param patience for how long its request may count as under way;
    * none: not known. @return whether the flow counted as under way. */
-  bool onFollowed(TimePoint now, const FlowPacket& packet, std::optional<Duration> patience);
+  bool onLaterPacket(TimePoint now, const FlowPacket& packet, std::optional<Duration> patience);
 
   /** @return openings that wait no longer, whole packets. They are to be decided on again before
    * the next call. */
@@ -190,7 +190,7 @@
   void endOverdue(TimePoint now);
   void end(UnderWayFlows::iterator entry);
   /** Gives an opening its turn. */
-  std::string release(WaitingFlows::iterator entry, OpeningTurn turn);
+  std::string release(WaitingFlows::iterator entry, OpeningDecision turn);
 
   const OpeningLimits limits_;
   std::map<std::string, Pool, std::less<>> pools_;
@@ -202,7 +202,7 @@
   std::multimap<TimePoint, FlowHash> refusedAt_;
   uint64_t arrivals_ = 0;
   struct Released {
-    OpeningTurn turn = OpeningTurn::kPlace;
+    OpeningDecision turn = OpeningDecision::kPlace;
     std::string pool;
   };
   /** The openings that take() gave last. */
--- a/source/common/flow/flow_sweep.cc
+++ b/source/common/flow/flow_sweep.cc
@@ -44,7 +44,7 @@
     if (slot.occupied != 0 && isExpired(shard, slot, nowSeconds)) {
       const bool closed = !isOpen(slot.flowState());
       forget(shardSlot, segment, index, nowSeconds,
-             closed ? ForgetCause::kClosed : ForgetCause::kIdle);
+             closed ? RemovalCause::kClosed : RemovalCause::kIdle);
       continue;  // another flow may have moved to this index
     }
     if (slot.occupied != 0 && slot.flowState() == FlowState::kFirstDatagram &&
@@ -99,7 +99,7 @@
   if (victim.rank == 0) {
     return false;
   }
-  forget(victim.shardSlot, *victim.segment, victim.index, nowSeconds, ForgetCause::kPressure);
+  forget(victim.shardSlot, *victim.segment, victim.index, nowSeconds, RemovalCause::kPressure);
   return true;
 }
 
--- a/source/common/flow/flow_table.cc
+++ b/source/common/flow/flow_table.cc
@@ -182,14 +182,14 @@
 }
 
 void FlowTable::forget(uint32_t shardSlot, FlowSegment& segment, size_t index, uint32_t nowSeconds,
-                       ForgetCause cause) {
+                       RemovalCause cause) {
   const FlowEntry entry = entryOf(segment.at(index), nowSeconds);
   eraseAt(shardAt(shardSlot), segment, index);
-  stats_.forgottenIdle += cause == ForgetCause::kIdle ? 1 : 0;
-  stats_.forgottenClosed += cause == ForgetCause::kClosed ? 1 : 0;
-  stats_.forgottenUnderPressure += cause == ForgetCause::kPressure ? 1 : 0;
+  stats_.forgottenIdle += cause == RemovalCause::kIdle ? 1 : 0;
+  stats_.forgottenClosed += cause == RemovalCause::kClosed ? 1 : 0;
+  stats_.forgottenUnderPressure += cause == RemovalCause::kPressure ? 1 : 0;
   if (observer_ != nullptr) {
-    observer_->onFlowForgotten(shardSlot, entry, cause);
+    observer_->onFlowRemoved(shardSlot, entry, cause);
   }
 }
 
--- a/source/common/flow/flow_table.h
+++ b/source/common/flow/flow_table.h
@@ -30,7 +30,7 @@
 struct FlowSlot;
 
 /** Why the table forgot a flow by itself. */
-enum class ForgetCause : uint8_t { kIdle, kClosed, kPressure };
+enum class RemovalCause : uint8_t { kIdle, kClosed, kPressure };
 
 /** One flow, as callers of the table see it. */
 struct FlowEntry {
@@ -60,7 +60,7 @@
  public:
   virtual ~FlowTableObserver() = default;
   /** Must not change the table. */
-  virtual void onFlowForgotten(uint32_t shardSlot, const FlowEntry& entry, ForgetCause cause) = 0;
+  virtual void onFlowRemoved(uint32_t shardSlot, const FlowEntry& entry, RemovalCause cause) = 0;
 };
 
 /** Sizes and times of a table. */
@@ -161,7 +161,7 @@
   void compareRun(Victim& victim, uint32_t nowSeconds);
   void eraseAt(Shard& shard, FlowSegment& segment, size_t index);
   void forget(uint32_t shardSlot, FlowSegment& segment, size_t index, uint32_t nowSeconds,
-              ForgetCause cause);
+              RemovalCause cause);
   size_t sweepSegment(uint32_t shardSlot, FlowSegment& segment, uint32_t nowSeconds);
   bool isExpired(const Shard& shard, const FlowSlot& slot, uint32_t nowSeconds) const;
   void changeState(Shard& shard, FlowSlot& slot, FlowState state);
--- a/source/common/flow/held_packets.cc
+++ b/source/common/flow/held_packets.cc
@@ -33,7 +33,7 @@
 std::vector<std::string> HeldPackets::take(TimePoint now) {
   std::vector<std::string> taken;
   for (Held& held : packets_) {
-    if (now - held.at <= kLongest) {
+    if (now - held.at <= kMaxHoldTime) {
       taken.push_back(std::move(held.bytes));
     }
   }
@@ -42,12 +42,12 @@
   return taken;
 }
 
-std::vector<std::string> HeldPackets::takeOf(TimePoint now, const std::set<uint32_t>& tokens) {
+std::vector<std::string> HeldPackets::takeByToken(TimePoint now, const std::set<uint32_t>& tokens) {
   std::vector<std::string> taken;
   for (auto held = packets_.begin(); held != packets_.end();) {
     const auto next = std::next(held);
     if (tokens.contains(held->token)) {
-      if (now - held->at <= kLongest) {
+      if (now - held->at <= kMaxHoldTime) {
         taken.push_back(std::move(held->bytes));
       }
       byKey_.erase(held->key);
--- a/source/common/flow/held_packets.h
+++ b/source/common/flow/held_packets.h
@@ -30,13 +30,13 @@
    * waited too long are left out: their callers have sent copies, or given up. */
   std::vector<std::string> take(TimePoint now);
   /** The same for the packets whose tokens are among these; others are held on. */
-  std::vector<std::string> takeOf(TimePoint now, const std::set<uint32_t>& tokens);
+  std::vector<std::string> takeByToken(TimePoint now, const std::set<uint32_t>& tokens);
   size_t size() const { return packets_.size(); }
 
   /** At 1,200 bytes of data each: 1.3 MB at most. */
   static constexpr size_t kCapacity = 1024;
   /** A caller gives an opening up after so long, and sends data again within 1.6 s. */
-  static constexpr Duration kLongest = std::chrono::milliseconds(1400);
+  static constexpr Duration kMaxHoldTime = std::chrono::milliseconds(1400);
 
  private:
   struct Held {
--- a/source/common/overflow/overflow_options.h
+++ b/source/common/overflow/overflow_options.h
@@ -32,7 +32,7 @@
    * flows of a shortage at 59 nodes the part scatters by 0.015 (4,000 draws, one sigma); the most
    * was 0.175 with 0.1, and 0.205 with 0.15.
    */
-  double mostPart = 0.1;
+  double maxPart = 0.1;
 
   bool operator==(const OverflowOptions&) const = default;
 
--- a/source/common/overflow/split_overflow.cc
+++ b/source/common/overflow/split_overflow.cc
@@ -28,12 +28,12 @@
          use.requests <= kSpareRequestsPerSlot * use.slots;
 }
 
-double SplitOverflow::passingPart(double mostPart, double weight) {
+double SplitOverflow::passingPart(double maxPart, double weight) {
   if (weight >= 1.0) {
     return 0.0;
   }
   // A part never gets more than its weight on top of it: a canary of 1% stays one.
-  return std::min(1.0, std::min(mostPart, weight) / (1.0 - weight));
+  return std::min(1.0, std::min(maxPart, weight) / (1.0 - weight));
 }
 
 std::optional<size_t> SplitOverflow::choose(const std::vector<SplitPart>& parts, size_t due) {
@@ -53,7 +53,7 @@
   // Each part has its own: what openings earn towards a large part is not spent on a small one.
   credits_.resize(parts.size(), start_);
   double& credit = credits_[*chosen];
-  credit += passingPart(options_.mostPart, parts[*chosen].weight);
+  credit += passingPart(options_.maxPart, parts[*chosen].weight);
   if (credit < 1.0) {
     return std::nullopt;
   }
--- a/source/common/overflow/split_overflow.h
+++ b/source/common/overflow/split_overflow.h
@@ -9,7 +9,7 @@
  * that went elsewhere and gets no burst of them later.
  *
  * Shares are bounded without a memory of earlier flows: of the openings that could overflow into a
- * part, only so many do that the part gets at most OverflowOptions::mostPart of all flows beyond
+ * part, only so many do that the part gets at most OverflowOptions::maxPart of all flows beyond
  * its weight, in whatever stretch of flows one counts. Calm time saves nothing up, as a token
  * bucket would: the savings of many nodes, spent in one moment, would break the bound for all nodes
  * together.
@@ -68,7 +68,7 @@
    * @param weight of the part that takes them.
    * @return part of the openings due to other parts that may overflow into it, 0 to 1.
    */
-  static double passingPart(double mostPart, double weight);
+  static double passingPart(double maxPart, double weight);
 
  private:
   OverflowOptions options_;
--- a/source/common/placement/host_load_table.cc
+++ b/source/common/placement/host_load_table.cc
@@ -301,7 +301,7 @@
   return estimate_;
 }
 
-std::span<const double> HostLoadTable::choiceLoad(TimePoint now) {
+std::span<const double> HostLoadTable::placementLoad(TimePoint now) {
   refreshOthers(now);
   for (size_t slot = 0; slot < hosts_.size(); ++slot) {
     choiceLoad_[slot] = ownFlows_[slot] + othersWeighted_[slot];
--- a/source/common/placement/host_load_table.h
+++ b/source/common/placement/host_load_table.h
@@ -85,7 +85,7 @@
   std::span<const double> estimate(TimePoint now);
   /** @return flows by slot as the load bound should see them: own flows plus weighted flows of
    * others. */
-  std::span<const double> choiceLoad(TimePoint now);
+  std::span<const double> placementLoad(TimePoint now);
   /** @return mean life of the flows owned here, in seconds, from what ended in the last minute or
    * so. */
   double meanLifeSeconds() const;
@@ -124,7 +124,7 @@
   uint64_t ownTotal_ = 0;
   std::vector<double> othersEstimate_;
   std::vector<double> othersWeighted_;
-  /** What the last estimate() or choiceLoad() gave. */
+  /** What the last estimate() or placementLoad() gave. */
   std::vector<double> estimate_;
   std::vector<double> choiceLoad_;
   bool othersDirty_ = true;
--- a/source/common/placement/service_placement.cc
+++ b/source/common/placement/service_placement.cc
@@ -80,7 +80,7 @@
   parts_->shardsChanged();
 }
 
-void ServicePlacement::shardKnowsAllFlows(ShardId shard) {
+void ServicePlacement::markFlowsComplete(ShardId shard) {
   parts_->loads.forgetInherited(shard.index);
 }
 
--- a/source/common/placement/service_placement.h
+++ b/source/common/placement/service_placement.h
@@ -125,7 +125,7 @@
   /** This node is no longer owner; the shard's own counts go. */
   void shardReleased(TimePoint now, ShardId shard);
   /** The owner knows all flows of the shard now: inherited counts not yet seen are forgotten. */
-  void shardKnowsAllFlows(ShardId shard);
+  void markFlowsComplete(ShardId shard);
 
   // --- flows
   // ---------------------------------------------------------------------------------------
--- a/source/common/placement/service_placement_parts.cc
+++ b/source/common/placement/service_placement_parts.cc
@@ -101,7 +101,7 @@
   const std::span<const uint32_t> own = loads.shardFlows(shard);
   const bool estimated = options.connectionLimit == ConnectionLimitMode::kUncoordinated;
   const std::span<const double> all = estimated ? loads.estimate(now) : std::span<const double>{};
-  const std::span<const double> flows = loads.choiceLoad(now);
+  const std::span<const double> flows = loads.placementLoad(now);
   for (size_t index = 0; index < hosts.size(); ++index) {
     // A host's slot is its index.
     const double used = estimated ? all[index] : static_cast<double>(own.empty() ? 0 : own[index]);
--- a/source/common/settings/token_node_settings.cc
+++ b/source/common/settings/token_node_settings.cc
@@ -200,9 +200,9 @@
     reader.fraction("full_zone_load", placement.fullZoneLoad, kHighestRatio);
     reader.flag("learn_speeds", placement.learnsSpeeds);
     reader.fraction("openings_per_slot", settings.openings.openingsPerSlot, kHighestRatio, true);
-    reader.fraction("opening_wait_part", settings.openings.longestWaitPart, kLongestWaitPart, true);
+    reader.fraction("opening_wait_part", settings.openings.maxWaitPart, kLongestWaitPart, true);
     reader.overflowMode("overflow", settings.overflow.mode);
-    reader.fraction("overflow_part", settings.overflow.mostPart, kWholeSplit, true);
+    reader.fraction("overflow_part", settings.overflow.maxPart, kWholeSplit, true);
     reader.fraction("host_time_part", settings.room.hostTimePart, kLongestHostTimePart, true);
     reader.fraction("cold_rate_factor", settings.coldHosts.rateFactor, kHighestRatio, true);
     reader.fraction("cold_rate_allowance", settings.coldHosts.rateAllowance, kHighestRatio, true);
@@ -262,14 +262,14 @@
     }
   };
   compareOpenings("openings_per_slot", &OpeningLimits::openingsPerSlot);
-  compareOpenings("opening_wait_part", &OpeningLimits::longestWaitPart);
+  compareOpenings("opening_wait_part", &OpeningLimits::maxWaitPart);
   const auto compareOverflow = [&](const char* key, auto member) {
     if (before.overflow.*member != after.overflow.*member) {
       changes.push_back({key, false});
     }
   };
   compareOverflow("overflow", &OverflowOptions::mode);
-  compareOverflow("overflow_part", &OverflowOptions::mostPart);
+  compareOverflow("overflow_part", &OverflowOptions::maxPart);
   if (before.room != after.room) {
     changes.push_back({"host_time_part", false});
   }
--- a/source/common/shard/local_shard.cc
+++ b/source/common/shard/local_shard.cc
@@ -244,7 +244,7 @@
     }
   });
   if (knowsAllFlows_) {
-    service_.placement->shardKnowsAllFlows(id_);
+    service_.placement->markFlowsComplete(id_);
   }
 }
 
--- a/source/common/shard/local_shard_replication.cc
+++ b/source/common/shard/local_shard_replication.cc
@@ -360,7 +360,7 @@
   if (!knowsAllFlows_ && now - ownedSince_ >= idleTimeout) {
     knowsAllFlows_ = true;
     oldFlows_.reset();
-    service_.placement->shardKnowsAllFlows(id_);
+    service_.placement->markFlowsComplete(id_);
   }
 }
 
--- a/source/common/shard/shard_director.cc
+++ b/source/common/shard/shard_director.cc
@@ -350,11 +350,11 @@
   }));
 }
 
-void ShardDirector::onFlowForgotten(uint32_t shardSlot, const FlowEntry& entry,
-                                    ForgetCause /*cause*/) {
+void ShardDirector::onFlowRemoved(uint32_t shardSlot, const FlowEntry& entry,
+                                    RemovalCause /*cause*/) {
   for (auto& [id, shard] : shards_) {
     if (shard->flowSlot() == shardSlot) {
-      shard->onFlowForgotten(now_, entry);
+      shard->onFlowRemoved(now_, entry);
       return;
     }
   }
--- a/source/common/shard/shard_director.h
+++ b/source/common/shard/shard_director.h
@@ -83,7 +83,7 @@
   const ShardCounters& counters() const { return context_.counters; }
   const ShardMap& shardMap() const { return map_; }
 
-  void onFlowForgotten(uint32_t shardSlot, const FlowEntry& entry, ForgetCause cause) override;
+  void onFlowRemoved(uint32_t shardSlot, const FlowEntry& entry, RemovalCause cause) override;
 
  private:
   LocalShard* find(const ShardId& id) const;
--- a/source/common/token/token_director.cc
+++ b/source/common/token/token_director.cc
@@ -80,7 +80,7 @@
     }
   }
   deadHostFlows_.onEnded(now, ended);
-  for (std::string& bytes : awaiting_.takeOf(now, added)) {
+  for (std::string& bytes : awaiting_.takeByToken(now, added)) {
     arrived_.push_back(std::move(bytes));
   }
 }
@@ -175,10 +175,10 @@
   // A copy of an opening that was placed seeks another host: it has waited enough.
   const QueuedOpening queued =
       avoided == 0 ? queue(now, service->second, packet, bytes) : QueuedOpening{};
-  if (queued.turn == OpeningTurn::kWait) {
+  if (queued.turn == OpeningDecision::kWait) {
     return HoldPacket{HoldReason::kHostsBusy};
   }
-  if (queued.turn == OpeningTurn::kRefuse) {
+  if (queued.turn == OpeningDecision::kRefuse) {
     return RefuseFlow{RefusalReason::kHostsBusy};
   }
   TokenHost* host = queued.pool.empty() ? place(now, service->second, avoided)
@@ -203,7 +203,7 @@
     // A copy of an opening that waits would be placed beside it, whatever became of its pool.
     admission_.hold(now, std::string(*admission_.poolOf(packet.hash)), service.needs(), packet.hash,
                     bytes);
-    return {OpeningTurn::kWait, {}, {}};
+    return {OpeningDecision::kWait, {}, {}};
   }
   const std::string* waited = waitedFor(service, packet);
   const std::string* due = waited == nullptr ? service.groups.next() : waited;
@@ -213,12 +213,12 @@
   }
   const auto size = [&] { return sizeOf(now, *pool); };
   // By reference: a copy of the function would be allocated for each opening.
-  const OpeningTurn turn =
-      admission_.turnOf(now, *due, service.needs(), packet.hash, std::cref(size));
-  if (turn == OpeningTurn::kPlace) {
+  const OpeningDecision turn =
+      admission_.decideOpening(now, *due, service.needs(), packet.hash, std::cref(size));
+  if (turn == OpeningDecision::kPlace) {
     return {turn, waited == nullptr ? std::string{} : *waited, {}};
   }
-  if (turn != OpeningTurn::kWait) {
+  if (turn != OpeningDecision::kWait) {
     return {turn, {}, {}};
   }
   const std::string* other = overflowPool(now, service, *due);
@@ -226,7 +226,7 @@
   // however long this one waits, and a part without room is owed nothing later.
   service.groups.takeTurn();
   if (other != nullptr) {
-    return {OpeningTurn::kPlace, *other, *due};
+    return {OpeningDecision::kPlace, *other, *due};
   }
   admission_.hold(now, *due, service.needs(), packet.hash, bytes);
   return {turn, {}, {}};
@@ -322,7 +322,7 @@
 
 bool TokenDirector::noteOpened(TimePoint now, const FlowPacket& packet) {
   const auto service = services_.find(packet.service);
-  return admission_.onFollowed(
+  return admission_.onLaterPacket(
       now, packet,
       service == services_.end() ? std::nullopt : service->second.usualTime.timeOf(kOverdueRatio));
 }
--- a/source/common/token/token_director.h
+++ b/source/common/token/token_director.h
@@ -180,7 +180,7 @@
     UsualResponseTime usualTime;
     WorkTimes workTimes;
 
-    OpeningNeeds needs() const { return {name, priority, requestTimeout, targetLatency}; }
+    OpeningParameters needs() const { return {name, priority, requestTimeout, targetLatency}; }
   };
   /** Flows of hosts that a change showed to have ended are to be reset, and packets that waited for
    * hosts that it brought may go on. */
@@ -192,7 +192,7 @@
   FlowDecision open(TimePoint now, const FlowPacket& packet, std::string_view bytes);
   /** What becomes of an opening. */
   struct QueuedOpening {
-    OpeningTurn turn = OpeningTurn::kPlace;
+    OpeningDecision turn = OpeningDecision::kPlace;
     /** Of kPlace: the pool that takes it, since it waited for that one, or instead of the one that
      * is due; empty: the one that is due. */
     std::string pool;
--- a/test/common/admission/admission_property.cc
+++ b/test/common/admission/admission_property.cc
@@ -64,28 +64,28 @@
     uint32_t priority = 0;
   };
 
-  static OpeningNeeds needsOf(uint32_t priority) {
+  static OpeningParameters needsOf(uint32_t priority) {
     return {"service", priority, seconds(3), kTarget};
   }
   static uint32_t priorityOf(FlowHash flow) {
     return static_cast<uint32_t>(flow.value % kServices);
   }
-  OpeningTurn turnOf(FlowHash flow) {
-    const OpeningNeeds needs = needsOf(priorityOf(flow));
-    const OpeningTurn turn = admission_.turnOf(now_, kPool, needs, flow, [this] {
+  OpeningDecision decideOpening(FlowHash flow) {
+    const OpeningParameters needs = needsOf(priorityOf(flow));
+    const OpeningDecision turn = admission_.decideOpening(now_, kPool, needs, flow, [this] {
       return PoolSize{slots_, 1};
     });
-    if (turn == OpeningTurn::kWait) {
+    if (turn == OpeningDecision::kWait) {
       admission_.hold(now_, kPool, needs, flow, std::to_string(flow.value));
     }
     return turn;
   }
   void open(FlowHash flow) {
-    const OpeningTurn turn = turnOf(flow);
-    RC_ASSERT(turn == OpeningTurn::kWait || !waiting_.contains(flow));
-    if (turn == OpeningTurn::kWait) {
+    const OpeningDecision turn = decideOpening(flow);
+    RC_ASSERT(turn == OpeningDecision::kWait || !waiting_.contains(flow));
+    if (turn == OpeningDecision::kWait) {
       waiting_.try_emplace(flow, Waiting{now_, priorityOf(flow)});
-    } else if (turn == OpeningTurn::kPlace) {
+    } else if (turn == OpeningDecision::kPlace) {
       place(flow);
     }
   }
@@ -97,16 +97,16 @@
     FlowPacket packet;
     packet.hash = placed_.begin()->first;
     packet.phase = PacketPhase::kClosing;
-    admission_.onFollowed(now_, packet, milliseconds(100));
+    admission_.onLaterPacket(now_, packet, milliseconds(100));
     placed_.erase(placed_.begin());
   }
   void take() {
     for (const std::string& bytes : admission_.take(now_)) {
       const FlowHash flow{std::stoull(bytes)};
       RC_ASSERT(waiting_.contains(flow));
-      const OpeningTurn turn = turnOf(flow);
-      RC_ASSERT(turn != OpeningTurn::kWait);
-      if (turn == OpeningTurn::kPlace) {
+      const OpeningDecision turn = decideOpening(flow);
+      RC_ASSERT(turn != OpeningDecision::kWait);
+      if (turn == OpeningDecision::kPlace) {
         place(flow);
       }
       waiting_.erase(flow);
@@ -154,15 +154,15 @@
 TEST(AdmissionProperty, AHundredThousandSourcesTakeNoMoreThanTheQueueHolds) {
   Admission admission{OpeningLimits{}, RoomLimits{1.0 / 3.0}};
   TimePoint now{seconds(1000)};
-  const OpeningNeeds needs{"service", 1, seconds(3), kTarget};
+  const OpeningParameters needs{"service", 1, seconds(3), kTarget};
   for (uint64_t flow = 1; flow <= 100000; ++flow) {
     now += std::chrono::microseconds(10);
-    const OpeningTurn turn = admission.turnOf(now, kPool, needs, FlowHash{flow}, [] {
+    const OpeningDecision turn = admission.decideOpening(now, kPool, needs, FlowHash{flow}, [] {
       return PoolSize{2.0, 1};
     });
-    if (turn == OpeningTurn::kPlace) {
+    if (turn == OpeningDecision::kPlace) {
       admission.onPlaced(now, kPool, FlowHash{flow}, 1);
-    } else if (turn == OpeningTurn::kWait) {
+    } else if (turn == OpeningDecision::kWait) {
       admission.hold(now, kPool, needs, FlowHash{flow}, "opening");
     }
     const auto figures = admission.figures(now);
--- a/test/common/admission/admission_test.cc
+++ b/test/common/admission/admission_test.cc
@@ -17,7 +17,7 @@
 const PoolSize kSize{10.0, 10};
 const std::string kBytes = "opening";
 
-OpeningNeeds needsOf(uint32_t priority) {
+OpeningParameters needsOf(uint32_t priority) {
   return {priority == kUrgent ? "confirm" : "alert", priority, seconds(3), milliseconds(440)};
 }
 
@@ -29,10 +29,10 @@
   uint64_t flows = 0;
   PoolSize size = kSize;
 
-  OpeningTurn turnOf(uint64_t flow, uint32_t priority) {
-    const OpeningTurn turn =
-        admission.turnOf(now, kPool, needsOf(priority), FlowHash{flow}, [this] { return size; });
-    if (turn == OpeningTurn::kWait) {
+  OpeningDecision decideOpening(uint64_t flow, uint32_t priority) {
+    const OpeningDecision turn =
+        admission.decideOpening(now, kPool, needsOf(priority), FlowHash{flow}, [this] { return size; });
+    if (turn == OpeningDecision::kWait) {
       admission.hold(now, kPool, needsOf(priority), FlowHash{flow}, kBytes);
     }
     return turn;
@@ -40,7 +40,7 @@
   /** @return how many openings of a new caller each are placed before one is not. */
   uint32_t placeAll(uint32_t priority) {
     uint32_t placed = 0;
-    for (; placed < 100 && turnOf(++flows, priority) == OpeningTurn::kPlace; ++placed) {
+    for (; placed < 100 && decideOpening(++flows, priority) == OpeningDecision::kPlace; ++placed) {
       admission.onPlaced(now, kPool, FlowHash{flows}, priority);
     }
     return placed;
@@ -61,10 +61,10 @@
 };
 
 TEST(Admission, WhileThePoolIsCalmNothingIsAsked) {
-  CHECK_TRUE(admission.turnOf(now, kPool, needsOf(kUsual), FlowHash{1}, []() -> PoolSize {
+  CHECK_TRUE(admission.decideOpening(now, kPool, needsOf(kUsual), FlowHash{1}, []() -> PoolSize {
     FAIL("the size was asked for");
     return {};
-  }) == OpeningTurn::kPlace);
+  }) == OpeningDecision::kPlace);
 }
 
 // The load: open flows of the less urgent service fill the hosts, which can't be held back.
@@ -103,12 +103,12 @@
   CHECK_TRUE(waiting >= 2);
   now += milliseconds(150);
   CHECK_FALSE(admission.take(now).empty());
-  CHECK_TRUE(turnOf(flows, kUsual) == OpeningTurn::kPlace);
+  CHECK_TRUE(decideOpening(flows, kUsual) == OpeningDecision::kPlace);
 }
 
 TEST(Admission, WhereNoOpeningIsToWaitNoneYields) {
   Admission plain{OpeningLimits{0.0, 0.25}, RoomLimits{1.0 / 3.0}};
-  const OpeningNeeds needs = needsOf(kUsual);
+  const OpeningParameters needs = needsOf(kUsual);
   for (int request = 0; request < 200; ++request) {
     now += milliseconds(5);
     plain.onEnded(now, kPool, needs, {kUsual, milliseconds(300), milliseconds(30), false});
@@ -116,8 +116,8 @@
                   {kUrgent, milliseconds(300), milliseconds(30), false});
   }
   for (uint64_t flow = 1; flow <= 100; ++flow) {
-    CHECK_TRUE(plain.turnOf(now, kPool, needs, FlowHash{flow}, [] { return kSize; }) ==
-               OpeningTurn::kPlace);
+    CHECK_TRUE(plain.decideOpening(now, kPool, needs, FlowHash{flow}, [] { return kSize; }) ==
+               OpeningDecision::kPlace);
     plain.onPlaced(now, kPool, FlowHash{flow}, kUsual);
   }
 }
@@ -126,15 +126,15 @@
   load(60, milliseconds(150));
   placeAll(kUsual);
   const uint64_t early = flows;
-  CHECK_TRUE(turnOf(early, kUsual) == OpeningTurn::kWait);
+  CHECK_TRUE(decideOpening(early, kUsual) == OpeningDecision::kWait);
   // (440 - 150 - 20) / 4 = 67.5
   now += milliseconds(68);
   const uint64_t late = ++flows;
-  CHECK_TRUE(turnOf(late, kUsual) == OpeningTurn::kWait);
+  CHECK_TRUE(decideOpening(late, kUsual) == OpeningDecision::kWait);
   now += milliseconds(82);  // One under way counts no longer.
   admission.take(now);
-  CHECK_TRUE(turnOf(late, kUsual) == OpeningTurn::kPlace);
-  CHECK_TRUE(turnOf(early, kUsual) == OpeningTurn::kWait);
+  CHECK_TRUE(decideOpening(late, kUsual) == OpeningDecision::kPlace);
+  CHECK_TRUE(decideOpening(early, kUsual) == OpeningDecision::kWait);
 }
 
 TEST(Admission, WhatHostsMakeLateGivesWayAtOnceAndIsNotRefusedForIt) {
@@ -142,11 +142,11 @@
   placeAll(kUsual);
   const uint64_t early = flows;
   const uint64_t late = ++flows;
-  CHECK_TRUE(turnOf(late, kUsual) == OpeningTurn::kWait);
+  CHECK_TRUE(decideOpening(late, kUsual) == OpeningDecision::kWait);
   now += milliseconds(150);
   admission.take(now);
-  CHECK_TRUE(turnOf(late, kUsual) == OpeningTurn::kPlace);
-  CHECK_TRUE(turnOf(early, kUsual) == OpeningTurn::kWait);
+  CHECK_TRUE(decideOpening(late, kUsual) == OpeningDecision::kPlace);
+  CHECK_TRUE(decideOpening(early, kUsual) == OpeningDecision::kWait);
   LONGS_EQUAL(0, admission.counters().at({kPool, "alert"}).refusedAfterWait);
 }
 
@@ -157,13 +157,13 @@
   for (int request = 0; request < 20; ++request) {
     end(kUsual, seconds(2));
   }
-  CHECK_TRUE(turnOf(waiting, kUsual) == OpeningTurn::kWait);
+  CHECK_TRUE(decideOpening(waiting, kUsual) == OpeningDecision::kWait);
   LONGS_EQUAL(1, admission.counters().at({kPool, "alert"}).waited);
 }
 
 TEST(Admission, WithoutATargetLatencyAllIsAsByTheNumberOfOpenings) {
   Admission plain{OpeningLimits{}, RoomLimits{1.0 / 3.0}};
-  OpeningNeeds needs = needsOf(kUsual);
+  OpeningParameters needs = needsOf(kUsual);
   needs.targetLatency = Duration{0};
   for (int request = 0; request < 300; ++request) {
     now += milliseconds(10);
@@ -172,8 +172,8 @@
   }
   uint32_t placed = 0;
   for (uint64_t flow = 1; flow < 100; ++flow) {
-    if (plain.turnOf(now, kPool, needs, FlowHash{flow}, [] { return kSize; }) ==
-        OpeningTurn::kPlace) {
+    if (plain.decideOpening(now, kPool, needs, FlowHash{flow}, [] { return kSize; }) ==
+        OpeningDecision::kPlace) {
       plain.onPlaced(now, kPool, FlowHash{flow}, kUsual);
       ++placed;
     }
--- a/test/common/admission/opening_queue_property.cc
+++ b/test/common/admission/opening_queue_property.cc
@@ -57,10 +57,10 @@
 
   void open(FlowHash flow) {
     const std::string& pool = poolOf(flow);
-    const OpeningTurn turn = queue_.turnOf(now_, pool, kLimit, flow);
-    RC_ASSERT(turn != OpeningTurn::kRefuse);
-    RC_ASSERT((turn == OpeningTurn::kWait) == (waiting_.contains(flow) || isFull(pool)));
-    if (turn == OpeningTurn::kWait) {
+    const OpeningDecision turn = queue_.decideOpening(now_, pool, kLimit, flow);
+    RC_ASSERT(turn != OpeningDecision::kRefuse);
+    RC_ASSERT((turn == OpeningDecision::kWait) == (waiting_.contains(flow) || isFull(pool)));
+    if (turn == OpeningDecision::kWait) {
       queue_.hold(now_, {flow, pool, static_cast<uint32_t>(flow.value % 3), seconds(2),
                          std::to_string(flow.value)});
       waiting_.try_emplace(flow, Waiting{pool, now_});
@@ -70,7 +70,7 @@
   }
   /** @return whether the queue says so of an opening that it does not know. */
   bool isFull(const std::string& pool) {
-    return queue_.turnOf(now_, pool, kLimit, FlowHash{9999}) == OpeningTurn::kWait;
+    return queue_.decideOpening(now_, pool, kLimit, FlowHash{9999}) == OpeningDecision::kWait;
   }
   void place(FlowHash flow) {
     queue_.onPlaced(now_, poolOf(flow), flow);
@@ -81,16 +81,16 @@
     packet.hash = placed_[random_.below(placed_.size())];
     packet.phase = random_.below(5) == 0 ? PacketPhase::kClosing : PacketPhase::kContinuing;
     packet.acknowledged = static_cast<uint32_t>(random_.below(3));
-    queue_.onFollowed(now_, packet, milliseconds(100));
+    queue_.onLaterPacket(now_, packet, milliseconds(100));
   }
   void take() {
     for (const std::string& bytes : queue_.take(now_)) {
       const FlowHash flow{std::stoull(bytes)};
       const auto waited = waiting_.find(flow);
       RC_ASSERT(waited != waiting_.end());
-      const OpeningTurn turn = queue_.turnOf(now_, waited->second.pool, kLimit, flow);
-      RC_ASSERT(turn != OpeningTurn::kWait);
-      if (turn == OpeningTurn::kRefuse) {
+      const OpeningDecision turn = queue_.decideOpening(now_, waited->second.pool, kLimit, flow);
+      RC_ASSERT(turn != OpeningDecision::kWait);
+      if (turn == OpeningDecision::kRefuse) {
         RC_ASSERT(now_ - waited->second.since >= milliseconds(333));
       } else {
         place(flow);
--- a/test/common/admission/opening_queue_test.cc
+++ b/test/common/admission/opening_queue_test.cc
@@ -18,16 +18,16 @@
   OpeningQueue queue{OpeningLimits{}};
   TimePoint now{seconds(1000)};
 
-  OpeningTurn turnOf(uint64_t flow) {
-    return queue.turnOf(now, kPool, kLimit, FlowHash{flow});
+  OpeningDecision decideOpening(uint64_t flow) {
+    return queue.decideOpening(now, kPool, kLimit, FlowHash{flow});
   }
   /** Its turn comes at once. */
   void place(uint64_t flow) {
-    CHECK_TRUE(turnOf(flow) == OpeningTurn::kPlace);
+    CHECK_TRUE(decideOpening(flow) == OpeningDecision::kPlace);
     queue.onPlaced(now, kPool, FlowHash{flow});
   }
   void hold(uint64_t flow, uint32_t priority = 1, Duration timeout = seconds(3)) {
-    CHECK_TRUE(turnOf(flow) == OpeningTurn::kWait);
+    CHECK_TRUE(decideOpening(flow) == OpeningDecision::kWait);
     queue.hold(now, {FlowHash{flow}, kPool, priority, timeout, std::to_string(flow)});
   }
   void fill() {
@@ -41,7 +41,7 @@
     packet.hash = FlowHash{flow};
     packet.phase = phase;
     packet.acknowledged = acknowledged;
-    queue.onFollowed(now, packet, patience);
+    queue.onLaterPacket(now, packet, patience);
   }
   /** Nobody answers the flows that are under way. */
   void hangAll() {
@@ -94,7 +94,7 @@
   STRCMP_EQUAL("4", taken.front().c_str());
   place(4);
   follow(4, 100, PacketPhase::kContinuing, seconds(10));
-  CHECK_TRUE(turnOf(5) == OpeningTurn::kWait);
+  CHECK_TRUE(decideOpening(5) == OpeningDecision::kWait);
 }
 
 TEST(OpeningQueue, AFlowThatEndsOrIsNeverFollowedCountsNoLonger) {
@@ -143,9 +143,9 @@
   LONGS_EQUAL(0, queue.take(now).size());
   now += milliseconds(1);
   LONGS_EQUAL(1, queue.take(now).size());
-  CHECK_TRUE(turnOf(4) == OpeningTurn::kRefuse);
+  CHECK_TRUE(decideOpening(4) == OpeningDecision::kRefuse);
   // Its caller tries again.
-  CHECK_TRUE(turnOf(4) == OpeningTurn::kWait);
+  CHECK_TRUE(decideOpening(4) == OpeningDecision::kWait);
 }
 
 TEST(OpeningQueue, NothingWaitsLongerThanItsCallerIsSureToWait) {
@@ -172,7 +172,7 @@
   fill();
   hold(4);
   CHECK_TRUE(queue.isCalm(now, "mapstore"));
-  CHECK_TRUE(queue.turnOf(now, "mapstore", kLimit, FlowHash{9}) == OpeningTurn::kPlace);
+  CHECK_TRUE(queue.decideOpening(now, "mapstore", kLimit, FlowHash{9}) == OpeningDecision::kPlace);
 }
 
 TEST(OpeningQueue, TooManyGoOnWithoutWaiting) {
@@ -180,7 +180,7 @@
   for (uint64_t flow = 10; flow < 10 + OpeningQueue::kCapacity; ++flow) {
     hold(flow);
   }
-  CHECK_TRUE(turnOf(5) == OpeningTurn::kPlace);
+  CHECK_TRUE(decideOpening(5) == OpeningDecision::kPlace);
 }
 
 TEST(OpeningQueue, NodesShareTheSlotsOfHosts) {
@@ -201,9 +201,9 @@
 TEST(OpeningQueue, OpeningsThatYieldLeaveThePoolToMoreUrgentOnes) {
   const OpeningClaim yielding{2, 1, 1};
   queue.onPlaced(now, kPool, FlowHash{1}, 2);
-  CHECK_TRUE(queue.turnOf(now, kPool, kLimit, FlowHash{2}, yielding) == OpeningTurn::kWait);
+  CHECK_TRUE(queue.decideOpening(now, kPool, kLimit, FlowHash{2}, yielding) == OpeningDecision::kWait);
   queue.hold(now, {FlowHash{2}, kPool, 2, seconds(3), "2"});
-  CHECK_TRUE(queue.turnOf(now, kPool, kLimit, FlowHash{3}, {1}) == OpeningTurn::kPlace);
+  CHECK_TRUE(queue.decideOpening(now, kPool, kLimit, FlowHash{3}, {1}) == OpeningDecision::kPlace);
   queue.onPlaced(now, kPool, FlowHash{3}, 1);
   LONGS_EQUAL(0, queue.take(now).size());
 }
@@ -213,16 +213,16 @@
     queue.onPlaced(now, kPool, FlowHash{flow}, 1);
   }
   const OpeningClaim yielding{2, 1, 1};
-  CHECK_TRUE(queue.turnOf(now, kPool, kLimit, FlowHash{4}, yielding) == OpeningTurn::kPlace);
+  CHECK_TRUE(queue.decideOpening(now, kPool, kLimit, FlowHash{4}, yielding) == OpeningDecision::kPlace);
   queue.onPlaced(now, kPool, FlowHash{4}, 2);
-  CHECK_TRUE(queue.turnOf(now, kPool, kLimit, FlowHash{5}, yielding) == OpeningTurn::kWait);
+  CHECK_TRUE(queue.decideOpening(now, kPool, kLimit, FlowHash{5}, yielding) == OpeningDecision::kWait);
 }
 
 TEST(OpeningQueue, TheLatestGoesFirstOnceTheEarliestWaitedForTooLongToBeInTime) {
   constexpr auto kOrderly = milliseconds(100);
   fill();
   hangAll();
-  CHECK_TRUE(turnOf(4) == OpeningTurn::kWait);
+  CHECK_TRUE(decideOpening(4) == OpeningDecision::kWait);
   queue.hold(now, {FlowHash{4}, kPool, 1, seconds(3), "4", kOrderly});
   now += milliseconds(99);
   queue.hold(now, {FlowHash{5}, kPool, 1, seconds(3), "5", kOrderly});
@@ -245,5 +245,5 @@
   CHECK_TRUE(queue.take(now).empty());
   now += milliseconds(1);
   LONGS_EQUAL(1, queue.take(now).size());
-  CHECK_TRUE(turnOf(5) == OpeningTurn::kRefuse);
+  CHECK_TRUE(decideOpening(5) == OpeningDecision::kRefuse);
 }
--- a/test/common/flow/flow_table_test.cc
+++ b/test/common/flow/flow_table_test.cc
@@ -22,10 +22,10 @@
 /** Keeps what the table said that it forgot. */
 class RecordingObserver : public FlowTableObserver {
  public:
-  void onFlowForgotten(uint32_t, const FlowEntry& entry, ForgetCause cause) override {
+  void onFlowRemoved(uint32_t, const FlowEntry& entry, RemovalCause cause) override {
     forgotten[entry.flow.value] = cause;
   }
-  std::map<uint64_t, ForgetCause> forgotten;
+  std::map<uint64_t, RemovalCause> forgotten;
 };
 
 NewFlow newFlow(uint32_t shard, uint64_t flow, PacketPhase phase, uint32_t caller) {
@@ -105,7 +105,7 @@
     CHECK(isOk(table.insert(now, newFlow(shard, next, PacketPhase::kContinuing, 9))));
     CHECK_EQUAL(step + 1, observer.forgotten.size());
     CHECK(observer.forgotten.count(expected[step]) == 1);
-    CHECK(observer.forgotten[expected[step]] == ForgetCause::kPressure);
+    CHECK(observer.forgotten[expected[step]] == RemovalCause::kPressure);
   }
   CHECK_FALSE(isOk(table.insert(kStart, newFlow(shard, 20, PacketPhase::kOpening, 9))));
   CHECK(table.find(kStart, shard, FlowHash{1}).has_value());
@@ -126,12 +126,12 @@
   table.touch(kStart + seconds(50), shard, FlowHash{3}, PacketPhase::kContinuing);
   sweep(table, kStart + seconds(11));
   CHECK_EQUAL(1U, observer.forgotten.size());
-  CHECK(observer.forgotten.at(1) == ForgetCause::kClosed);
+  CHECK(observer.forgotten.at(1) == RemovalCause::kClosed);
   sweep(table, kStart + seconds(61));
   CHECK_EQUAL(2U, observer.forgotten.size());
-  CHECK(observer.forgotten.at(2) == ForgetCause::kClosed);
+  CHECK(observer.forgotten.at(2) == RemovalCause::kClosed);
   sweep(table, kStart + seconds(kIdleTimeout));
-  CHECK(observer.forgotten.at(4) == ForgetCause::kIdle);
+  CHECK(observer.forgotten.at(4) == RemovalCause::kIdle);
   CHECK_EQUAL(0U, table.flowCount(shard));
   CHECK_EQUAL(0U, table.stats().slotBytes);
 }
--- a/test/common/flow/held_packets_test.cc
+++ b/test/common/flow/held_packets_test.cc
@@ -53,7 +53,7 @@
 
 TEST(HeldPackets, LeavesOutWhatWaitedTooLong) {
   hold(1, PacketPhase::kOpening, 1, "old");
-  now += HeldPackets::kLongest;
+  now += HeldPackets::kMaxHoldTime;
   hold(2, PacketPhase::kOpening, 1, "new");
   now += milliseconds(1);
   const auto taken = held.take(now);
@@ -65,12 +65,12 @@
   hold(1, PacketPhase::kContinuing, 1, "a");
   hold(2, PacketPhase::kContinuing, 1, "b");
   hold(1, PacketPhase::kContinuing, 2, "c");
-  const auto taken = held.takeOf(now, {1, 3});
+  const auto taken = held.takeByToken(now, {1, 3});
   LONGS_EQUAL(2, taken.size());
   CHECK_TRUE(taken[0] == "a" && taken[1] == "c");
   LONGS_EQUAL(1, held.size());
-  now += HeldPackets::kLongest + milliseconds(1);
-  LONGS_EQUAL(0, held.takeOf(now, {2}).size());
+  now += HeldPackets::kMaxHoldTime + milliseconds(1);
+  LONGS_EQUAL(0, held.takeByToken(now, {2}).size());
   LONGS_EQUAL(0, held.size());
 }
 
--- a/test/common/overflow/split_overflow_property.cc
+++ b/test/common/overflow/split_overflow_property.cc
@@ -21,10 +21,10 @@
 /** Flows of one split at one node; room comes and goes at random. */
 class Split {
  public:
-  Split(uint64_t seed, double mostPart)
-      : mostPart_(mostPart),
+  Split(uint64_t seed, double maxPart)
+      : mostPart_(maxPart),
         random_(seed),
-        overflow_({OverflowMode::kByRoom, mostPart}, random_),
+        overflow_({OverflowMode::kByRoom, maxPart}, random_),
         beyond_(2 + random_.below(3)) {
     double total = 0.0;
     for (size_t index = 0; index < beyond_.size(); ++index) {
@@ -104,8 +104,8 @@
 /** In every stretch of flows, not only from the start: stretches begin at every hundredth flow. */
 TEST(SplitOverflowProperty, APartGetsNoMoreBeyondItsWeightThanTheBound) {
   const bool held = rc::check("what overflows into a part is bounded in every stretch", [] {
-    const double mostPart = *rc::gen::inRange(0, 101) / 100.0;
-    Split split(*rc::gen::arbitrary<uint64_t>(), mostPart);
+    const double maxPart = *rc::gen::inRange(0, 101) / 100.0;
+    Split split(*rc::gen::arbitrary<uint64_t>(), maxPart);
     struct Mark {
       std::vector<uint64_t> beyond;
       std::vector<uint64_t> others;
--- a/test/common/placement/host_load_table_test.cc
+++ b/test/common/placement/host_load_table_test.cc
@@ -108,8 +108,8 @@
     place(kFirst, 50);
     table.estimate(after(second));
   }
-  const double early = table.choiceLoad(after(11))[0] - 200.0;
-  const double late = table.choiceLoad(after(40))[0] - 200.0;
+  const double early = table.placementLoad(after(11))[0] - 200.0;
+  const double late = table.placementLoad(after(40))[0] - 200.0;
   CHECK(early < 100.0);
   CHECK(late < early);
   CHECK(late >= 0.0);
--- a/test/common/token/token_director_waiting_test.cc
+++ b/test/common/token/token_director_waiting_test.cc
@@ -209,7 +209,7 @@
   FlowPacket early = packet(kUsual, 500, PacketPhase::kContinuing);
   early.token = flowTokenOf(3);
   director.decide(now, early, "early");
-  now += HeldPackets::kLongest + milliseconds(1);
+  now += HeldPackets::kMaxHoldTime + milliseconds(1);
   setHosts(1, 3);
   LONGS_EQUAL(0, director.takeReleased(now).size());
 }
