--- a/source/common/placement/base_table.h
+++ b/source/common/placement/base_table.h
@@ -1,4 +1,4 @@
-/** @file The base table of a shard: gives every flow a default host without any state of the flow.
+/** @file The base table of a shard: maps every flow to a default host without per-flow state.
  */
 #pragma once
 
@@ -11,19 +11,19 @@
 
 namespace umberhold {
 
-/** Hosts with their weight bytes; the order does not matter for defaultHost. Never changes. */
+/** Hosts with their weight bytes; immutable. The order of hosts does not affect defaultHost(). */
 class BaseTable {
  public:
   BaseTable() = default;
   explicit BaseTable(std::vector<BaseHost> hosts);
 
-  /** @return the host of the flow, or nothing where every weight is 0. */
+  /** @return the flow's default host, or nullopt if every weight is 0. */
   std::optional<HostId> defaultHost(FlowHash flow) const;
 
   /** @return the hosts in the order given; FlowException::host indexes it. */
   const std::vector<BaseHost>& hosts() const { return hosts_; }
 
-  /** @return index of the host in hosts(), or nothing. */
+  /** @return index of the host in hosts(), or nullopt. */
   std::optional<uint16_t> indexOf(HostId host) const;
 
   /** @return a fingerprint of hosts and weights that does not depend on their order; 0 for no
--- a/source/common/placement/blended_load.cc
+++ b/source/common/placement/blended_load.cc
@@ -7,14 +7,16 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** A report counts in full up to the first age, and not at all from the second on. */
+/** A report has full weight up to kFreshSeconds of age; its weight falls linearly to 0 at
+ * kStaleSeconds. */
 constexpr double kFreshSeconds = 10.0;
 constexpr double kStaleSeconds = 30.0;
-/** Part of the count-based load below which no report is believed. */
-constexpr double kLeastBelief = 0.5;
-/** Least flows at the time of a report from which its load is scaled with the flows. */
-constexpr double kScalableFlows = 10.0;
-constexpr double kLargestScale = 3.0;
+/** Lower bound of the blended load, as a fraction of the count-based load. */
+constexpr double kMinCountPart = 0.5;
+/** A report's load is scaled with the flow count only if the host had at least this many flows when
+ * it reported. */
+constexpr double kMinFlowsForScaling = 10.0;
+constexpr double kMaxScale = 3.0;
 constexpr double kPercent = 100.0;
 
 double freshness(TimePoint now, const LoadReport& report) {
@@ -22,26 +24,26 @@
   return std::clamp((kStaleSeconds - age) / (kStaleSeconds - kFreshSeconds), 0.0, 1.0);
 }
 
-double countLoad(const LoadEvidence& host) {
+double countLoad(const LoadInput& host) {
   return host.flows / std::max(1.0, static_cast<double>(host.connectionLimit));
 }
 
-/** @return the reported load, corrected by the flows that came or went since. */
-double correctedLoad(const LoadEvidence& host) {
+/** @return the reported load, scaled by the change in flow count since the report. */
+double correctedLoad(const LoadInput& host) {
   const double reported = host.report->loadPercent / kPercent;
-  if (host.report->flowsThen < kScalableFlows) {
+  if (host.report->flowsThen < kMinFlowsForScaling) {
     return reported;
   }
   const double scale = host.flows / host.report->flowsThen;
-  return reported * std::clamp(scale, 1.0 / kLargestScale, kLargestScale);
+  return reported * std::clamp(scale, 1.0 / kMaxScale, kMaxScale);
 }
 
-/** @return reported load for each unit of count-based load, over all hosts that report; 1 without
+/** @return the ratio of reported to count-based load over all hosts with reports; 1 without
  * reports. */
-double reportScale(TimePoint now, const std::vector<LoadEvidence>& hosts) {
+double reportScale(TimePoint now, const std::vector<LoadInput>& hosts) {
   double reported = 0.0;
   double counted = 0.0;
-  for (const LoadEvidence& host : hosts) {
+  for (const LoadInput& host : hosts) {
     if (host.report.has_value()) {
       const double weight = freshness(now, *host.report);
       reported += weight * correctedLoad(host);
@@ -53,16 +55,16 @@
 
 }  // namespace
 
-std::vector<double> blendLoads(TimePoint now, const std::vector<LoadEvidence>& hosts) {
+std::vector<double> blendLoads(TimePoint now, const std::vector<LoadInput>& hosts) {
   const double scale = reportScale(now, hosts);
   std::vector<double> loads;
   loads.reserve(hosts.size());
-  for (const LoadEvidence& host : hosts) {
+  for (const LoadInput& host : hosts) {
     const double counted = countLoad(host) * scale;
-    const double trust = host.report.has_value() ? freshness(now, *host.report) : 0.0;
+    const double reportWeight = host.report.has_value() ? freshness(now, *host.report) : 0.0;
     const double reported = host.report.has_value() ? correctedLoad(host) : 0.0;
-    const double blended = trust * reported + (1.0 - trust) * counted;
-    loads.push_back(std::max(blended, kLeastBelief * counted));
+    const double blended = reportWeight * reported + (1.0 - reportWeight) * counted;
+    loads.push_back(std::max(blended, kMinCountPart * counted));
   }
   return loads;
 }
--- a/source/common/placement/blended_load.h
+++ b/source/common/placement/blended_load.h
@@ -1,9 +1,9 @@
 /**
- * @file A host's load from what it reports and from what was placed on it.
+ * @file Host load estimated from load reports and from flow counts.
  *
- * A report is corrected by the flows placed since and fades to an estimate from flow counts as it
- * ages. Reports may be wrong: a host that reports too little still counts with half of what its
- * flows suggest.
+ * A report is scaled by the change in flow count since it was made. As it ages, its weight moves to
+ * an estimate from flow counts. Reports may be wrong: a host that underreports is still given at
+ * least half of the load that its flow count suggests.
  */
 #pragma once
 
@@ -16,15 +16,15 @@
 
 namespace umberhold {
 
-/** What is known of one host. */
-struct LoadEvidence {
+/** Input of the load estimate for one host. */
+struct LoadInput {
   std::optional<LoadReport> report;
-  /** Flows now, over all owners. */
+  /** Current number of flows over all owners. */
   double flows = 0.0;
   uint32_t connectionLimit = 1;
 };
 
-/** @return a load for each host, 0.0 idle to 1.0 full; above 1.0 where overloaded. */
-std::vector<double> blendLoads(TimePoint now, const std::vector<LoadEvidence>& hosts);
+/** @return the load of each host: 0.0 is idle, 1.0 is full, and above 1.0 is overloaded. */
+std::vector<double> blendLoads(TimePoint now, const std::vector<LoadInput>& hosts);
 
 }  // namespace umberhold
--- a/source/common/placement/connection_limit.cc
+++ b/source/common/placement/connection_limit.cc
@@ -5,25 +5,27 @@
 namespace umberhold {
 namespace {
 
-/** A shard asks once fewer than this part of its first permits is free, for a multiple of that. */
+/** A shard requests permits when fewer than 1/kLowWaterDivisor of its initial permits are free; it
+ * requests kRequestFactor times that number. */
 constexpr uint32_t kLowWaterDivisor = 32;
 constexpr uint32_t kRequestFactor = 4;
-constexpr uint32_t kLeastWanted = 2;
+constexpr uint32_t kMinPermitsWanted = 2;
 constexpr Duration kRetryInterval = std::chrono::milliseconds(250);
-constexpr Duration kLongestRetry = std::chrono::seconds(16);
-constexpr uint32_t kLargestBackoff = 6;
-/** After a death a shard recovers its totals once it uses this part of its first permits. */
+constexpr Duration kMaxRetryInterval = std::chrono::seconds(16);
+constexpr uint32_t kMaxBackoffExponent = 6;
+/** After an owner failure, a shard recovers its totals once it uses 1/kRecoveryDivisor of its
+ * initial permits. */
 constexpr uint32_t kRecoveryDivisor = 4;
 
-std::vector<uint64_t> orEmpty(const std::vector<uint64_t>& totals) {
+std::vector<uint64_t> emptyIfZero(const std::vector<uint64_t>& totals) {
   const bool zero =
       std::all_of(totals.begin(), totals.end(), [](uint64_t total) { return total == 0; });
   return zero ? std::vector<uint64_t>{} : totals;
 }
 
-void takeLarger(std::vector<uint64_t>& totals, const std::vector<uint64_t>& heard) {
-  for (size_t index = 0; index < std::min(totals.size(), heard.size()); ++index) {
-    totals[index] = std::max(totals[index], heard[index]);
+void raiseTotals(std::vector<uint64_t>& totals, const std::vector<uint64_t>& received) {
+  for (size_t index = 0; index < std::min(totals.size(), received.size()); ++index) {
+    totals[index] = std::max(totals[index], received[index]);
   }
 }
 
@@ -42,8 +44,8 @@
 
 void PermitAccount::restore(const std::vector<uint64_t>& lent,
                             const std::vector<uint64_t>& borrowed) {
-  takeLarger(lent_, lent);
-  takeLarger(borrowed_, borrowed);
+  raiseTotals(lent_, lent);
+  raiseTotals(borrowed_, borrowed);
 }
 
 void PermitAccount::startRecovery() {
@@ -75,7 +77,7 @@
     return grant;
   }
   lent_[borrower] = std::max(lent_[borrower], request.totalBorrowed);
-  asked_ = true;
+  requestReceived_ = true;
   const bool receivedAll = request.totalBorrowed == lent_[borrower];
   const uint32_t reserve =
       initialPermits(limit, shard_, static_cast<uint16_t>(lent_.size())) / kLowWaterDivisor;
@@ -101,11 +103,11 @@
 }
 
 std::vector<uint64_t> PermitAccount::lentTotals() const {
-  return orEmpty(lent_);
+  return emptyIfZero(lent_);
 }
 
 std::vector<uint64_t> PermitAccount::borrowedTotals() const {
-  return orEmpty(borrowed_);
+  return emptyIfZero(borrowed_);
 }
 
 uint16_t PermitAccount::nextLender() {
@@ -118,9 +120,9 @@
 }
 
 void PermitRequester::backOff(TimePoint now) {
-  const uint32_t factor = uint32_t{1} << std::min(fruitless_, kLargestBackoff);
-  notBefore_ = now + std::min(kLongestRetry, kRetryInterval * factor);
-  ++fruitless_;
+  const uint32_t factor = uint32_t{1} << std::min(unsuccessfulRequests_, kMaxBackoffExponent);
+  nextRequestAt_ = now + std::min(kMaxRetryInterval, kRetryInterval * factor);
+  ++unsuccessfulRequests_;
 }
 
 PermitRequest PermitRequester::makeRequest(TimePoint now, ShardId shard, HostId host,
@@ -148,19 +150,19 @@
 std::optional<PermitRequest> PermitRequester::due(TimePoint now, ShardId shard,
                                                   PermitAccount& account, const HostUse& use) {
   const auto shardCount = static_cast<uint16_t>(account.unanswered().size());
-  if (now < notBefore_ || shardCount < 2) {
+  if (now < nextRequestAt_ || shardCount < 2) {
     return std::nullopt;
   }
   const uint32_t share = initialPermits(use.limit, shard.index, shardCount);
   if (account.recovering()) {
-    const bool needed = account.asked() || kRecoveryDivisor * use.flows >= share;
+    const bool needed = account.requestReceived() || kRecoveryDivisor * use.flows >= share;
     if (!needed) {
       return std::nullopt;
     }
     return makeRequest(now, shard, use.host, account, nextUnanswered(account), 0);
   }
-  const uint32_t lowWater = std::max(kLeastWanted, share / kLowWaterDivisor);
-  // A shard without any permit asks before its first flow comes.
+  const uint32_t lowWater = std::max(kMinPermitsWanted, share / kLowWaterDivisor);
+  // A shard without permits requests some before its first flow arrives.
   const bool enough = account.permits(use.limit) - static_cast<int64_t>(use.flows) >=
                       static_cast<int64_t>(std::min(lowWater, share + 1));
   const bool othersAreFull = use.allFlows + 1.0 > use.limit;
@@ -171,10 +173,10 @@
                      kRequestFactor * lowWater);
 }
 
-void PermitRequester::onGrant(TimePoint now, bool useful) {
-  if (useful) {
-    fruitless_ = 0;
-    notBefore_ = now;
+void PermitRequester::onGrant(TimePoint now, bool effective) {
+  if (effective) {
+    unsuccessfulRequests_ = 0;
+    nextRequestAt_ = now;
   }
 }
 
--- a/source/common/placement/exception_budget.h
+++ b/source/common/placement/exception_budget.h
@@ -1,4 +1,4 @@
-/** @file The exceptions that a node may make; see docs/DESIGN.md, "Placement". */
+/** @file The rate of exceptions that a node may make; see docs/DESIGN.md, "Placement". */
 #pragma once
 
 #include "common/placement/token_bucket.h"
@@ -6,18 +6,19 @@
 namespace umberhold {
 
 /**
- * An exception costs replication about 30 bytes, added and removed. The byte budget of replication
- * (ByteBudgetOptions) is what holds on a node that places more than it can pay for: the replica
- * then lags, and a shard whose replica lags makes no exceptions.
+ * An exception costs about 30 bytes of replication traffic, for adding and removing it. The byte
+ * budget of replication (ByteBudgetOptions) limits a node that makes more exceptions than it can
+ * replicate: its replica then lags, and a shard whose replica lags makes no exceptions.
  */
 struct ExceptionBudgetOptions {
-  /** Exceptions refilled a second. */
+  /** Refill rate in exceptions per second. */
   double perSecond = 24.0;
-  /** Exceptions that a full bucket holds. */
+  /** Size of the bucket in exceptions. */
   double burst = 48.0;
 };
 
-/** One for all services of a node; a forced exception (no other host is admissible) is a debt. */
+/** Shared by all services of a node. A forced exception (no other host is admissible) takes the
+ * budget below zero. */
 class ExceptionBudget : public TokenBucket {
  public:
   explicit ExceptionBudget(ExceptionBudgetOptions options = {})
--- a/source/common/placement/host_load_table.cc
+++ b/source/common/placement/host_load_table.cc
@@ -8,25 +8,25 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** How long the estimate of other owners' flows is used again before it is made again. */
+/** How long the estimate of other owners' flows is cached. */
 constexpr Duration kRefreshInterval = std::chrono::milliseconds(100);
-/** Time constant over which the rate of ending flows is averaged, in seconds. */
+/** Time constant for averaging the rate of ended flows, in seconds. */
 constexpr double kLifeAveraging = 60.0;
 constexpr Duration kLifeInterval = std::chrono::seconds(1);
-constexpr double kShortestLife = 1.0;
-constexpr double kLongestLife = 3600.0;
-/** Fewest flows from which growth is read; below, chance outweighs it. */
-constexpr double kGrowthFloor = 50.0;
-constexpr double kLargestGrowth = 2.0;
-/** Share intervals by which counts are taken to be older than they are; see ShareAging::kMeanLife.
+constexpr double kMinLife = 1.0;
+constexpr double kMaxLife = 3600.0;
+/** Minimum number of flows for estimating growth; below it, random variation dominates. */
+constexpr double kMinFlowsForGrowth = 50.0;
+constexpr double kMaxGrowth = 2.0;
+/** Number of share intervals added to the age of counts; see ShareAging::kMeanLife.
  */
 constexpr double kDamping = 10.0;
 
 double growthOf(double before, double now) {
-  if (before < kGrowthFloor || now < kGrowthFloor) {
+  if (before < kMinFlowsForGrowth || now < kMinFlowsForGrowth) {
     return 1.0;
   }
-  return std::clamp(now / before, 1.0 / kLargestGrowth, kLargestGrowth);
+  return std::clamp(now / before, 1.0 / kMaxGrowth, kMaxGrowth);
 }
 
 uint64_t sumOf(const std::vector<uint32_t>& counts) {
@@ -64,7 +64,7 @@
   }
   ownFlows_.resize(hosts_.size());
   estimate_.resize(hosts_.size());
-  choiceLoad_.resize(hosts_.size());
+  placementLoad_.resize(hosts_.size());
   othersDirty_ = true;
 }
 
@@ -87,7 +87,7 @@
     for (size_t slot = 0; slot < kept.size(); ++slot) {
       moved[slot] = oldSlots[slot] < oldSize ? counts[oldSlots[slot]] : 0;
     }
-    counts = std::move(moved);
+    counts = std::handOverOwner(moved);
   };
   for (auto& [index, shard] : own_) {
     rearrange(shard.known);
@@ -98,7 +98,7 @@
     rearrange(shard.counts);
   }
   rearrange(ownFlows_);
-  hosts_ = std::move(kept);
+  hosts_ = std::handOverOwner(kept);
   slots_.clear();
   for (size_t slot = 0; slot < hosts_.size(); ++slot) {
     slots_.emplace(hosts_[slot], slot);
@@ -138,7 +138,7 @@
     return;
   }
   OtherShard other;
-  other.heard = now;
+  other.receivedAt = now;
   other.counts = found->second.flows;
   for (size_t slot = 0; slot < hosts_.size(); ++slot) {
     ownFlows_[slot] -= other.counts[slot];
@@ -146,7 +146,7 @@
   ownTotal_ -= sumOf(other.counts);
   other.ownTotal = static_cast<double>(ownTotal_);
   own_.erase(found);
-  others_[shard] = std::move(other);
+  others_[shard] = std::handOverOwner(other);
   othersDirty_ = true;
 }
 
@@ -219,10 +219,10 @@
   for (const HostLoad& load : share.hosts) {
     other.counts[findSlot(load.host)] = load.flows;
   }
-  if (!added && now > other.heard) {
-    other.interval = Seconds(std::max(now - other.heard, shareInterval_)).count();
+  if (!added && now > other.receivedAt) {
+    other.interval = Seconds(std::max(now - other.receivedAt, shareInterval_)).count();
   }
-  other.heard = now;
+  other.receivedAt = now;
   other.epoch = share.epoch;
   other.ownTotal = static_cast<double>(ownTotal_);
   othersDirty_ = true;
@@ -230,7 +230,7 @@
 
 TimePoint HostLoadTable::lastShare(uint16_t shard) const {
   const auto found = others_.find(shard);
-  return found == others_.end() ? TimePoint{} : found->second.heard;
+  return found == others_.end() ? TimePoint{} : found->second.receivedAt;
 }
 
 void HostLoadTable::updateMeanLife(TimePoint now) {
@@ -253,25 +253,25 @@
 double HostLoadTable::meanLifeSeconds() const {
   const double flows = static_cast<double>(ownTotal_);
   if (endedPerSecond_ <= 0.0 || flows <= 0.0) {
-    return kLongestLife;
+    return kMaxLife;
   }
-  return std::clamp(flows / endedPerSecond_, kShortestLife, kLongestLife);
+  return std::clamp(flows / endedPerSecond_, kMinLife, kMaxLife);
 }
 
-double HostLoadTable::choiceWeight(TimePoint now, const OtherShard& other) const {
+double HostLoadTable::placementWeight(TimePoint now, const OtherShard& other) const {
   if (aging_ == ShareAging::kIgnoreOthers) {
     return 0.0;
   }
   if (aging_ == ShareAging::kNone) {
     return 1.0;
   }
-  const double age = std::max(0.0, Seconds(now - other.heard).count());
+  const double age = std::max(0.0, Seconds(now - other.receivedAt).count());
   return std::exp(-(age + kDamping * other.interval) / meanLifeSeconds());
 }
 
 void HostLoadTable::addOther(TimePoint now, const OtherShard& other) {
   const double growth = growthOf(other.ownTotal, static_cast<double>(ownTotal_));
-  const double weight = choiceWeight(now, other);
+  const double weight = placementWeight(now, other);
   for (size_t slot = 0; slot < hosts_.size(); ++slot) {
     const double flows = growth * other.counts[slot];
     othersEstimate_[slot] += flows;
@@ -304,9 +304,9 @@
 std::span<const double> HostLoadTable::placementLoad(TimePoint now) {
   refreshOthers(now);
   for (size_t slot = 0; slot < hosts_.size(); ++slot) {
-    choiceLoad_[slot] = ownFlows_[slot] + othersWeighted_[slot];
+    placementLoad_[slot] = ownFlows_[slot] + othersWeighted_[slot];
   }
-  return choiceLoad_;
+  return placementLoad_;
 }
 
 }  // namespace umberhold
--- a/source/common/placement/host_load_table.h
+++ b/source/common/placement/host_load_table.h
@@ -1,12 +1,12 @@
 /**
- * @file Flows per host over all owners of a service, as one owner knows them.
+ * @file Flows per host over all owners of a service, as seen by one owner.
  *
  * Counts of the shards owned here are exact, except for flows that an earlier owner placed and that
- * were not seen here yet ("inherited"). Counts of other shards are what their owners last said
- * (LoadShare): between two messages they are scaled by the growth of the own counts (flow hashes
- * spread evenly over shards, so all owners grow alike), and what sets a host apart from the others
- * fades with the flows' own mean life, because flows that ended took their part of the difference
- * with them.
+ * have not been seen here yet ("inherited"). Counts of other shards are the last ones received from
+ * their owners (LoadShare). Between two messages they are scaled by the growth of the own counts:
+ * flow hashes are spread evenly over shards, so all owners grow alike. For the placement, their
+ * weight decays with the mean flow lifetime, because the difference between hosts that a count
+ * describes disappears as its flows end.
  */
 #pragma once
 
@@ -22,72 +22,74 @@
 
 namespace umberhold {
 
-/** How another owner's counts age; the alternatives are kept to be measured against. */
+/** How another owner's counts age. The alternatives to kMeanLife serve as baselines in benchmarks.
+ */
 enum class ShareAging : uint8_t {
   /**
-   * The counts weigh the less in the choice, the more flows were replaced since they were said and
-   * are replaced between two messages: owners that all answer to the same old difference would
-   * overshoot together.
+   * The weight of the counts in the placement decays with the fraction of flows replaced since the
+   * counts were sent and between two messages. Without this, all owners would react to the same
+   * stale difference and overshoot together.
    */
   kMeanLife,
-  /** Last said counts stay as they are. */
+  /** The last received counts keep full weight. */
   kNone,
-  /** Nothing that others say is used. */
+  /** Counts of other owners are ignored. */
   kIgnoreOthers,
 };
 
-/** Not thread safe. Hosts are held in slots 0 to size() - 1. */
+/** Not thread safe. Hosts occupy slots 0 to size() - 1. */
 class HostLoadTable {
  public:
   /**
-   * @param shareInterval shortest interval at which owners share for the sake of counts. Shares
-   * that come sooner, for other news, don't make the counts count for more.
+   * @param shareInterval minimum interval between two shares that are sent because counts changed.
+   * Shares that arrive sooner for another reason don't increase the weight of the counts.
    */
   explicit HostLoadTable(ShareAging aging = ShareAging::kMeanLife,
                          Duration shareInterval = Duration{0})
       : aging_(aging), shareInterval_(shareInterval) {}
 
-  /** Makes slots 0 to n - 1 for these hosts, in this order; others keep a slot behind them while
-   * flows are counted. */
+  /** Assigns slots 0 to n - 1 to these hosts, in this order. Other hosts keep a slot after them
+   * while they have flows. */
   void setHosts(const std::vector<HostId>& hosts);
-  /** @return the host's slot; makes one where there is none. */
+  /** @return the host's slot; creates one if the host has none. */
   size_t slotOf(HostId host);
-  /** @return the slot, or size() where the host has none. */
+  /** @return the host's slot, or size() if it has none. */
   size_t findSlot(HostId host) const;
   size_t size() const { return hosts_.size(); }
 
-  /** Starts counting a shard. @param inherited flows by host that were handed over; where it is
-   * empty the last LoadShare of the shard stands in. */
+  /** Starts counting a shard. @param inherited flows by host that were handed over; if empty, the
+   * last LoadShare of the shard is used. */
   void addOwnShard(uint16_t shard, const std::vector<HostPermits>& inherited);
-  /** Stops counting a shard; its counts stay as last said by its owner. */
+  /** Stops counting a shard; its counts are kept as if received from its new owner. */
   void removeOwnShard(TimePoint now, uint16_t shard);
   bool ownsShard(uint16_t shard) const { return own_.contains(shard); }
-  /** Forgets inherited flows that were never seen. */
+  /** Removes inherited flows that have not been seen. */
   void forgetInherited(uint16_t shard);
 
-  /** Counts a flow; adopted flows leave the inherited count. The shard must be owned. */
+  /** Counts a flow; an adopted flow is subtracted from the inherited count. The shard must be
+   * owned. */
   void flowAdded(uint16_t shard, HostId host, bool adopted);
   void flowRemoved(uint16_t shard, HostId host);
   /** @return flows of an owned shard on the slot's host, inherited ones included. */
   uint32_t shardFlows(uint16_t shard, size_t slot) const;
-  /** @return the same for every slot; empty where the shard is not owned here; valid until the next
+  /** @return the same for every slot; empty if the shard is not owned here. Valid until the next
    * change. */
   std::span<const uint32_t> shardFlows(uint16_t shard) const;
 
-  /** Takes the counts of a shard that is not owned here; an older epoch than the last is ignored.
+  /** Stores the counts of a shard that is not owned here; a share of an older epoch than the last
+   * is ignored.
    */
   void onLoadShare(TimePoint now, const LoadShare& share);
-  /** @return when a LoadShare of the shard last arrived; the epoch (TimePoint{}) for never. */
+  /** @return when a LoadShare of the shard last arrived; TimePoint{} if never. */
   TimePoint lastShare(uint16_t shard) const;
 
-  /** @return flows by slot over all owners, estimated for this instant; valid until the next call.
+  /** @return estimated current flows by slot over all owners; valid until the next call.
    */
   std::span<const double> estimate(TimePoint now);
-  /** @return flows by slot as the load bound should see them: own flows plus weighted flows of
-   * others. */
+  /** @return flows by slot for the load bound: own flows plus weighted flows of other owners. */
   std::span<const double> placementLoad(TimePoint now);
-  /** @return mean life of the flows owned here, in seconds, from what ended in the last minute or
-   * so. */
+  /** @return mean lifetime of the flows owned here, in seconds, averaged over about the last
+   * minute. */
   double meanLifeSeconds() const;
 
  private:
@@ -98,7 +100,7 @@
     std::vector<uint32_t> flows;
   };
   struct OtherShard {
-    TimePoint heard;
+    TimePoint receivedAt;
     uint32_t epoch = 0;
     std::vector<uint32_t> counts;
     /** Seconds between the last two shares. */
@@ -111,7 +113,7 @@
   void refreshOthers(TimePoint now);
   void addOther(TimePoint now, const OtherShard& other);
   void updateMeanLife(TimePoint now);
-  double choiceWeight(TimePoint now, const OtherShard& other) const;
+  double placementWeight(TimePoint now, const OtherShard& other) const;
 
   ShareAging aging_;
   Duration shareInterval_;
@@ -124,9 +126,9 @@
   uint64_t ownTotal_ = 0;
   std::vector<double> othersEstimate_;
   std::vector<double> othersWeighted_;
-  /** What the last estimate() or placementLoad() gave. */
+  /** Results of the last estimate() and placementLoad(). */
   std::vector<double> estimate_;
-  std::vector<double> choiceLoad_;
+  std::vector<double> placementLoad_;
   bool othersDirty_ = true;
   TimePoint othersRefreshed_{};
   /** Flows that ended since the mean life was last updated. */
--- a/source/common/placement/load_bound.cc
+++ b/source/common/placement/load_bound.cc
@@ -7,11 +7,11 @@
 namespace umberhold {
 namespace {
 
-/** Slack for the rounding of the weighted mean, so that a host at exactly its share counts as at
- * it. */
+/** Tolerance for rounding errors of the weighted mean, so that a host with exactly its share is not
+ * seen as over it. */
 constexpr double kRounding = 1e-9;
 
-/** What all admissible candidates hold together. */
+/** Totals over all usable candidates. */
 struct Totals {
   double flows = 0.0;
   double weight = 0.0;
@@ -32,7 +32,7 @@
   return totals;
 }
 
-/** @return the host's part of all flows, the new one included. */
+/** @return the host's weighted share of all flows, including the new one. */
 double targetOf(const Totals& totals, uint8_t weight) {
   return (totals.flows + 1.0) * weight / totals.weight;
 }
@@ -55,7 +55,8 @@
   return index;
 }
 
-/** @return first usable host of the flow's ranking under the bound, or the number of candidates. */
+/** @return the first usable host under the bound in the flow's ranking, or the number of
+ * candidates. */
 size_t nextRanked(FlowHash flow, const PlacementCandidates& candidates, const Totals& totals,
                   double bound) {
   RendezvousWalk walk(candidates.hosts, flow);
@@ -67,7 +68,8 @@
   return candidates.hosts.size();
 }
 
-/** @return the usable host with the fewest flows for its weight, or the number of candidates. */
+/** @return the usable host with the fewest flows relative to its weight, or the number of
+ * candidates. */
 size_t leastLoaded(const PlacementCandidates& candidates) {
   size_t best = candidates.hosts.size();
   double bestLoad = 0.0;
@@ -90,7 +92,7 @@
   if (options.mode == BoundMode::kFixed) {
     return options.fixedBound;
   }
-  return options.tightest + (options.loosest - options.tightest) * (1.0 - fill);
+  return options.minBound + (options.maxBound - options.minBound) * (1.0 - fill);
 }
 
 std::optional<BoundedChoice> chooseUnderBound(FlowHash flow, const BaseTable& base,
--- a/source/common/placement/load_bound.h
+++ b/source/common/placement/load_bound.h
@@ -1,11 +1,11 @@
 /**
- * @file The choice of a host under a load bound.
+ * @file Host selection under a load bound.
  *
  * "Consistent hashing with bounded loads" (Mirrokni, Thorup, Zadimoghaddam): a host takes a new
- * flow only while its flows stay under bound x its weighted share of all flows; a flow whose hosts
- * of first rank are full goes on to another. Here a flow that leaves its base host is an exception
- * and costs replication, so the bound follows the budget of exceptions: tight while there is room,
- * loose in a rush.
+ * flow only while its flows stay under bound x its weighted share of all flows; otherwise the flow
+ * goes to another host. Here, a flow that is not placed on its base host is an exception that must
+ * be replicated. The bound therefore follows the exception budget: tight while the budget is full,
+ * loose during bursts.
  */
 #pragma once
 
@@ -20,14 +20,14 @@
 
 namespace umberhold {
 
-/** How the bound is set. */
+/** How the bound is determined. */
 enum class BoundMode : uint8_t { kFixed, kAdaptive };
 
-/** Where a flow goes whose base host is over the bound. */
+/** Where a flow is placed if its base host is over the bound. */
 enum class OverflowRule : uint8_t {
-  /** The next host in the flow's ranking that is under the bound. */
+  /** The next host under the bound in the flow's ranking. */
   kNextRanked,
-  /** The host furthest under its share. */
+  /** The host with the fewest flows relative to its weight. */
   kLeastLoaded,
 };
 
@@ -37,43 +37,43 @@
   OverflowRule overflow = OverflowRule::kLeastLoaded;
   /** Bound of BoundMode::kFixed. */
   double fixedBound = 1.05;
-  /** Adaptive bound at a full and at an empty budget. */
-  double tightest = 1.01;
-  double loosest = 1.25;
+  /** Adaptive bound with a full and with an empty budget. */
+  double minBound = 1.01;
+  double maxBound = 1.25;
 };
 
-/** @return the bound for a budget that is `fill` (0.0 to 1.0) full. */
+/** @return the bound for a budget filled to the fraction `fill` (0.0 to 1.0). */
 double loadBound(const LoadBoundOptions& options, double fill);
 
-/** What is known of one host; parallel to the list of BaseHost that ranks the hosts. */
+/** State of one host; parallel to the list of BaseHost that ranks the hosts. */
 struct HostCondition {
-  /** Whether a new flow may go to the host at all. */
+  /** Whether the host may take new flows. */
   bool admissible = false;
-  /** Flows over all owners, estimated. */
+  /** Estimated flows over all owners. */
   double flows = 0.0;
 };
 
-/** The hosts that a new flow may get. */
+/** The hosts that may be chosen for a new flow. */
 struct PlacementCandidates {
   /** Current hosts and weights; both spans have the same length. */
   std::span<const BaseHost> hosts;
   std::span<const HostCondition> conditions;
 };
 
-/** A choice among the candidates. */
+/** The chosen candidate. */
 struct BoundedChoice {
   size_t index = 0;
-  /** Not the host that the base table says. */
+  /** The host differs from the base table's default. */
   bool isException = false;
-  /** The base host was admissible; the flow left it for the load bound alone. */
-  bool forLoad = false;
+  /** The base host was admissible, and only the load bound excluded it. */
+  bool dueToLoad = false;
 };
 
 /**
  * Chooses a host for a new flow.
  *
- * @param bound factor of the weighted mean; at or below 0 for no bound.
- * @return the choice, or nothing where no candidate is admissible.
+ * @param bound factor of the weighted mean; 0 or less for no bound.
+ * @return the choice, or nullopt if no candidate is admissible.
  */
 std::optional<BoundedChoice> chooseUnderBound(FlowHash flow, const BaseTable& base,
                                               const PlacementCandidates& candidates, double bound,
--- a/source/common/placement/rendezvous.cc
+++ b/source/common/placement/rendezvous.cc
@@ -11,12 +11,13 @@
 constexpr unsigned kTableBits = 10;
 constexpr size_t kTableSize = size_t{1} << kTableBits;
 constexpr unsigned kFractionBits = 32;
-/** Bits of the position inside a table step that the interpolation uses. */
+/** Bits of the position within a table step that are used for interpolation. */
 constexpr unsigned kStepBits = 24;
 /** Fractional bits of the reciprocal of a weight. */
 constexpr unsigned kReciprocalBits = 24;
 
-/** @return log2 of mantissa / 2^31 with 32 fractional bits, bit by bit through repeated squaring.
+/** @return log2 of mantissa / 2^31 with 32 fractional bits, computed bit by bit by repeated
+ * squaring.
  */
 constexpr uint64_t fractionOfLog2(uint64_t mantissa) {
   constexpr unsigned kOne = 31;
@@ -79,8 +80,8 @@
       continue;
     }
     const RendezvousKey key = rendezvousKey(hosts_[index].host, hosts_[index].weight, flow_);
-    const bool passed = started_ && !(last_ < key);
-    if (!passed && (best == hosts_.size() || key < bestKey)) {
+    const bool alreadyVisited = started_ && !(last_ < key);
+    if (!alreadyVisited && (best == hosts_.size() || key < bestKey)) {
       best = index;
       bestKey = key;
     }
--- a/source/common/placement/rendezvous.h
+++ b/source/common/placement/rendezvous.h
@@ -3,8 +3,8 @@
  * hit rates"; weights after Schindelhauer, Schomaker: "Weighted distributed hash tables").
  *
  * A host's key for a flow is -log2(u) / weight, where u in (0, 1] comes from a hash of host and
- * flow; the smallest key wins. Everything is integer arithmetic over a table made at compile time,
- * so that nodes with different C libraries or processors agree to the last bit.
+ * flow; the smallest key wins. All arithmetic is on integers, with a table computed at compile
+ * time, so that nodes with different C libraries or processors get identical results.
  */
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace umberhold {
 
-/** Position of a host in a flow's ranking; smaller is better. Hosts of weight 0 have none. */
+/** Position of a host in a flow's ranking; smaller is better. Hosts of weight 0 are not ranked. */
 struct RendezvousKey {
   uint64_t score = 0;
   /** Breaks ties. */
@@ -31,17 +31,17 @@
 /** @return -log2(hash / 2^64) with 32 fractional bits. */
 uint64_t negativeLog2(uint64_t hash);
 
-/** @return the host's key for the flow; weight must be above 0. */
+/** @return the host's key for the flow; the weight must be above 0. */
 RendezvousKey rendezvousKey(HostId host, uint8_t weight, FlowHash flow);
 
-/** @return index of the best host of weight above 0, or hosts.size() where there is none. */
+/** @return index of the best host of weight above 0, or hosts.size() if there is none. */
 size_t bestHost(std::span<const BaseHost> hosts, FlowHash flow);
 
-/** Walks the hosts of weight above 0 from the best to the worst, one scan a step, without
- * allocation. */
+/** Iterates over the hosts of weight above 0 from best to worst. Each step scans all hosts; nothing
+ * is allocated. */
 class RendezvousWalk {
  public:
-  /** The hosts are borrowed and must not change during the walk. */
+  /** The hosts are borrowed and must not change during the iteration. */
   RendezvousWalk(std::span<const BaseHost> hosts, FlowHash flow) : hosts_(hosts), flow_(flow) {}
 
   /** @return index of the next host, or hosts.size() at the end. */
--- a/source/common/placement/service_placement.cc
+++ b/source/common/placement/service_placement.cc
@@ -8,22 +8,22 @@
 namespace umberhold {
 namespace {
 
-/** Hosts in one LoadShare, so that it fits a datagram. */
+/** Maximum number of hosts in a LoadShare, so that it fits into a datagram. */
 constexpr size_t kHostsPerShare = 48;
-/** A shard whose counts changed by less than this part, and whose hosts' health did not, shares
- * only every kQuietIntervals intervals. */
-constexpr double kNotableChange = 0.02;
-constexpr int kQuietIntervals = 6;
+/** A shard whose counts changed by less than this fraction, with no change of its hosts' health,
+ * sends a LoadShare only every kUnchangedIntervals intervals. */
+constexpr double kMinRelativeChange = 0.02;
+constexpr int kUnchangedIntervals = 6;
 constexpr Duration kPermitCheckInterval = std::chrono::milliseconds(100);
-/** Permit requests of one shard in one check. */
-constexpr size_t kRequestsAtOnce = 2;
+/** Maximum number of permit requests of a shard per check. */
+constexpr size_t kMaxRequestsPerCheck = 2;
 
 }  // namespace
 
 ServicePlacement::ServicePlacement(TimePoint now, const Service& service,
                                    ServicePlacementOptions options, ExceptionBudget& budget,
                                    uint64_t seed)
-    : parts_(std::make_unique<Parts>(service, std::move(options), budget, seed)) {
+    : parts_(std::make_unique<Parts>(service, std::handOverOwner(options), budget, seed)) {
   parts_->setHosts(now, service);
 }
 
@@ -71,7 +71,7 @@
   if (owned == parts_->shards.end()) {
     return {};
   }
-  return owned->second.permits.handOver(parts_->usesOf(shard.index));
+  return owned->second.permits.handOver(parts_->hostUses(shard.index));
 }
 
 void ServicePlacement::shardReleased(TimePoint now, ShardId shard) {
@@ -107,8 +107,9 @@
   if (mode == PlacementMode::kBaseOnly) {
     return parts.chooseBaseHost(flow, base);
   }
-  const bool mayLeave = parts.budget.available(now);
-  const double bound = mayLeave ? loadBound(parts.options.bound, parts.budget.fill(now)) : 0.0;
+  const bool exceptionAvailable = parts.budget.available(now);
+  const double bound =
+      exceptionAvailable ? loadBound(parts.options.bound, parts.budget.fill(now)) : 0.0;
   const PlacementCandidates candidates{parts.ranking, parts.conditions};
   const auto choice = chooseUnderBound(flow, base, candidates, bound, parts.options.bound.overflow);
   if (!choice.has_value()) {
@@ -129,7 +130,7 @@
   return parts_->conditions[found->second].admissible;
 }
 
-bool ServicePlacement::hostRuns(HostId host, UnixSeconds unixNow) const {
+bool ServicePlacement::mayKeepFlows(HostId host, UnixSeconds unixNow) const {
   const auto found = parts_->indices.find(host);
   if (found == parts_->indices.end()) {
     return false;
@@ -145,20 +146,20 @@
   if (owned == parts_->shards.end() || parts_->service.shardCount < 2) {
     return false;
   }
-  const Duration waited = now - owned->second.lastShare;
+  const Duration sinceLastShare = now - owned->second.lastShare;
   if (owned->second.healthChanged) {
-    return waited >= parts_->options.healthShareInterval;
+    return sinceLastShare >= parts_->options.healthShareInterval;
   }
-  if (waited < parts_->options.loadShareInterval) {
+  if (sinceLastShare < parts_->options.loadShareInterval) {
     return false;
   }
   uint64_t flows = 0;
-  for (const HostUse& use : parts_->usesOf(shard.index)) {
+  for (const HostUse& use : parts_->hostUses(shard.index)) {
     flows += use.flows;
   }
-  const double notable = std::max(1.0, kNotableChange * static_cast<double>(flows));
-  const bool changed = static_cast<double>(owned->second.changes) >= notable;
-  return changed || waited >= kQuietIntervals * parts_->options.loadShareInterval;
+  const double minChanges = std::max(1.0, kMinRelativeChange * static_cast<double>(flows));
+  const bool changed = static_cast<double>(owned->second.changes) >= minChanges;
+  return changed || sinceLastShare >= kUnchangedIntervals * parts_->options.loadShareInterval;
 }
 
 std::vector<LoadShare> ServicePlacement::makeLoadShare(TimePoint now, ShardId shard,
@@ -208,12 +209,12 @@
   parts_->permitsChecked = now;
   const std::span<const double> all = parts_->loads.estimate(now);
   for (auto& [index, owned] : parts_->shards) {
-    std::vector<HostUse> uses = parts_->usesOf(index);
+    std::vector<HostUse> uses = parts_->hostUses(index);
     for (HostUse& use : uses) {
       use.allFlows = all[parts_->loads.findSlot(use.host)];
     }
-    const size_t most = parts_->permitBudget.available(now) ? kRequestsAtOnce : 0;
-    for (const PermitRequest& request : owned.permits.dueRequests(now, uses, most)) {
+    const size_t maxRequests = parts_->permitBudget.available(now) ? kMaxRequestsPerCheck : 0;
+    for (const PermitRequest& request : owned.permits.dueRequests(now, uses, maxRequests)) {
       parts_->permitBudget.spend(now);
       outgoing.push_back({ShardId{parts_->id, request.lender}, request});
     }
@@ -262,7 +263,7 @@
   const bool before = parts_->health.isHealthy(now, result.host);
   parts_->health.onProbe(now, result.host, result.healthy, report);
   if (parts_->health.isHealthy(now, result.host) != before) {
-    parts_->noteHealthChange(result.host);
+    parts_->markHealthChanged(result.host);
   }
   parts_->dirty = true;
 }
@@ -284,7 +285,7 @@
     view.draining = spec.state == HostState::kDraining;
     view.ageSeconds = parts_->health.ageSeconds(now, parts_->hosts[index]);
     view.sameZone = spec.zone == parts_->options.zoneName;
-    views.push_back(std::move(view));
+    views.push_back(std::handOverOwner(view));
   }
   return views;
 }
--- a/source/common/placement/service_placement.h
+++ b/source/common/placement/service_placement.h
@@ -1,11 +1,11 @@
 /**
- * @file Where a new flow of one service goes: the one class of placement/ and health/ that shard
- * owners use.
+ * @file Placement of new flows of one service: the interface of placement/ and health/ for shard
+ * owners.
  *
- * One object per service at a node that owns at least one of its shards. It counts the flows of the
- * shards owned here, takes in what other owners say (LoadShare), schedules probes, holds connection
- * limits and chooses hosts. It sends nothing itself: messages and probes that are due are asked for
- * and sent by the caller.
+ * A node has one object per service of which it owns at least one shard. It counts the flows of the
+ * shards owned here, processes the LoadShare messages of other owners, schedules probes, enforces
+ * connection limits and chooses hosts. It does no I/O: the caller polls it for due messages and
+ * probes and sends them.
  */
 #pragma once
 
@@ -32,55 +32,56 @@
 
 namespace umberhold {
 
-/** How free the choice is. */
+/** Which hosts may be chosen. */
 enum class PlacementMode : uint8_t {
   /** Any admissible host under the load bound. */
   kNormal,
-  /** The base table's host or none (after a takeover, or while the replica is silent). */
+  /** Only the base table's host (after a takeover, or while the replica is unresponsive). */
   kBaseOnly,
 };
 
-/** The host for the flow. */
+/** The host chosen for a flow. */
 struct ChosenHost {
   HostId host;
-  /** The base table alone would say another host: the choice must be replicated. */
+  /** The base table's default is another host, so the choice must be replicated. */
   bool isException = false;
 };
 
 /** No host may take the flow. */
 struct NoAdmissibleHost {
   /**
-   * Some host (in kBaseOnly: the base's host) was healthy and not draining, but every such host was
-   * at its connection limit.
+   * At least one host (in kBaseOnly: the base table's host) was healthy and not draining, but every
+   * such host was at its connection limit.
    */
   bool saturated = false;
 };
 
 using PlacementChoice = std::variant<ChosenHost, NoAdmissibleHost>;
 
-/** How a flow came into the owner's table. */
+/** How a flow got into the owner's table. */
 enum class FlowOrigin : uint8_t {
   /** Placed by this owner. */
   kNew,
-  /** Placed by an earlier owner of the shard; seen here for the first time. */
+  /** Placed by an earlier owner of the shard and seen here for the first time. */
   kAdopted,
 };
 
-/** A host that this node shall probe now. */
+/** A host to be probed by this node now. */
 struct DueProbe {
   HostId host;
   /** HTTP endpoint. */
   Endpoint endpoint;
 };
 
-/** What distinguishes one node's placement from another's. */
+/** Options of a node's placement. */
 struct ServicePlacementOptions {
   /** Zone of this node, for HostView::sameZone. */
   std::string zoneName;
-  /** Interval between two LoadShare messages of a shard; longer where little changed. */
+  /** Interval between two LoadShare messages of a shard; longer if little has changed. */
   Duration loadShareInterval = std::chrono::seconds(10);
-  /** The same where a host's health changed: owners that hear of it late act on a mixture of old
-   * and new, which can hide that most hosts are out (HostHealth's panic threshold). */
+  /** The interval after a change of a host's health. Owners that are notified late act on a mixture
+   * of old and new states, which can hide that most hosts are unhealthy (HostHealth's panic
+   * threshold). */
   Duration healthShareInterval = std::chrono::seconds(1);
   LoadBoundOptions bound;
   ShareAging aging = ShareAging::kMeanLife;
@@ -91,7 +92,7 @@
 /** Not thread safe; no I/O. */
 class ServicePlacement {
  public:
-  /** @param budget exceptions a node may make; shared by all services of the node and borrowed. */
+  /** @param budget exception budget of the node; borrowed, and shared by all its services. */
   ServicePlacement(TimePoint now, const Service& service, ServicePlacementOptions options,
                    ExceptionBudget& budget, uint64_t seed);
   ~ServicePlacement();
@@ -101,12 +102,13 @@
   // --- configuration
   // -------------------------------------------------------------------------------
 
-  /** Takes the service as now configured; counts of hosts that stay are kept. Weights of new hosts
-   * are 255. */
+  /** Applies a changed configuration of the service. Hosts that remain keep their flow counts and
+   * weights; new hosts get weight 255. */
   void updateService(TimePoint now, const Service& service);
-  /** Takes weight bytes, one for each host in the order of Service::hosts; see quantizeWeights. */
+  /** Sets the weight bytes, one per host in the order of Service::hosts; see quantizeWeights.
+   * Ignored if their number differs from the number of hosts. */
   void setWeights(const std::vector<uint8_t>& weights);
-  /** @return the base table to build now: active hosts with their weights (cold ramp not applied).
+  /** @return the hosts for a new base table: active hosts with their weights, without slow start.
    */
   std::vector<BaseHost> currentBase() const;
 
@@ -114,17 +116,18 @@
   // -----------------------------------------------------------------------------------
 
   /**
-   * This node became owner. @param inherited flows and permits per host as the previous owner
-   * handed them over; empty after a death (then the last LoadShare of the shard stands in) or for a
-   * new shard.
+   * This node became the shard's owner. @param inherited flows and permits per host as handed over
+   * by the previous owner; empty after a failure (then the last LoadShare of the shard is used) or
+   * for a new shard.
    */
   void shardOwned(TimePoint now, ShardId shard, const std::vector<HostPermits>& inherited);
-  /** @return flows and permits to hand over in the snapshot; ask when the shard's state is frozen.
+  /** @return flows and permits for the handover snapshot; call while the shard's state is frozen.
    */
   std::vector<HostPermits> handOverPermits(ShardId shard) const;
-  /** This node is no longer owner; the shard's own counts go. */
+  /** This node is no longer the shard's owner; its exact counts are dropped. */
   void shardReleased(TimePoint now, ShardId shard);
-  /** The owner knows all flows of the shard now: inherited counts not yet seen are forgotten. */
+  /** All flows of the shard are now in the owner's table: inherited flows that have not been seen
+   * are removed. */
   void markFlowsComplete(ShardId shard);
 
   // --- flows
@@ -134,50 +137,52 @@
   void flowRemoved(ShardId shard, HostId host);
 
   /**
-   * Chooses a host for a new flow; does not count it (call flowAdded once the flow has its entry).
-   * Spends from the exception budget where the choice is an exception.
+   * Chooses a host for a new flow. Does not count the flow: call flowAdded once it has an entry.
+   * Spends from the exception budget if the choice is an exception.
    */
   PlacementChoice choose(TimePoint now, ShardId shard, FlowHash flow, const BaseTable& base,
                          PlacementMode mode);
-  /** @return whether a new flow of the shard may go to the host (state, health, weight, limit; not
-   * the bound). */
+  /** @return whether the host may take a new flow of the shard (by state, health, weight and limit,
+   * but not by the load bound). */
   bool isAdmissible(TimePoint now, ShardId shard, HostId host) const;
-  /** @return whether established flows may stay: configured, and not draining past its deadline. */
-  bool hostRuns(HostId host, UnixSeconds unixNow) const;
+  /** @return whether the host may keep established flows: it is configured, and no drain deadline
+   * has passed. */
+  bool mayKeepFlows(HostId host, UnixSeconds unixNow) const;
 
   // --- messages
   // ------------------------------------------------------------------------------------
 
-  /** @return whether a LoadShare of the shard is due; send it to the other shards' owners and to
-   * the replica. */
+  /** @return whether a LoadShare of the shard is due; it is sent to the owners of the other shards
+   * and to the replica. */
   bool loadShareDue(TimePoint now, ShardId shard) const;
-  /** @return the messages (each fits a datagram), and starts the next interval. */
+  /** @return the messages, each of which fits into a datagram. Starts the next interval. */
   std::vector<LoadShare> makeLoadShare(TimePoint now, ShardId shard, uint32_t epoch);
   void onLoadShare(TimePoint now, const LoadShare& share);
 
-  /** A request for permits, to be sent to the owner of a shard. */
+  /** A permit request and its destination. */
   struct OutgoingPermitRequest {
-    /** The shard whose owner is asked. */
+    /** The shard whose owner receives the request. */
     ShardId to;
     PermitRequest request;
   };
-  /** @return requests due now for the shards owned here; repeated until answered. */
+  /** @return the requests due now for the shards owned here; unanswered requests are repeated. */
   std::vector<OutgoingPermitRequest> duePermitRequests(TimePoint now);
-  /** @return the answer to the asking shard's owner, where the asked shard is owned here. */
+  /** @return the grant for the requesting shard's owner, or nullopt if the lending shard is not
+   * owned here. */
   std::optional<PermitGrant> onPermitRequest(TimePoint now, const PermitRequest& request);
   void onPermitGrant(TimePoint now, const PermitGrant& grant);
 
   // --- health
   // --------------------------------------------------------------------------------------
 
-  /** @return hosts that this node shall probe now; each is expected to answer by onProbe. */
+  /** @return the hosts to probe now; report each result by onProbe(). */
   std::vector<DueProbe> dueProbes(TimePoint now);
   void onProbe(TimePoint now, const ProbeResult& result);
 
   // --- views for policies and the admin API
   // ----------------------------------------------------------
 
-  /** @return one view for each host in the order of Service::hosts. */
+  /** @return one view per host in the order of Service::hosts. */
   std::vector<HostView> hostViews(TimePoint now) const;
   ServiceView serviceView(TimePoint now) const;
 
--- a/source/common/placement/service_placement_parts.cc
+++ b/source/common/placement/service_placement_parts.cc
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr uint8_t kFullWeight = 255;
-/** How long the hosts' states are used again before they are looked up again. */
+/** How long the hosts' states are cached. */
 constexpr Duration kRefreshInterval = std::chrono::milliseconds(100);
-constexpr uint32_t kLargestReport = 254;
+constexpr uint32_t kMaxReportedLoad = 254;
 
 }  // namespace
 
@@ -47,7 +47,7 @@
   dirty = true;
 }
 
-void ServicePlacement::Parts::noteHealthChange(HostId host) {
+void ServicePlacement::Parts::markHealthChanged(HostId host) {
   const auto index = indices.find(host);
   if (index == indices.end()) {
     return;
@@ -69,8 +69,8 @@
   conditions.resize(hosts.size());
   for (size_t index = 0; index < hosts.size(); ++index) {
     const double ramped = weights[index] * health.rampFactor(now, hosts[index]);
-    const double least = weights[index] == 0 ? 0.0 : 1.0;
-    ranking[index] = {hosts[index], static_cast<uint8_t>(std::max(least, std::floor(ramped)))};
+    const double minWeight = weights[index] == 0 ? 0.0 : 1.0;
+    ranking[index] = {hosts[index], static_cast<uint8_t>(std::max(minWeight, std::floor(ramped)))};
     eligible[index] = active(index) && weights[index] > 0 && health.mayTakeFlows(now, hosts[index]);
   }
   for (auto& [number, owned] : shards) {
@@ -105,9 +105,9 @@
   for (size_t index = 0; index < hosts.size(); ++index) {
     // A host's slot is its index.
     const double used = estimated ? all[index] : static_cast<double>(own.empty() ? 0 : own[index]);
-    const bool room =
+    const bool belowLimit =
         owned != shards.end() && used + 1.0 <= static_cast<double>(owned->second.allowed[index]);
-    conditions[index] = {eligible[index] && room, flows[index]};
+    conditions[index] = {eligible[index] && belowLimit, flows[index]};
   }
 }
 
@@ -128,7 +128,7 @@
   return ChosenHost{*host, false};
 }
 
-std::vector<HostUse> ServicePlacement::Parts::usesOf(uint16_t shard) const {
+std::vector<HostUse> ServicePlacement::Parts::hostUses(uint16_t shard) const {
   std::vector<HostUse> uses;
   for (size_t index = 0; index < hosts.size(); ++index) {
     const size_t slot = loads.findSlot(hosts[index]);
@@ -148,7 +148,7 @@
     load.healthy = health.isHealthy(now, host);
     const auto report = health.report(host);
     if (report.has_value() && now - report->at <= options.loadShareInterval) {
-      load.reportedLoad = static_cast<uint8_t>(std::min(report->loadPercent, kLargestReport));
+      load.reportedLoad = static_cast<uint8_t>(std::min(report->loadPercent, kMaxReportedLoad));
     }
   }
   return load;
@@ -156,12 +156,12 @@
 
 std::vector<double> ServicePlacement::Parts::blendedLoads(TimePoint now) {
   const std::span<const double> flows = loads.estimate(now);
-  std::vector<LoadEvidence> evidence;
+  std::vector<LoadInput> inputs;
   for (size_t index = 0; index < hosts.size(); ++index) {
-    evidence.push_back(
+    inputs.push_back(
         {health.report(hosts[index]), flows[index], service.hosts[index].connectionLimit});
   }
-  return blendLoads(now, evidence);
+  return blendLoads(now, inputs);
 }
 
 }  // namespace umberhold
--- a/source/common/placement/service_placement_parts.h
+++ b/source/common/placement/service_placement_parts.h
@@ -1,4 +1,4 @@
-/** @file What a ServicePlacement is made of; included by its own sources only. */
+/** @file Internal state of ServicePlacement; included by its own sources only. */
 #pragma once
 
 #include <cstdint>
@@ -13,22 +13,22 @@
 
 namespace umberhold {
 
-/** HostLoad::reportedLoad of a host that the sender doesn't probe. */
+/** HostLoad::reportedLoad of a host without a load report of the sender. */
 constexpr uint8_t kNotReported = 255;
 
-/** Permit requests of a service at one owner, so that hosts at their limits don't fill the control
- * channel. */
+/** Rate limit of the permit requests of one service at one owner, so that hosts at their limits
+ * don't flood the control channel. */
 constexpr TokenBucketOptions kPermitRequests{1.0, 40.0};
 
-/** What a shard owned here needs beside its counts. */
+/** State of a shard owned here, besides its flow counts. */
 struct OwnedShard {
   ShardPermits permits;
   TimePoint lastShare;
-  /** Flows that came or went since the last share. */
+  /** Flows added or removed since the last share. */
   uint64_t changes = 0;
-  /** A host that the shard probes became healthy or unhealthy since the last share. */
+  /** The health of a host probed by the shard changed since the last share. */
   bool healthChanged = false;
-  /** Flows that the shard may have on each host, by index; refreshed with the hosts' states. */
+  /** Maximum number of flows of the shard on each host, by index; updated by refresh(). */
   std::vector<int64_t> allowed;
 };
 
@@ -40,7 +40,7 @@
   HostLoadTable loads;
   HostHealth health;
   std::map<uint16_t, OwnedShard> shards;
-  /** Permit requests that may be sent now. */
+  /** Rate limiter of permit requests. */
   TokenBucket permitBudget{kPermitRequests};
   TimePoint permitsChecked;
 
@@ -49,7 +49,7 @@
   std::vector<uint8_t> weights;
   std::unordered_map<HostId, size_t> indices;
 
-  /** Parallel to hosts; what the choice reads, refreshed now and then. */
+  /** Parallel to hosts; inputs of the placement, updated by refresh(). */
   std::vector<BaseHost> ranking;
   std::vector<bool> eligible;
   std::vector<HostCondition> conditions;
@@ -59,7 +59,7 @@
   Parts(const Service& configured, ServicePlacementOptions given, ExceptionBudget& shared,
         uint64_t seed)
       : id(serviceIdOf(configured.name)),
-        options(std::move(given)),
+        options(std::handOverOwner(given)),
         budget(shared),
         loads(options.aging, options.loadShareInterval),
         health(options.health, seed) {}
@@ -67,15 +67,15 @@
   bool active(size_t index) const { return service.hosts[index].state == HostState::kActive; }
   void setHosts(TimePoint now, const Service& configured);
   void shardsChanged();
-  /** Other owners shall hear of it with the next share. */
-  void noteHealthChange(HostId host);
+  /** The next share is due early, to notify the other owners. */
+  void markHealthChanged(HostId host);
   void refresh(TimePoint now);
   void prepareConditions(TimePoint now, uint16_t shard);
   int64_t allowedFlows(uint16_t shard, const OwnedShard& owned, size_t index) const;
   bool anyEligible() const;
   /** Call prepareConditions first. */
   PlacementChoice chooseBaseHost(FlowHash flow, const BaseTable& base) const;
-  std::vector<HostUse> usesOf(uint16_t shard) const;
+  std::vector<HostUse> hostUses(uint16_t shard) const;
   HostLoad shareOf(TimePoint now, uint16_t shard, HostId host) const;
   std::vector<double> blendedLoads(TimePoint now);
 };
--- a/source/common/placement/shard_permits.cc
+++ b/source/common/placement/shard_permits.cc
@@ -33,11 +33,11 @@
 }
 
 std::vector<PermitRequest> ShardPermits::dueRequests(TimePoint now, std::span<const HostUse> uses,
-                                                     size_t most) {
+                                                     size_t maxRequests) {
   std::vector<PermitRequest> requests;
-  for (size_t looked = 0; looked < uses.size() && requests.size() < most; ++looked) {
-    turn_ = (turn_ + 1) % uses.size();
-    const HostUse& use = uses[turn_];
+  for (size_t visited = 0; visited < uses.size() && requests.size() < maxRequests; ++visited) {
+    nextIndex_ = (nextIndex_ + 1) % uses.size();
+    const HostUse& use = uses[nextIndex_];
     Entry& entry = entryOf(use.host);
     const auto request = entry.requester.due(now, shard_, entry.account, use);
     if (request.has_value()) {
--- a/source/common/placement/shard_permits.h
+++ b/source/common/placement/shard_permits.h
@@ -17,19 +17,21 @@
 /** Not thread safe. */
 class ShardPermits {
  public:
-  /** @param inherited totals handed over; where empty the totals are unknown and are recovered from
-   * the others. */
+  /** @param inherited totals handed over; if empty, the totals are unknown and are recovered from
+   * the other shards. */
   ShardPermits(ShardId shard, uint16_t shardCount, const std::vector<HostPermits>& inherited);
 
-  /** @return flows that the shard may have on the host. */
+  /** @return the number of flows that the shard may have on the host. */
   int64_t permits(HostId host, uint32_t limit) const;
 
-  /** @return requests that are due; at most one a host, and `most` in all; hosts take turns. */
-  std::vector<PermitRequest> dueRequests(TimePoint now, std::span<const HostUse> uses, size_t most);
+  /** @return the requests that are due: at most one per host and `maxRequests` in total, round
+   * robin over the hosts. */
+  std::vector<PermitRequest> dueRequests(TimePoint now, std::span<const HostUse> uses,
+                                         size_t maxRequests);
   PermitGrant onRequest(const PermitRequest& request, const HostUse& use);
   void onGrant(TimePoint now, const PermitGrant& grant);
 
-  /** @return flows and totals of the hosts, for the snapshot. */
+  /** @return flows and totals of the hosts for the handover snapshot. */
   std::vector<HostPermits> handOver(std::span<const HostUse> uses) const;
 
  private:
@@ -43,11 +45,11 @@
 
   ShardId shard_;
   uint16_t shardCount_;
-  /** Whether hosts without an entry have unknown totals. */
+  /** Whether the totals of hosts without an entry are unknown. */
   bool totalsUnknown_;
   std::unordered_map<HostId, Entry> entries_;
-  /** Index of the host that is looked at first. */
-  size_t turn_ = 0;
+  /** Index of the host that was checked last. */
+  size_t nextIndex_ = 0;
 };
 
 }  // namespace umberhold
--- a/source/common/placement/token_bucket.h
+++ b/source/common/placement/token_bucket.h
@@ -1,15 +1,15 @@
-/** @file A token bucket: lets something happen at a mean rate with bounded bursts. */
+/** @file A token bucket: limits a mean rate and the size of bursts. */
 #pragma once
 
 #include "common/base/time.h"
 
 namespace umberhold {
 
-/** Size of a bucket. */
+/** Rate and size of a bucket. */
 struct TokenBucketOptions {
-  /** Tokens refilled a second. */
+  /** Refill rate in tokens per second. */
   double perSecond = 1.0;
-  /** Tokens that a full bucket holds. */
+  /** Capacity in tokens. */
   double burst = 1.0;
 };
 
@@ -18,12 +18,12 @@
  public:
   explicit TokenBucket(TokenBucketOptions options);
 
-  /** Refills up to now. @return how full the bucket is, 0.0 to 1.0. */
+  /** Refills the bucket. @return its fill level, 0.0 to 1.0. */
   double fill(TimePoint now);
-  /** Takes one token, even where none is there: the bucket goes below zero, down to minus its size.
+  /** Takes one token. The bucket may go below zero, down to minus its capacity.
    */
   void spend(TimePoint now);
-  /** @return whether a whole token is there. */
+  /** @return whether at least one token is available. */
   bool available(TimePoint now);
 
  private:
--- a/test/common/placement/connection_limit_property.cc
+++ b/test/common/placement/connection_limit_property.cc
@@ -1,5 +1,5 @@
-/** @file Lent permits never overshoot a limit, whatever the network does; and they reach who needs
- * them. */
+/** @file Properties of lent permits: they never overshoot a limit under message loss, duplication
+ * and reordering, and they reach the shards that need them. */
 #include <rapidcheck.h>
 
 #include <deque>
@@ -21,7 +21,8 @@
 constexpr HostId kHost{42};
 constexpr ServiceId kService{7};
 
-/** Shards that place flows on one host, over a network that loses, repeats and reorders. */
+/** Shards that place flows on one host, connected by a network that loses, duplicates and reorders
+ * messages. */
 class PermitNetwork {
  public:
   PermitNetwork(uint16_t shards, uint32_t limit) : limit_(limit), flows_(shards) {
@@ -50,7 +51,7 @@
 
   void end(uint16_t shard) { flows_[shard] -= flows_[shard] > 0 ? 1 : 0; }
 
-  void ask(uint16_t shard) {
+  void requestPermits(uint16_t shard) {
     now_ += std::chrono::seconds(10);
     for (const PermitRequest& request :
          shards_[shard].dueRequests(now_, std::vector{use(shard)}, 1)) {
@@ -74,19 +75,21 @@
     shards_[grant.to.index].onGrant(now_, grant);
   }
 
-  void lose() {
+  void dropMessages() {
     requests_.clear();
     grants_.clear();
   }
 
-  /** A planned change of owner: the state travels in a snapshot. */
-  void move(uint16_t shard) {
+  /** A planned change of owner: the state is handed over in a snapshot. */
+  void handOverOwner(uint16_t shard) {
     const auto state = shards_[shard].handOver(std::vector{use(shard)});
     shards_[shard] = ShardPermits(ShardId{kService, shard}, size(), state);
   }
 
-  /** The owner dies; the next one knows the flows but no totals. */
-  void die(uint16_t shard) { shards_[shard] = ShardPermits(ShardId{kService, shard}, size(), {}); }
+  /** The owner fails; its successor has the flow counts but no totals. */
+  void replaceWithoutState(uint16_t shard) {
+    shards_[shard] = ShardPermits(ShardId{kService, shard}, size(), {});
+  }
 
  private:
   static std::vector<HostPermits> freshState() { return {HostPermits{kHost, 0, {}, {}}}; }
@@ -123,7 +126,7 @@
       network.end(shard);
       break;
     case 4:
-      network.ask(shard);
+      network.requestPermits(shard);
       break;
     case 5:
       network.deliverRequest(choice, *rc::gen::arbitrary<bool>());
@@ -132,11 +135,11 @@
       network.deliverGrant(choice, *rc::gen::arbitrary<bool>());
       break;
     case 7:
-      network.move(shard);
+      network.handOverOwner(shard);
       break;
     default:
       if (choice < 10) {
-        network.lose();
+        network.dropMessages();
       }
   }
 }
@@ -144,7 +147,7 @@
 void exchange(PermitNetwork& network, int rounds) {
   for (int round = 0; round < rounds; ++round) {
     for (uint16_t shard = 0; shard < network.size(); ++shard) {
-      network.ask(shard);
+      network.requestPermits(shard);
     }
     for (int message = 0; message < network.size(); ++message) {
       network.deliverRequest(0, false);
@@ -158,7 +161,7 @@
 }  // namespace
 
 TEST_GROUP(ConnectionLimit){
-    // rapidcheck keeps lazily made statics, which leak detection takes for leaks.
+    // rapidcheck allocates statics lazily, which leak detection reports as leaks.
     void setup() override{MemoryLeakWarningPlugin::saveAndDisableNewDeleteOverloads();
 }
 void teardown() override {
@@ -167,7 +170,7 @@
 }
 ;
 
-TEST(ConnectionLimit, FirstPermitsAddUpToTheLimit) {
+TEST(ConnectionLimit, InitialPermitsAddUpToTheLimit) {
   CHECK(rc::check("parts add up", [] {
     const auto limit = *rc::gen::inRange<uint32_t>(0, 5000);
     const auto shards = *rc::gen::inRange<uint16_t>(1, 65);
@@ -179,7 +182,7 @@
   }));
 }
 
-TEST(ConnectionLimit, NeverOvershootsUnderLossRepeatReorderAndPlannedMoves) {
+TEST(ConnectionLimit, NeverOvershootsUnderLossDuplicationReorderingAndPlannedHandover) {
   CHECK(rc::check("flows and permits stay under the limit", [] {
     const auto limit = *rc::gen::inRange<uint32_t>(1, 30);
     PermitNetwork network(*rc::gen::inRange<uint16_t>(2, 5), limit);
@@ -191,7 +194,7 @@
   }));
 }
 
-TEST(ConnectionLimit, PermitsReachTheShardThatNeedsThem) {
+TEST(ConnectionLimit, LendsPermitsToTheShardThatNeedsThem) {
   PermitNetwork network(3, 300);
   uint32_t placed = 0;
   for (int round = 0; round < 60; ++round) {
@@ -204,21 +207,21 @@
   CHECK(placed <= 300);
 }
 
-TEST(ConnectionLimit, LostMessagesOnlyDelayAGrant) {
+TEST(ConnectionLimit, RetriesAfterLostMessages) {
   PermitNetwork network(2, 20);
   while (network.place(0)) {
   }
   CHECK_EQUAL(10, network.total());
-  network.ask(0);
+  network.requestPermits(0);
   network.deliverRequest(0, false);
-  network.lose();
+  network.dropMessages();
   CHECK(!network.place(0));
   exchange(network, 1);
   CHECK(network.place(0));
   CHECK_EQUAL(20, network.permits());
 }
 
-TEST(ConnectionLimit, ASuccessorOfADeadOwnerLearnsWhatWasLentAndOvershootIsBounded) {
+TEST(ConnectionLimit, RecoversTotalsAfterOwnerFailureWithBoundedOvershoot) {
   CHECK(rc::check("totals come back from the survivors", [] {
     const uint32_t limit = 60;
     PermitNetwork network(3, limit);
@@ -229,18 +232,18 @@
       exchange(network, 1);
     }
     const auto dead = *rc::gen::inRange<uint16_t>(0, 3);
-    network.lose();
-    network.die(dead);
+    network.dropMessages();
+    network.replaceWithoutState(dead);
     for (int round = 0; round < 20; ++round) {
       for (uint16_t shard = 0; shard < 3; ++shard) {
         network.place(shard);
       }
       exchange(network, 1);
     }
-    // The rule for deaths: until the others answered, half of the successor's first permits may be
-    // used twice.
-    const uint32_t mostOvershoot = initialPermits(limit, dead, 3) / 2;
+    // Until the other shards have answered, half of the successor's initial permits may be used
+    // twice.
+    const uint32_t maxOvershoot = initialPermits(limit, dead, 3) / 2;
     RC_ASSERT(network.permits() <= static_cast<int64_t>(limit));
-    RC_ASSERT(network.total() <= limit + mostOvershoot);
+    RC_ASSERT(network.total() <= limit + maxOvershoot);
   }));
 }
--- a/test/common/placement/host_load_table_test.cc
+++ b/test/common/placement/host_load_table_test.cc
@@ -1,4 +1,4 @@
-/** @file Tests of the counts that one owner keeps of its own and of other owners' flows. */
+/** @file Tests of an owner's counts of its own and of other owners' flows. */
 #include "common/placement/host_load_table.h"
 
 #include <vector>
@@ -42,26 +42,26 @@
   }
 };
 
-TEST(HostLoadTable, ALostRemovalOrAForeignShardNeverDrivesCountsBelowZero) {
+TEST(HostLoadTable, CountsNeverGoBelowZero) {
   table.flowRemoved(0, kFirst);
   table.flowRemoved(5, kFirst);
   table.flowAdded(5, kFirst, false);
   DOUBLES_EQUAL(0.0, table.estimate(kStart)[0], 1e-9);
 }
 
-TEST(HostLoadTable, AnOlderEpochIsIgnored) {
+TEST(HostLoadTable, IgnoresSharesOfAnOlderEpoch) {
   table.onLoadShare(kStart, shareOf(1, 4, 30, 10));
   table.onLoadShare(after(1), shareOf(1, 3, 99, 99));
   DOUBLES_EQUAL(30.0, table.estimate(after(1))[0], 1e-9);
   CHECK(table.lastShare(1) == kStart);
 }
 
-TEST(HostLoadTable, SharesOfAShardOwnedHereAreIgnored) {
+TEST(HostLoadTable, IgnoresSharesOfAnOwnedShard) {
   table.onLoadShare(kStart, shareOf(0, 9, 50, 50));
   DOUBLES_EQUAL(0.0, table.estimate(kStart)[0], 1e-9);
 }
 
-TEST(HostLoadTable, AdoptedFlowsAreNotCountedTwice) {
+TEST(HostLoadTable, CountsAdoptedFlowsOnce) {
   table.addOwnShard(1, {{kFirst, 3, {}, {}}});
   CHECK_EQUAL(3, table.shardFlows(1, 0));
   table.flowAdded(1, kFirst, true);
@@ -74,21 +74,21 @@
   DOUBLES_EQUAL(1.0, table.estimate(kStart)[0], 1e-9);
 }
 
-TEST(HostLoadTable, ASuccessorWithoutStateStartsFromTheLastShare) {
+TEST(HostLoadTable, StartsFromTheLastShareWithoutInheritedState) {
   table.onLoadShare(kStart, shareOf(1, 1, 7, 9));
   table.addOwnShard(1, {});
   CHECK_EQUAL(7, table.shardFlows(1, 0));
   CHECK_EQUAL(9, table.shardFlows(1, 1));
 }
 
-TEST(HostLoadTable, AReleasedShardKeepsItsCountsAsAnotherOwners) {
+TEST(HostLoadTable, KeepsCountsOfAReleasedShardAsRemote) {
   place(kSecond, 5);
   table.removeOwnShard(kStart, 0);
   CHECK_EQUAL(0, table.shardFlows(0, 1));
   DOUBLES_EQUAL(5.0, table.estimate(kStart)[1], 1e-9);
 }
 
-TEST(HostLoadTable, OthersGrowAsOwnFlowsGrow) {
+TEST(HostLoadTable, ScalesRemoteCountsWithOwnGrowth) {
   place(kFirst, 50);
   place(kSecond, 50);
   table.onLoadShare(kStart, shareOf(1, 1, 100, 100));
@@ -97,7 +97,7 @@
   DOUBLES_EQUAL(75.0 + 150.0, table.estimate(after(5))[0], 1e-6);
 }
 
-TEST(HostLoadTable, OthersWeighLessInTheChoiceTheMoreFlowsWereReplaced) {
+TEST(HostLoadTable, RemoteCountsDecayInPlacementLoadAsFlowsAreReplaced) {
   table.estimate(kStart);
   place(kFirst, 200);
   table.onLoadShare(kStart, shareOf(1, 1, 100, 0));
@@ -115,7 +115,7 @@
   CHECK(late >= 0.0);
 }
 
-TEST(HostLoadTable, HostsThatLeaveTheServiceKeepTheirCountsWhileFlowsLive) {
+TEST(HostLoadTable, KeepsCountsOfRemovedHostsWhileTheyHaveFlows) {
   place(kFirst, 2);
   table.setHosts({kSecond, HostId{3}});
   const size_t slot = table.findSlot(kFirst);
@@ -129,26 +129,26 @@
 }
 
 TEST_GROUP(BlendedLoad){
-    static LoadEvidence reporting(uint32_t percent, double then, double flows, int age){
+    static LoadInput reporting(uint32_t percent, double then, double flows, int age){
         return {LoadReport{percent, kStart - std::chrono::seconds(age), then}, flows, 1000};
 }
 }
 ;
 
-TEST(BlendedLoad, AHostThatAlwaysReportsZeroStillCountsWithItsFlows) {
+TEST(BlendedLoad, HostThatAlwaysReportsZeroHasLoadFromItsFlows) {
   const auto loads = blendLoads(
       kStart, {reporting(0, 300, 300, 1), reporting(40, 300, 300, 1), reporting(40, 300, 300, 1)});
   CHECK(loads[0] >= 0.1);
   CHECK(loads[0] < loads[1]);
 }
 
-TEST(BlendedLoad, AReportIsCorrectedByFlowsPlacedSince) {
+TEST(BlendedLoad, ScalesAReportWithFlowsPlacedSince) {
   const auto loads = blendLoads(kStart, {reporting(40, 100, 200, 1), reporting(40, 100, 100, 1)});
   DOUBLES_EQUAL(0.8, loads[0], 1e-9);
   DOUBLES_EQUAL(0.4, loads[1], 1e-9);
 }
 
-TEST(BlendedLoad, AStaleReportFadesToTheCounts) {
+TEST(BlendedLoad, UsesFlowCountsInsteadOfAStaleReport) {
   const auto loads = blendLoads(kStart, {reporting(100, 100, 100, 60)});
   DOUBLES_EQUAL(0.1, loads[0], 1e-9);
 }
--- a/test/common/placement/load_bound_property.cc
+++ b/test/common/placement/load_bound_property.cc
@@ -1,4 +1,4 @@
-/** @file Properties of the choice under a load bound, and of the exception budget. */
+/** @file Properties of host selection under a load bound, and tests of the exception budget. */
 #include <rapidcheck.h>
 
 #include <cmath>
@@ -28,7 +28,7 @@
   }
 };
 
-Situation anySituation() {
+Situation randomSituation() {
   Situation situation;
   const auto size = *rc::gen::inRange<size_t>(1, 20);
   for (size_t index = 0; index < size; ++index) {
@@ -40,13 +40,13 @@
   return situation;
 }
 
-OverflowRule anyRule() {
+OverflowRule randomRule() {
   return *rc::gen::element(OverflowRule::kNextRanked, OverflowRule::kLeastLoaded);
 }
 
 }  // namespace
 
-TEST_GROUP(LoadBound){// rapidcheck keeps lazily made statics, which leak detection takes for leaks.
+TEST_GROUP(LoadBound){// rapidcheck allocates statics lazily, which leak detection reports as leaks.
                       void setup()
                           override{MemoryLeakWarningPlugin::saveAndDisableNewDeleteOverloads();
 }
@@ -56,12 +56,12 @@
 }
 ;
 
-TEST(LoadBound, RefusesOnlyWhereNoHostIsUsable) {
+TEST(LoadBound, RefusesOnlyIfNoHostIsUsable) {
   CHECK(rc::check("a usable host is found", [] {
-    const Situation situation = anySituation();
+    const Situation situation = randomSituation();
     const BaseTable base(situation.hosts);
     const FlowHash flow{*rc::gen::arbitrary<uint64_t>()};
-    const auto choice = chooseUnderBound(flow, base, situation.candidates(), 1.05, anyRule());
+    const auto choice = chooseUnderBound(flow, base, situation.candidates(), 1.05, randomRule());
     bool any = false;
     for (size_t index = 0; index < situation.hosts.size(); ++index) {
       any = any || situation.usable(index);
@@ -71,13 +71,13 @@
   }));
 }
 
-TEST(LoadBound, IsNeverExceededBecauseSlackAlwaysExists) {
+TEST(LoadBound, ChosenHostIsNeverOverTheBound) {
   CHECK(rc::check("chosen host stays under the bound", [] {
-    const Situation situation = anySituation();
+    const Situation situation = randomSituation();
     const FlowHash flow{*rc::gen::arbitrary<uint64_t>()};
     const double bound = 1.0 + *rc::gen::inRange(0, 30) / 100.0;
     const BaseTable base(situation.hosts);
-    const auto choice = chooseUnderBound(flow, base, situation.candidates(), bound, anyRule());
+    const auto choice = chooseUnderBound(flow, base, situation.candidates(), bound, randomRule());
     RC_PRE(choice.has_value());
     double flows = 1.0;
     double weight = 0.0;
@@ -92,26 +92,26 @@
   }));
 }
 
-TEST(LoadBound, SaysExceptionExactlyWhereTheBaseDiffers) {
+TEST(LoadBound, FlagsAnExceptionIfAndOnlyIfTheBaseHostDiffers) {
   CHECK(rc::check("exception flag", [] {
-    const Situation situation = anySituation();
+    const Situation situation = randomSituation();
     auto weights = situation.hosts;
     weights[0].weight = 17;
     const BaseTable base(weights);
     const FlowHash flow{*rc::gen::arbitrary<uint64_t>()};
-    const auto choice = chooseUnderBound(flow, base, situation.candidates(), 1.02, anyRule());
+    const auto choice = chooseUnderBound(flow, base, situation.candidates(), 1.02, randomRule());
     RC_PRE(choice.has_value());
     const bool differs = base.defaultHost(flow) != situation.hosts[choice->index].host;
     RC_ASSERT(choice->isException == differs);
   }));
 }
 
-TEST(LoadBound, WithoutBoundTheBaseHostIsKeptWhereUsable) {
+TEST(LoadBound, WithoutBoundChoosesTheBaseHostIfUsable) {
   CHECK(rc::check("no bound", [] {
-    const Situation situation = anySituation();
+    const Situation situation = randomSituation();
     const BaseTable base(situation.hosts);
     const FlowHash flow{*rc::gen::arbitrary<uint64_t>()};
-    const auto choice = chooseUnderBound(flow, base, situation.candidates(), 0.0, anyRule());
+    const auto choice = chooseUnderBound(flow, base, situation.candidates(), 0.0, randomRule());
     const auto defaultHost = base.defaultHost(flow);
     for (size_t index = 0; index < situation.hosts.size(); ++index) {
       if (situation.hosts[index].host == defaultHost && situation.usable(index)) {
@@ -122,10 +122,10 @@
   }));
 }
 
-TEST(LoadBound, LoosensAsTheBudgetRunsOut) {
+TEST(LoadBound, LoosensAsTheBudgetIsUsedUp) {
   const LoadBoundOptions options;
-  DOUBLES_EQUAL(options.tightest, loadBound(options, 1.0), 1e-9);
-  DOUBLES_EQUAL(options.loosest, loadBound(options, 0.0), 1e-9);
+  DOUBLES_EQUAL(options.minBound, loadBound(options, 1.0), 1e-9);
+  DOUBLES_EQUAL(options.maxBound, loadBound(options, 0.0), 1e-9);
   CHECK(loadBound(options, 0.3) > loadBound(options, 0.6));
 }
 
@@ -146,7 +146,7 @@
   CHECK_EQUAL(50, spent);
 }
 
-TEST(ExceptionBudget, ForcedExceptionsAreADebtOfBoundedSize) {
+TEST(ExceptionBudget, ForcedExceptionsTakeTheBudgetBelowZeroByABoundedAmount) {
   ExceptionBudget budget(ExceptionBudgetOptions{10.0, 20.0});
   for (int count = 0; count < 1000; ++count) {
     budget.spend(start);
@@ -156,7 +156,7 @@
   CHECK(budget.available(start + std::chrono::milliseconds(2100)));
 }
 
-TEST(ExceptionBudget, IgnoresTimeThatRunsBackwards) {
+TEST(ExceptionBudget, IgnoresTimeGoingBackwards) {
   ExceptionBudget budget(ExceptionBudgetOptions{10.0, 1.0});
   budget.spend(start);
   CHECK(!budget.available(start - std::chrono::seconds(50)));
--- a/test/common/placement/misleading_health_test.cc
+++ b/test/common/placement/misleading_health_test.cc
@@ -1,7 +1,7 @@
 /**
- * @file Health endpoints that mislead, at several owners: what they do to the balance of hosts.
+ * @file Effect of misleading health endpoints on the load balance, with several owners.
  *
- * The base table of an OwnerGroup never changes, so that health alone is at work.
+ * The base table of an OwnerGroup never changes, so health is the only cause of imbalance.
  */
 #include <algorithm>
 #include <vector>
@@ -17,13 +17,13 @@
 namespace {
 
 constexpr size_t kHosts = 15;
-/** One more than half of the hosts: the panic threshold is passed. */
-constexpr size_t kMostHosts = 8;
-constexpr size_t kSomeHosts = 6;
+/** More than half of the hosts: above the panic threshold. */
+constexpr size_t kMajority = 8;
+constexpr size_t kMinority = 6;
 constexpr Duration kSettling = std::chrono::seconds(120);
 constexpr Duration kSecond = std::chrono::seconds(1);
-/** Imbalance that 3,000 flows must not pass in steady state. */
-constexpr double kWorstSteady = 1.05;
+/** Maximum imbalance of 3,000 flows in steady state. */
+constexpr double kMaxSteadyImbalance = 1.05;
 
 OwnerGroupOptions workload(double meanLifeSeconds, uint64_t seed) {
   OwnerGroupOptions options;
@@ -33,13 +33,13 @@
   return options;
 }
 
-void sayAll(OwnerGroup& group, size_t first, size_t count, bool healthy) {
+void setAllHealthy(OwnerGroup& group, size_t first, size_t count, bool healthy) {
   for (size_t host = first; host < first + count; ++host) {
-    group.sayHealthy(host, healthy);
+    group.setHealthy(host, healthy);
   }
 }
 
-/** @return new flows that the first hosts were given so far. */
+/** @return the number of new flows given to the first `count` hosts so far. */
 uint64_t openings(const OwnerGroup& group, size_t count) {
   uint64_t sum = 0;
   for (size_t host = 0; host < count; ++host) {
@@ -48,13 +48,13 @@
   return sum;
 }
 
-/** @return the mean and the worst imbalance of every second of the time. */
+/** Mean and maximum of the imbalance, sampled every second. */
 struct Imbalance {
   double mean = 0.0;
   double worst = 0.0;
 };
 
-Imbalance watch(OwnerGroup& group, int seconds) {
+Imbalance measureImbalance(OwnerGroup& group, int seconds) {
   Imbalance seen;
   for (int second = 0; second < seconds; ++second) {
     group.run(kSecond);
@@ -68,83 +68,86 @@
 
 TEST_GROUP(MisleadingHealth){};
 
-TEST(MisleadingHealth, HostsThatStopSayingUnhealthyAreInBalanceAtOnce) {
+TEST(MisleadingHealth, RecoveredHostsAreBalancedImmediately) {
   for (const double life : {8.0, 60.0}) {
     for (const uint64_t seed : {1, 2, 3}) {
       OwnerGroup group(workload(life, seed));
       group.run(kSettling);
-      sayAll(group, 1, kMostHosts, false);
+      setAllHealthy(group, 1, kMajority, false);
       group.run(std::chrono::seconds(60));
-      sayAll(group, 1, kMostHosts, true);
-      const Imbalance after = watch(group, 60);
-      CHECK_COMPARE(after.worst, <, kWorstSteady);
+      setAllHealthy(group, 1, kMajority, true);
+      const Imbalance after = measureImbalance(group, 60);
+      CHECK_COMPARE(after.worst, <, kMaxSteadyImbalance);
     }
   }
 }
 
 /**
- * The time is shorter than two intervals of LoadShare: an owner that hears of the others' hosts so
- * late sees too few of them unhealthy at once to panic, and fills the rest.
+ * The hosts are unhealthy for less than two LoadShare intervals. An owner that receives other
+ * owners' health states that late sees too few hosts unhealthy at a time to reach the panic
+ * threshold, and overloads the remaining hosts.
  */
-TEST(MisleadingHealth, ALieShorterThanTwoSharesFillsNoHost) {
+TEST(MisleadingHealth, UnhealthyReportsShorterThanTwoShareIntervalsOverloadNoHost) {
   for (const uint64_t seed : {1, 2, 3, 4, 5, 6, 7, 8, 9, 10}) {
     OwnerGroup group(workload(8.0, seed));
-    group.run(kSettling + std::chrono::seconds(seed));  // Shares are due at another moment of it.
-    sayAll(group, 1, kMostHosts, false);
+    group.run(kSettling +
+              std::chrono::seconds(seed));  // Varies the phase of the LoadShare interval.
+    setAllHealthy(group, 1, kMajority, false);
     group.run(std::chrono::seconds(12));
-    sayAll(group, 1, kMostHosts, true);
+    setAllHealthy(group, 1, kMajority, true);
     group.run(std::chrono::seconds(12));
     CHECK_COMPARE(group.imbalance(), <, 1.15);
   }
 }
 
-TEST(MisleadingHealth, WhileMostHostsSayUnhealthyAllTakeFlowsEvenly) {
+TEST(MisleadingHealth, BalancesOverAllHostsWhileMostReportUnhealthy) {
   OwnerGroup group(workload(8.0, 1));
   group.run(kSettling);
-  sayAll(group, 1, kMostHosts, false);
+  setAllHealthy(group, 1, kMajority, false);
   group.run(std::chrono::seconds(30));
-  CHECK_COMPARE(watch(group, 30).mean, <, kWorstSteady);
+  CHECK_COMPARE(measureImbalance(group, 30).mean, <, kMaxSteadyImbalance);
   CHECK_EQUAL(0U, group.refused());
 }
 
-TEST(MisleadingHealth, OneHostThatAloneSaysHealthyGetsItsPartOnly) {
+TEST(MisleadingHealth, SingleHealthyHostGetsOnlyItsShare) {
   OwnerGroup group(workload(8.0, 1));
   group.run(kSettling);
-  sayAll(group, 1, kHosts - 1, false);
-  double most = 0.0;
+  setAllHealthy(group, 1, kHosts - 1, false);
+  double maxShare = 0.0;
   for (int second = 0; second < 60; ++second) {
     group.run(kSecond);
-    most = std::max(most, group.flowsOn(0) / group.meanFlows());
+    maxShare = std::max(most, group.flowsOn(0) / group.meanFlows());
   }
-  CHECK_COMPARE(most, <, 1.5);
+  CHECK_COMPARE(maxShare, <, 1.5);
   CHECK_EQUAL(0U, group.refused());
 }
 
-TEST(MisleadingHealth, AHostThatFlapsTakesFlowsFromNoOther) {
+TEST(MisleadingHealth, FlappingHostDoesNotUnbalanceOthers) {
   OwnerGroup group(workload(8.0, 1));
   group.run(kSettling);
   for (int round = 0; round < 6; ++round) {
-    group.sayHealthy(4, round % 2 != 0);
-    const Imbalance seen = watch(group, 20);
+    group.setHealthy(4, round % 2 != 0);
+    const Imbalance seen = measureImbalance(group, 20);
     CHECK_COMPARE(seen.mean, <, 1.12);
   }
 }
 
-/** Owners share counts rarely where few flows come and go; news of health must not wait for that.
+/** Owners share counts rarely if few flows are opened and closed; health changes must not be
+ * delayed by that.
  */
-TEST(MisleadingHealth, AllOwnersOfAQuietServiceLearnSoonThatAHostIsOut) {
+TEST(MisleadingHealth, HealthChangesReachAllOwnersOfAQuietServiceQuickly) {
   OwnerGroupOptions quiet = workload(10000.0, 1);
   quiet.flows = 15000.0;
   OwnerGroup group(quiet);
-  group.run(std::chrono::seconds(315));  // Shares were due 5 s ago: the next are far.
-  sayAll(group, 0, kSomeHosts, false);
+  group.run(std::chrono::seconds(315));  // Shares were due 5 s ago, so the next ones are far off.
+  setAllHealthy(group, 0, kMinority, false);
   group.run(std::chrono::seconds(20));
-  const uint64_t before = openings(group, kSomeHosts);
+  const uint64_t before = openings(group, kMinority);
   group.run(std::chrono::seconds(300));
-  CHECK_EQUAL(before, openings(group, kSomeHosts));
+  CHECK_EQUAL(before, openings(group, kMinority));
 }
 
-TEST(MisleadingHealth, AHostThatComesBackFromTheDeadStillWarmsUp) {
+TEST(MisleadingHealth, RestartedHostGetsSlowStart) {
   OwnerGroup group(workload(8.0, 1));
   group.run(kSettling);
   group.stopHost(4);
--- a/test/common/placement/owner_group.cc
+++ b/test/common/placement/owner_group.cc
@@ -39,7 +39,7 @@
     owner.base = BaseTable(owner.placement->currentBase());
   }
   for (double opened = 0.0; opened < options.flows; ++opened) {
-    arrive();
+    openFlow();
   }
 }
 
@@ -50,11 +50,11 @@
   }
 }
 
-void OwnerGroup::sayHealthy(size_t host, bool healthy) {
+void OwnerGroup::setHealthy(size_t host, bool healthy) {
   if (healthy) {
-    liars_.erase(host);
+    unhealthy_.erase(host);
   } else {
-    liars_.insert(host);
+    unhealthy_.insert(host);
   }
 }
 
@@ -70,7 +70,7 @@
     owners_[flow.owner].placement->flowRemoved(owners_[flow.owner].shard, hosts_[host]);
     --flows_[host];
   }
-  departures_ = decltype(departures_)({}, std::move(kept));
+  departures_ = decltype(departures_)({}, std::handOverOwner(kept));
 }
 
 void OwnerGroup::startHost(size_t host) {
@@ -96,15 +96,15 @@
     share(owner);
   }
   while (!departures_.empty() && departures_.top().at <= now_) {
-    depart();
+    endFlow();
   }
   while (nextArrival_ <= now_) {
-    arrive();
+    openFlow();
     nextArrival_ += exponential(options_.meanLifeSeconds / options_.flows);
   }
 }
 
-void OwnerGroup::arrive() {
+void OwnerGroup::openFlow() {
   const FlowHash hash{random_.engine()()};
   const size_t index = hash.value % owners_.size();
   Owner& owner = owners_[index];
@@ -118,14 +118,14 @@
   const size_t host = indexOf(chosen->host);
   ++openings_[host];
   if (stopped_.contains(host)) {
-    return;  // The host answers the opening by a reset.
+    return;  // The host answers the SYN with a RST.
   }
   owner.placement->flowAdded(owner.shard, chosen->host);
   ++flows_[host];
   departures_.push(Departure{now_ + exponential(options_.meanLifeSeconds), index, host});
 }
 
-void OwnerGroup::depart() {
+void OwnerGroup::endFlow() {
   const Departure flow = departures_.top();
   departures_.pop();
   owners_[flow.owner].placement->flowRemoved(owners_[flow.owner].shard, hosts_[flow.host]);
@@ -135,7 +135,7 @@
 void OwnerGroup::probe(Owner& owner) {
   for (const DueProbe& due : owner.placement->dueProbes(now_)) {
     const size_t host = indexOf(due.host);
-    const bool healthy = !liars_.contains(host) && !stopped_.contains(host);
+    const bool healthy = !unhealthy_.contains(host) && !stopped_.contains(host);
     owner.placement->onProbe(now_, {owner.shard.service, due.host, healthy, false, 0});
   }
 }
--- a/test/common/placement/owner_group.h
+++ b/test/common/placement/owner_group.h
@@ -1,6 +1,6 @@
 /**
  * @file Several owners of one service in simulated time: each places the flows of its own shard,
- * probes its own hosts, and hears of the others by LoadShare.
+ * probes its own hosts, and receives the others' state by LoadShare.
  */
 #pragma once
 
@@ -21,34 +21,35 @@
   size_t hosts = 15;
   /** Flows held open on average. */
   double flows = 3000.0;
-  /** Mean life of a flow in seconds; lives are exponential. */
+  /** Mean lifetime of a flow in seconds; lifetimes are exponentially distributed. */
   double meanLifeSeconds = 60.0;
   uint64_t seed = 1;
 };
 
-/** See the file comment. Every host answers its probes; some say that they are unhealthy. */
+/** See the file comment. Every running host answers its probes; some report that they are
+ * unhealthy. */
 class OwnerGroup {
  public:
   /** Opens the average number of flows at once. */
   explicit OwnerGroup(const OwnerGroupOptions& options);
 
-  /** Runs all owners for the time. */
+  /** Advances the simulation of all owners by `time`. */
   void run(Duration time);
-  /** Sets what the host's health endpoint says from now on; its flows go on either way. */
-  void sayHealthy(size_t host, bool healthy);
-  /** The host's process ends: it answers no probe any more, and its flows end. */
+  /** Sets the result of the host's health endpoint; its flows are not affected. */
+  void setHealthy(size_t host, bool healthy);
+  /** Stops the host's process: it no longer answers probes, and its flows end. */
   void stopHost(size_t host);
   void startHost(size_t host);
 
-  /** @return flows of the busiest host over the mean of all hosts. */
+  /** @return the ratio of the busiest host's flows to the mean over all hosts. */
   double imbalance() const;
   /** @return open flows of the host. */
   uint32_t flowsOn(size_t host) const { return flows_[host]; }
-  /** @return flows of all hosts over the hosts. */
+  /** @return the mean number of flows per host. */
   double meanFlows() const;
-  /** @return new flows that no host took. */
+  /** @return the number of new flows that were refused. */
   uint64_t refused() const { return refused_; }
-  /** @return new flows that the host was given so far. */
+  /** @return the number of new flows given to the host so far. */
   uint64_t openingsOn(size_t host) const { return openings_[host]; }
   TimePoint now() const { return now_; }
 
@@ -68,8 +69,8 @@
   };
 
   void step();
-  void arrive();
-  void depart();
+  void openFlow();
+  void endFlow();
   void probe(Owner& owner);
   void share(Owner& owner);
   size_t indexOf(HostId host) const;
@@ -84,8 +85,8 @@
   std::vector<Owner> owners_;
   std::vector<uint32_t> flows_;
   std::priority_queue<Departure, std::vector<Departure>, std::greater<>> departures_;
-  /** Hosts whose health endpoint says "unhealthy". */
-  std::set<size_t> liars_;
+  /** Hosts whose health endpoint returns "unhealthy". */
+  std::set<size_t> unhealthy_;
   std::set<size_t> stopped_;
   uint64_t refused_ = 0;
   std::vector<uint64_t> openings_;
--- a/test/common/placement/rendezvous_property.cc
+++ b/test/common/placement/rendezvous_property.cc
@@ -1,5 +1,5 @@
-/** @file Properties of weighted rendezvous hashing: proportionality, least movement, a full
- * ranking. */
+/** @file Properties of weighted rendezvous hashing: proportionality, minimal disruption and a
+ * complete ranking. */
 #include <rapidcheck.h>
 
 #include <algorithm>
@@ -35,7 +35,7 @@
   return FlowHash{mixHash(number, 12345)};
 }
 
-std::vector<uint8_t> anyWeights() {
+std::vector<uint8_t> randomWeights() {
   const auto size = *rc::gen::inRange<size_t>(1, 20);
   return *rc::gen::container<std::vector<uint8_t>>(size, rc::gen::arbitrary<uint8_t>());
 }
@@ -43,13 +43,13 @@
 }  // namespace
 
 TEST_GROUP(Rendezvous){
-    // rapidcheck keeps lazily made statics, which leak detection takes for leaks.
+    // rapidcheck allocates statics lazily, which leak detection reports as leaks.
     void setup() override{IGNORE_ALL_LEAKS_IN_TEST();
 }
 }
 ;
 
-TEST(Rendezvous, LogarithmAgreesWithTheMathLibrary) {
+TEST(Rendezvous, LogarithmMatchesTheMathLibrary) {
   CHECK(rc::check("negativeLog2 is within a millionth", [] {
     const auto hash = *rc::gen::arbitrary<uint64_t>();
     const double expected = 64.0 - std::log2(static_cast<double>(hash | 1U));
@@ -58,9 +58,9 @@
   }));
 }
 
-TEST(Rendezvous, WalkVisitsEveryWeightedHostOnceInKeyOrder) {
+TEST(Rendezvous, WalkVisitsEveryHostWithNonzeroWeightOnceInKeyOrder) {
   CHECK(rc::check("walk is a ranking", [] {
-    const auto hosts = makeHosts(anyWeights());
+    const auto hosts = makeHosts(randomWeights());
     const FlowHash flow{*rc::gen::arbitrary<uint64_t>()};
     RendezvousWalk walk(hosts, flow);
     std::vector<RendezvousKey> keys;
@@ -77,7 +77,7 @@
 
 TEST(Rendezvous, RemovingAHostMovesOnlyItsFlows) {
   CHECK(rc::check("minimal movement", [] {
-    auto weights = anyWeights();
+    auto weights = randomWeights();
     const auto removed = *rc::gen::inRange<size_t>(0, weights.size());
     const BaseTable before(makeHosts(weights));
     weights[removed] = 0;
@@ -92,7 +92,7 @@
 
 TEST(Rendezvous, RaisingAWeightMovesFlowsOnlyToThatHost) {
   CHECK(rc::check("minimal movement on weights", [] {
-    auto weights = anyWeights();
+    auto weights = randomWeights();
     const auto raised = *rc::gen::inRange<size_t>(0, weights.size());
     const BaseTable before(makeHosts(weights));
     weights[raised] = 255;
@@ -107,7 +107,7 @@
 
 TEST(Rendezvous, SharesAreProportionalToWeights) {
   CHECK(rc::check("within five standard deviations", [] {
-    auto weights = anyWeights();
+    auto weights = randomWeights();
     weights[0] = std::max<uint8_t>(weights[0], 1);
     const BaseTable base(makeHosts(weights));
     std::vector<uint64_t> counts(weights.size());
@@ -126,8 +126,8 @@
   }));
 }
 
-TEST(Rendezvous, ValuesAreFixedForEveryMachine) {
-  // Nodes of different builds must agree: a change of these values breaks rolling upgrades.
+TEST(Rendezvous, ResultsAreIdenticalOnEveryPlatform) {
+  // Nodes of different versions must agree: changing these values breaks rolling upgrades.
   CHECK_EQUAL(uint64_t{1} << 32U, negativeLog2(uint64_t{1} << 63U));
   CHECK_EQUAL(uint64_t{64} << 32U, negativeLog2(0));
   const BaseTable base(makeHosts({255, 128, 64, 1}));
@@ -140,7 +140,7 @@
 
 TEST_GROUP(BaseTable){};
 
-TEST(BaseTable, VersionIgnoresTheOrderAndSeesWeights) {
+TEST(BaseTable, VersionDependsOnWeightsButNotOnOrder) {
   auto hosts = makeHosts({10, 20, 30});
   const BaseTable base(hosts);
   std::reverse(hosts.begin(), hosts.end());
@@ -149,7 +149,7 @@
   CHECK(base.version() != BaseTable(hosts).version());
 }
 
-TEST(BaseTable, HasNoDefaultHostWithoutWeights) {
+TEST(BaseTable, HasNoDefaultHostIfAllWeightsAreZero) {
   CHECK(!BaseTable(makeHosts({0, 0})).defaultHost(flowOf(1)).has_value());
   CHECK(!BaseTable().defaultHost(flowOf(1)).has_value());
 }
--- a/test/common/placement/service_placement_test.cc
+++ b/test/common/placement/service_placement_test.cc
@@ -1,4 +1,4 @@
-/** @file Tests of the placement of one service as a whole. */
+/** @file Tests of ServicePlacement. */
 #include "common/placement/service_placement.h"
 
 #include <memory>
@@ -60,7 +60,7 @@
   PlacementChoice choose(uint64_t number, PlacementMode mode = PlacementMode::kNormal) {
     return placement->choose(kStart, shard, flowOf(number), base, mode);
   }
-  /** Places flows and returns how many went to the host. */
+  /** Places `count` flows. @return how many of them were placed on the host. */
   int place(int count, size_t host, TimePoint now = kStart) {
     int found = 0;
     for (int number = 0; number < count; ++number) {
@@ -82,30 +82,30 @@
   uint64_t next = 0;
 };
 
-TEST(ServicePlacement, ADrainingHostGetsNoNewFlowAtOnceButRuns) {
+TEST(ServicePlacement, DrainingHostGetsNoNewFlowsButKeepsEstablishedOnes) {
   service.hosts[1].state = HostState::kDraining;
   service.hosts[1].drainDeadline = 500;
   placement->updateService(kStart, service);
   CHECK_EQUAL(0, place(500, 1));
   CHECK(!placement->isAdmissible(kStart, shard, hostAt(1)));
-  CHECK(placement->hostRuns(hostAt(1), 499));
-  CHECK(!placement->hostRuns(hostAt(1), 500));
-  CHECK(!placement->hostRuns(hostAt(9), 0));
+  CHECK(placement->mayKeepFlows(hostAt(1), 499));
+  CHECK(!placement->mayKeepFlows(hostAt(1), 500));
+  CHECK(!placement->mayKeepFlows(hostAt(9), 0));
 }
 
-TEST(ServicePlacement, AnUnhealthyHostGetsNoNewFlow) {
+TEST(ServicePlacement, UnhealthyHostGetsNoNewFlows) {
   probe(2, false, 3);
   CHECK_EQUAL(0, place(500, 2));
 }
 
-TEST(ServicePlacement, HostsThatAllSayUnhealthyDoNotTakeTheServiceDown) {
+TEST(ServicePlacement, PlacesFlowsIfAllHostsAreUnhealthy) {
   for (size_t host = 0; host < 4; ++host) {
     probe(host, false, 3);
   }
   CHECK(place(400, 0) > 0);
 }
 
-TEST(ServicePlacement, AFullServiceRefusesAsSaturated) {
+TEST(ServicePlacement, FullServiceRefusesAsSaturated) {
   start(makeService(2, 3, 1));
   place(6, 0);
   const auto choice = choose(1000);
@@ -115,7 +115,7 @@
   CHECK(std::get<ChosenHost>(choose(1000)).host == hostAt(0));
 }
 
-TEST(ServicePlacement, WithoutAnyActiveHostTheRefusalIsNotForSaturation) {
+TEST(ServicePlacement, RefusalWithoutActiveHostsIsNotSaturation) {
   for (HostSpec& host : service.hosts) {
     host.state = HostState::kDraining;
   }
@@ -123,7 +123,7 @@
   CHECK(!std::get<NoAdmissibleHost>(choose(1)).saturated);
 }
 
-TEST(ServicePlacement, BaseOnlyFollowsTheBaseOrRefuses) {
+TEST(ServicePlacement, BaseOnlyUsesTheBaseHostOrRefuses) {
   probe(0, false, 3);
   int refused = 0;
   for (uint64_t number = 0; number < 200; ++number) {
@@ -140,7 +140,7 @@
   CHECK(refused > 0);
 }
 
-TEST(ServicePlacement, AnEmptyBudgetLeavesFlowsAtTheBase) {
+TEST(ServicePlacement, EmptyBudgetKeepsFlowsOnTheBaseHost) {
   for (int count = 0; count < 200; ++count) {
     budget.spend(kStart);
   }
@@ -151,7 +151,7 @@
   }
 }
 
-TEST(ServicePlacement, WeightsDirectNewFlowsAndZeroKeepsThemAway) {
+TEST(ServicePlacement, DistributesNewFlowsByWeight) {
   placement->setWeights({255, 0, 128, 128});
   base = BaseTable(placement->currentBase());
   const int first = place(1000, 0);
@@ -160,7 +160,7 @@
   CHECK_EQUAL(0, place(200, 1));
 }
 
-TEST(ServicePlacement, AColdHostIsNotFlooded) {
+TEST(ServicePlacement, ColdHostIsNotOverloaded) {
   place(1200, 0);
   Service grown = makeService(5, 2000, 1);
   placement->updateService(kStart, grown);
@@ -169,7 +169,7 @@
   CHECK(place(60, 4, kStart + std::chrono::seconds(40)) > 0);
 }
 
-TEST(ServicePlacement, HealthAndLoadReachOtherOwnersThroughLoadShare) {
+TEST(ServicePlacement, PropagatesHealthAndLoadByLoadShare) {
   start(makeService(4, 2000, 2));
   ServicePlacement other(kStart, service, ServicePlacementOptions{}, budget, 2);
   const ShardId second{kService, 1};
@@ -190,7 +190,7 @@
   CHECK_EQUAL(3, placement->serviceView(kStart).healthyHosts);
 }
 
-TEST(ServicePlacement, LoadSharesFitDatagramsAndAQuietShardSharesRarely) {
+TEST(ServicePlacement, LoadSharesFitIntoDatagramsAndAreRareForAQuietShard) {
   start(makeService(200, 2000, 2));
   CHECK(!placement->loadShareDue(kStart + std::chrono::seconds(11), shard));
   placement->flowAdded(shard, hostAt(0));
@@ -205,7 +205,7 @@
   CHECK(placement->loadShareDue(kStart + std::chrono::seconds(61), shard));
 }
 
-TEST(ServicePlacement, PermitsTravelWithAPlannedMove) {
+TEST(ServicePlacement, HandsPermitsOverInAPlannedMove) {
   start(makeService(1, 10, 2));
   const ShardId second{kService, 1};
   ServicePlacement other(kStart, service, ServicePlacementOptions{}, budget, 2);
@@ -229,9 +229,9 @@
   successor.flowAdded(shard, hostAt(0), FlowOrigin::kAdopted);
   int taken = 0;
   for (uint64_t number = 0; number < 20; ++number) {
-    const bool room = successor.isAdmissible(now, shard, hostAt(0));
-    taken += room ? 1 : 0;
-    if (room) {
+    const bool admissible = successor.isAdmissible(now, shard, hostAt(0));
+    taken += admissible ? 1 : 0;
+    if (admissible) {
       successor.flowAdded(shard, hostAt(0));
     }
     if (other.isAdmissible(now, second, hostAt(0))) {
