--- a/source/common/overflow/overflow_options.h
+++ b/source/common/overflow/overflow_options.h
@@ -1,4 +1,4 @@
-/** @file When an opening may leave the part of its split that it is due to. */
+/** @file When an opening may overflow from its part of a traffic split to another part. */
 #pragma once
 
 #include <cstdint>
@@ -7,30 +7,30 @@
 
 namespace umberhold {
 
-/** Which services' openings may. */
+/** Services whose openings may overflow. */
 enum class OverflowMode : uint8_t {
-  /** None: weights hold whatever the load. */
+  /** None: weights are kept regardless of load. */
   kOff,
-  /** Those of every service whose traffic is split. */
+  /** Every service whose traffic is split. */
   kByRoom,
-  /** Those of services whose requests may run twice. */
+  /** Services whose requests may run twice. */
   kRepeatable,
 };
 
-/** @return the name of a mode in settings. */
+/** @return the name of the mode in the settings. */
 std::string_view toString(OverflowMode mode);
-/** @return the mode of that name; none where there is none. */
+/** @return the mode with that name, or nullopt. */
 std::optional<OverflowMode> parseOverflowMode(std::string_view name);
 
 /** See SplitOverflow. */
 struct OverflowOptions {
   OverflowMode mode = OverflowMode::kOff;
   /**
-   * A part of a split gets at most this part of the split's new flows beyond its weight, 0 to 1; 1:
-   * only room bounds it. Shares that lie 0.2 off their weights count as wrongly split; the other
-   * half is left to chance and to flows that carry more requests than others. Over the first 200
-   * flows of a shortage at 59 nodes the part scatters by 0.015 (4,000 draws, one sigma); the most
-   * was 0.175 with 0.1, and 0.205 with 0.15.
+   * Maximum fraction of the split's new flows that a part may get beyond its weight, 0 to 1; 1:
+   * limited only by room. A share that differs from its weight by 0.2 counts as a wrong split; the
+   * difference to 0.2 is a margin for random variation and for flows that carry more requests than
+   * others. Over the first 200 flows of a shortage at 59 nodes, the fraction has a standard
+   * deviation of 0.015 (4,000 draws); the maximum was 0.175 with 0.1, and 0.205 with 0.15.
    */
   double maxPart = 0.1;
 
--- a/source/common/overflow/split_overflow.cc
+++ b/source/common/overflow/split_overflow.cc
@@ -5,15 +5,16 @@
 namespace umberhold {
 namespace {
 
-/** Flows overflow into the lower half of the openings that a pool may have under way, so that as
- * many callers of its own find a place at once. */
+/** Maximum used fraction of a pool's openings at which flows may overflow into it; the rest is left
+ * to the pool's own callers. */
 constexpr double kSpareOpenings = 0.5;
 /**
- * Requests of this node under way, open flows' included, for each slot of its equal part of the
- * pool, beyond which the pool takes no flows of others. With 2 a request waits for one other, half
- * of what openings may bring. Not lower: nodes of a busy zone have more than their part under way
- * while the pool has room (0.8: 109 and 128 requests lost of 75,000 in two bursts at a part of a
- * split that had lost half of its hosts, 56 and 79 with 1.5).
+ * Maximum number of requests of this node under way, including those on open flows, per slot of its
+ * equal share of the pool; above it, nothing overflows into the pool. With 2, a request waits for
+ * one other, half of what openings may cause. Lower values lose requests, because nodes of a busy
+ * zone have more than their share under way while the pool has room (with 0.8, 109 and 128 requests
+ * of 75,000 were lost in two bursts at a part of a split that had lost half of its hosts; 56 and 79
+ * with 1.5).
  */
 constexpr double kSpareRequestsPerSlot = 2.0;
 
@@ -28,11 +29,11 @@
          use.requests <= kSpareRequestsPerSlot * use.slots;
 }
 
-double SplitOverflow::passingPart(double maxPart, double weight) {
+double SplitOverflow::acceptedPart(double maxPart, double weight) {
   if (weight >= 1.0) {
     return 0.0;
   }
-  // A part never gets more than its weight on top of it: a canary of 1% stays one.
+  // Overflow at most doubles a part's weight, so that a canary of 1% stays small.
   return std::min(1.0, std::min(maxPart, weight) / (1.0 - weight));
 }
 
@@ -50,10 +51,10 @@
   if (!chosen) {
     return std::nullopt;
   }
-  // Each part has its own: what openings earn towards a large part is not spent on a small one.
-  credits_.resize(parts.size(), start_);
+  // Each part has its own credit, so that credit for a large part is not spent on a small one.
+  credits_.resize(parts.size(), initialCredit_);
   double& credit = credits_[*chosen];
-  credit += passingPart(options_.maxPart, parts[*chosen].weight);
+  credit += acceptedPart(options_.maxPart, parts[*chosen].weight);
   if (credit < 1.0) {
     return std::nullopt;
   }
--- a/source/common/overflow/split_overflow.h
+++ b/source/common/overflow/split_overflow.h
@@ -1,18 +1,17 @@
 /**
- * @file Whether an opening whose part of a split has no room goes to another part.
+ * @file Whether an opening whose part of a split has no room overflows to another part.
  *
- * The load that this answers: the hosts of one part of a split have all they can begin to work on,
- * so that openings wait and are refused, while hosts of another part are idle.
+ * This handles uneven load: the hosts of one part of a split are fully occupied, so that openings
+ * are queued and refused, while hosts of another part are idle.
  *
- * It depends on the room of this moment alone: once the part that is due has room again, nothing
- * overflows. The part that was due counts as served (GroupShares), so that it is not owed the flows
- * that went elsewhere and gets no burst of them later.
+ * Overflow depends only on the current room: once the part that is due has room again, nothing
+ * overflows. The part that was due counts as served (GroupShares), so it does not get a burst later
+ * to make up for the flows that overflowed.
  *
- * Shares are bounded without a memory of earlier flows: of the openings that could overflow into a
- * part, only so many do that the part gets at most OverflowOptions::maxPart of all flows beyond
- * its weight, in whatever stretch of flows one counts. Calm time saves nothing up, as a token
- * bucket would: the savings of many nodes, spent in one moment, would break the bound for all nodes
- * together.
+ * The bound holds for every sequence of consecutive flows: of the openings that could overflow into
+ * a part, only a fraction does, so that the part gets at most OverflowOptions::maxPart of all flows
+ * beyond its weight. Unlike in a token bucket, no credit accumulates while nothing overflows: the
+ * credit of many nodes, spent at the same moment, would exceed the bound over all nodes.
  */
 #pragma once
 
@@ -25,55 +24,56 @@
 
 namespace umberhold {
 
-/** The load that this node has brought to a pool, against what it may bring. */
+/** A node's use of a pool, and its limits there. */
 struct PartUse {
-  /** Whether the pool's room is known; nothing overflows into a pool of unknown room. */
+  /** Whether the pool's room is known; nothing overflows into a pool whose room is unknown. */
   bool known = false;
-  /** Openings of this node under way at its hosts, and those that wait for it. */
+  /** Openings of this node under way at the pool's hosts, plus those queued for the pool. */
   double openings = 0.0;
-  /** Openings of this node that may be under way there. */
+  /** Maximum number of openings of this node under way there. */
   double openingLimit = 0.0;
-  /** Requests of this node's callers under way there, also those on open flows. */
+  /** Requests of this node's callers under way there, including those on open flows. */
   double requests = 0.0;
-  /** This node's part of the requests that the hosts work on at once. */
+  /** This node's share of the requests that the hosts process concurrently. */
   double slots = 0.0;
 };
 
 /** A part of a split. */
 struct SplitPart {
-  /** Its part of the new flows, 0 to 1. */
+  /** Its fraction of new flows, 0 to 1. */
   double weight = 0.0;
   PartUse use;
 };
 
-/** Of one split at one node. Decision logic without I/O; not thread safe. */
+/** Overflow of one split at one node. Does no I/O; not thread safe. */
 class SplitOverflow {
  public:
   SplitOverflow() = default;
-  /** @param random nodes start at different places, so that few flows over many nodes keep to the
-   * bound too. */
+  /** @param random source of the initial credit, which differs between nodes, so that the bound
+   * also holds for few flows over many nodes. */
   SplitOverflow(OverflowOptions options, RandomSource& random)
-      : options_(options), start_(options.mode == OverflowMode::kOff ? 0.0 : random.unit()) {}
+      : options_(options),
+        initialCredit_(options.mode == OverflowMode::kOff ? 0.0 : random.unit()) {}
 
   /**
-   * An opening arrived whose part has no room.
+   * Handles an opening whose part has no room.
    * @param due index of that part.
-   * @return index of the part that takes it; none where it is to wait for its own.
+   * @return index of the part that takes it, or nullopt if it must wait for its own part.
    */
   std::optional<size_t> choose(const std::vector<SplitPart>& parts, size_t due);
 
-  /** @return whether the pool can take an opening more without its own callers having to wait. */
+  /** @return whether the pool can take another opening without making its own callers wait. */
   static bool hasSpareRoom(const PartUse& use);
   /**
-   * @param weight of the part that takes them.
-   * @return part of the openings due to other parts that may overflow into it, 0 to 1.
+   * @param weight weight of the part that takes them.
+   * @return fraction of the openings due to other parts that may overflow into it, 0 to 1.
    */
-  static double passingPart(double maxPart, double weight);
+  static double acceptedPart(double maxPart, double weight);
 
  private:
   OverflowOptions options_;
-  double start_ = 0.0;
-  /** By part: openings that may overflow into it, in units of one; the whole ones have. */
+  double initialCredit_ = 0.0;
+  /** Credit of each part, in openings that may overflow into it. */
   std::vector<double> credits_;
 };
 
--- a/test/common/overflow/split_overflow_property.cc
+++ b/test/common/overflow/split_overflow_property.cc
@@ -1,5 +1,5 @@
-/** @file However shortages come and go, no part of a split gets more beyond its weight than the
- * bound says. */
+/** @file Property of split overflow: no part of a split gets more beyond its weight than the bound,
+ * however shortages vary. */
 #include <rapidcheck.h>
 
 #include <algorithm>
@@ -18,11 +18,11 @@
 
 constexpr double kRounding = 1e-6;
 
-/** Flows of one split at one node; room comes and goes at random. */
+/** Flows of one split at one node; the room of its parts varies at random. */
 class Split {
  public:
   Split(uint64_t seed, double maxPart)
-      : mostPart_(maxPart),
+      : maxPart_(maxPart),
         random_(seed),
         overflow_({OverflowMode::kByRoom, maxPart}, random_),
         beyond_(2 + random_.below(3)) {
@@ -56,24 +56,24 @@
   }
   size_t partCount() const { return weights_.size(); }
   double weightOf(size_t part) const { return weights_[part]; }
-  /** @return flows that were due to other parts and came to this one. */
+  /** @return flows that were due to other parts and overflowed into this one. */
   uint64_t beyondOf(size_t part) const { return beyond_[part]; }
   /** @return flows that were due to other parts. */
   uint64_t othersOf(size_t part) const { return flows_ - due_[part]; }
-  double mostOf(size_t part) const { return std::min(mostPart_, weights_[part]); }
+  double maxPartOf(size_t part) const { return std::min(maxPart_, weights_[part]); }
 
  private:
-  /** As GroupShares: the part that is owed most. */
+  /** As in GroupShares: the part with the largest deficit. */
   size_t turn() {
-    owed_.resize(weights_.size());
+    deficits_.resize(weights_.size());
     due_.resize(weights_.size());
-    for (size_t index = 0; index < owed_.size(); ++index) {
-      owed_[index] += weights_[index];
+    for (size_t index = 0; index < deficits_.size(); ++index) {
+      deficits_[index] += weights_[index];
     }
-    const auto most = std::max_element(owed_.begin(), owed_.end());
-    *most -= 1.0;
+    const auto largest = std::max_element(deficits_.begin(), deficits_.end());
+    *largest -= 1.0;
     ++flows_;
-    const auto due = static_cast<size_t>(most - owed_.begin());
+    const auto due = static_cast<size_t>(largest - deficits_.begin());
     ++due_[due];
     return due;
   }
@@ -86,11 +86,11 @@
     return parts;
   }
 
-  const double mostPart_;
+  const double maxPart_;
   RandomSource random_;
   SplitOverflow overflow_;
   std::vector<double> weights_;
-  std::vector<double> owed_;
+  std::vector<double> deficits_;
   std::vector<uint64_t> due_;
   std::vector<bool> isFull_;
   std::vector<uint64_t> beyond_;
@@ -101,44 +101,47 @@
 
 TEST_GROUP_BASE(SplitOverflowProperty, test::WithoutLeakDetection){};
 
-/** In every stretch of flows, not only from the start: stretches begin at every hundredth flow. */
-TEST(SplitOverflowProperty, APartGetsNoMoreBeyondItsWeightThanTheBound) {
+/** The bound holds for every sequence of flows, not only from the start: sequences begin at every
+ * hundredth flow. */
+TEST(SplitOverflowProperty, OverflowIntoAPartIsBoundedInEverySequence) {
   const bool held = rc::check("what overflows into a part is bounded in every stretch", [] {
     const double maxPart = *rc::gen::inRange(0, 101) / 100.0;
     Split split(*rc::gen::arbitrary<uint64_t>(), maxPart);
-    struct Mark {
+    struct Sample {
       std::vector<uint64_t> beyond;
       std::vector<uint64_t> others;
     };
-    std::vector<Mark> marks;
+    std::vector<Sample> samples;
     for (int flow = 0; flow < 1000; ++flow) {
       split.step();
       if (flow % 100 == 0) {
-        Mark& mark = marks.emplace_back();
+        Sample& sample = samples.emplace_back();
         for (size_t part = 0; part < split.partCount(); ++part) {
-          mark.beyond.push_back(split.beyondOf(part));
-          mark.others.push_back(split.othersOf(part));
+          sample.beyond.push_back(split.beyondOf(part));
+          sample.others.push_back(split.othersOf(part));
         }
       }
     }
-    for (const Mark& mark : marks) {
+    for (const Sample& sample : samples) {
       for (size_t part = 0; part < split.partCount(); ++part) {
-        const auto beyond = static_cast<double>(split.beyondOf(part) - mark.beyond[part]);
-        const auto others = static_cast<double>(split.othersOf(part) - mark.others[part]);
-        // Of the flows due to others, as many as make the bound of all; one more by its start.
-        const double most = others * split.mostOf(part) / (1.0 - split.weightOf(part)) + 1.0;
-        RC_ASSERT(beyond <= most + kRounding);
+        const auto beyond = static_cast<double>(split.beyondOf(part) - sample.beyond[part]);
+        const auto others = static_cast<double>(split.othersOf(part) - sample.others[part]);
+        // The bound applies to all flows, so it is scaled to the flows due to others; the initial
+        // credit allows one more.
+        const double largest = others * split.maxPartOf(part) / (1.0 - split.weightOf(part)) + 1.0;
+        RC_ASSERT(beyond <= largest + kRounding);
       }
     }
   });
   CHECK_TRUE(held);
 }
 
-/** A shortage that begins at all nodes at once, with the fewest flows that are judged. */
-TEST(SplitOverflowProperty, ManyNodesTogetherKeepToTheLimitOfSharesFromTheFirstFlow) {
+/** A shortage that begins at all nodes at once, with the minimum number of flows over which shares
+ * are checked. */
+TEST(SplitOverflowProperty, ManyNodesKeepTheShareLimitFromTheFirstFlow) {
   constexpr size_t kNodes = 59;
   constexpr size_t kFlows = 200;
-  constexpr double kMostOff = 0.2;
+  constexpr double kMaxDeviation = 0.2;
   const PartUse full{true, 10.0, 10.0, 0.0, 2.0};
   const PartUse spare{true, 0.0, 10.0, 0.0, 2.0};
   const std::vector<SplitPart> parts = {{0.5, full}, {0.5, spare}};
@@ -153,7 +156,7 @@
     for (size_t due = 0; due < kFlows / 2; ++due) {
       overflowed += nodes[random.below(kNodes)].choose(parts, 0) ? 1 : 0;
     }
-    CHECK_TRUE(static_cast<double>(overflowed) <= kMostOff * kFlows);
+    CHECK_TRUE(static_cast<double>(overflowed) <= kMaxDeviation * kFlows);
   }
 }
 
--- a/test/common/overflow/split_overflow_test.cc
+++ b/test/common/overflow/split_overflow_test.cc
@@ -1,4 +1,4 @@
-/** @file Which openings leave the part of a split that has no room, and where they go. */
+/** @file Which openings overflow from a part of a split that has no room, and where they go. */
 #include "common/overflow/split_overflow.h"
 
 #include <CppUTest/TestHarness.h>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Half of its limit is left, and more. */
+/** More than half of its limit is free. */
 const PartUse kSpare{true, 1.0, 10.0, 0.0, 2.0};
 const PartUse kFull{true, 10.0, 10.0, 2.0, 2.0};
 
@@ -19,7 +19,7 @@
   SplitOverflow unbounded() {
     return {{OverflowMode::kByRoom, 1.0}, random};
   }
-  /** @return overflows of so many openings that arrive while the first of the parts is full. */
+  /** @return how many of `openings` openings overflow while the first part is full. */
   int overflows(SplitOverflow & overflow, const std::vector<SplitPart>& parts, int openings) {
     int count = 0;
     for (int opening = 0; opening < openings; ++opening) {
@@ -29,14 +29,14 @@
   }
 };
 
-TEST(SplitOverflow, AnOpeningGoesToThePartThatHasRoom) {
+TEST(SplitOverflow, OpeningOverflowsToAPartWithRoom) {
   SplitOverflow overflow = unbounded();
   const auto chosen = overflow.choose({{0.5, kFull}, {0.5, kSpare}}, 0);
   CHECK_TRUE(chosen.has_value());
   LONGS_EQUAL(1, *chosen);
 }
 
-TEST(SplitOverflow, OfTwoPartsTheLessUsedOneTakesIt) {
+TEST(SplitOverflow, LessUsedOfTwoPartsTakesTheOpening) {
   SplitOverflow overflow = unbounded();
   PartUse idle = kSpare;
   idle.openings = 0.0;
@@ -50,9 +50,9 @@
   CHECK_TRUE(chosen >= 60);
 }
 
-/** Openings that a large part earned went to a small one whenever that was the less used for a
- * moment: one in six of them to a part of a hundredth. */
-TEST(SplitOverflow, APartTakesOnlyWhatOpeningsEarnedTowardsIt) {
+/** Guards against credit of a large part being spent on a small one whenever that is momentarily
+ * less used: one in six overflowing openings went to a part with a weight of one hundredth. */
+TEST(SplitOverflow, SpendsCreditOnlyOnThePartThatEarnedIt) {
   SplitOverflow overflow{{OverflowMode::kByRoom, 0.1}, random};
   PartUse idle = kSpare;
   idle.openings = 0.0;
@@ -66,23 +66,23 @@
   CHECK_TRUE(small <= 2);
 }
 
-TEST(SplitOverflow, NothingGoesWhereTheOthersHaveNoRoom) {
+TEST(SplitOverflow, NothingOverflowsIfOtherPartsHaveNoRoom) {
   SplitOverflow overflow = unbounded();
   LONGS_EQUAL(0, overflows(overflow, {{0.5, kFull}, {0.5, kFull}}, 100));
   LONGS_EQUAL(0, overflows(overflow, {{1.0, kFull}}, 100));
 }
 
-TEST(SplitOverflow, APartWithoutWeightTakesNothing) {
+TEST(SplitOverflow, NothingOverflowsIntoAPartWithoutWeight) {
   SplitOverflow overflow = unbounded();
   LONGS_EQUAL(0, overflows(overflow, {{1.0, kFull}, {0.0, kSpare}}, 100));
 }
 
-TEST(SplitOverflow, APoolOfUnknownRoomTakesNothing) {
+TEST(SplitOverflow, NothingOverflowsIntoAPoolOfUnknownRoom) {
   SplitOverflow overflow = unbounded();
   LONGS_EQUAL(0, overflows(overflow, {{0.5, kFull}, {0.5, PartUse{}}}, 100));
 }
 
-TEST(SplitOverflow, HalfOfTheOpeningsAreLeftToThePoolsOwnCallers) {
+TEST(SplitOverflow, LeavesHalfOfTheOpeningsToThePoolsOwnCallers) {
   PartUse use = kSpare;
   use.openings = 4.0;
   CHECK_TRUE(SplitOverflow::hasSpareRoom(use));
@@ -90,12 +90,12 @@
   CHECK_FALSE(SplitOverflow::hasSpareRoom(use));
 }
 
-TEST(SplitOverflow, AnIdlePoolOfTheLeastLimitHasRoom) {
+TEST(SplitOverflow, IdlePoolWithTheMinimumLimitHasRoom) {
   CHECK_TRUE(SplitOverflow::hasSpareRoom({true, 0.0, 2.0, 0.0, 0.1}));
   CHECK_FALSE(SplitOverflow::hasSpareRoom({true, 1.0, 2.0, 0.0, 0.1}));
 }
 
-TEST(SplitOverflow, HostsThatAreBusyWithOpenFlowsHaveNoRoom) {
+TEST(SplitOverflow, HostsBusyWithOpenFlowsHaveNoRoom) {
   PartUse use = kSpare;
   use.requests = 4.0;
   CHECK_TRUE(SplitOverflow::hasSpareRoom(use));
@@ -103,20 +103,20 @@
   CHECK_FALSE(SplitOverflow::hasSpareRoom(use));
 }
 
-TEST(SplitOverflow, ThePartGetsNoMoreThanTheBoundBeyondItsWeight) {
+TEST(SplitOverflow, OverflowIntoAPartIsBounded) {
   SplitOverflow overflow{{OverflowMode::kByRoom, 0.15}, random};
-  // Of 1000 flows 500 are due to the part without room; 150 are 0.15 of all.
+  // Of 1000 flows, 500 are due to the part without room; 150 are 0.15 of all flows.
   const int count = overflows(overflow, {{0.5, kFull}, {0.5, kSpare}}, 500);
   CHECK_TRUE(count >= 149 && count <= 151);
 }
 
-TEST(SplitOverflow, APartOfSmallWeightIsAtMostDoubled) {
+TEST(SplitOverflow, OverflowAtMostDoublesAPartOfSmallWeight) {
   SplitOverflow overflow{{OverflowMode::kByRoom, 0.15}, random};
   const int count = overflows(overflow, {{0.99, kFull}, {0.01, kSpare}}, 990);
   CHECK_TRUE(count >= 9 && count <= 11);
 }
 
-TEST(SplitOverflow, EachModeAppliesToItsServices) {
+TEST(SplitOverflow, ModeDeterminesServicesThatMayOverflow) {
   const OverflowOptions off{};
   CHECK_FALSE(off.appliesTo(true));
   const OverflowOptions repeatable{OverflowMode::kRepeatable};
@@ -125,7 +125,7 @@
   CHECK_TRUE(OverflowOptions{OverflowMode::kByRoom}.appliesTo(false));
 }
 
-TEST(SplitOverflow, ModesHaveNames) {
+TEST(SplitOverflow, ModeNamesRoundTrip) {
   for (const OverflowMode mode :
        {OverflowMode::kOff, OverflowMode::kByRoom, OverflowMode::kRepeatable}) {
     CHECK_TRUE(parseOverflowMode(toString(mode)) == mode);
