--- a/source/common/flow/drop_reason.h
+++ b/source/common/flow/drop_reason.h
@@ -13,30 +13,31 @@
   kFragment,
   kUnsupportedProtocol,
   kUnknownService,
-  /** The service lives in another region. */
+  /** The service belongs to another region. */
   kWrongRegion,
-  /** This node has not yet taken over the configuration. */
+  /** This node has not yet received the configuration. */
   kNotReady,
-  /** No live node owns the shard in this node's view. */
+  /** To this node's knowledge, no live node owns the shard. */
   kNoOwner,
-  /** The packet was relayed more often than kRelayLimit allows. */
+  /** The packet was relayed more than kRelayLimit times. */
   kRelayLoop,
-  /** No host of the service may take the flow, and it can't be said that it never ran. */
+  /** No host of the service may take the flow, and a refusal isn't safe because its request may
+     already have been executed. */
   kNoHost,
-  /** Mid-flow packet of a flow whose host is gone. */
+  /** Packet of an established flow whose host is gone. */
   kHostGone,
   /** The shard is being taken over and its queue of held packets is full. */
   kHoldQueueFull,
-  /** One source opens flows faster than its share of the flow table allows. */
+  /** The source has reached its limit of unestablished flows. */
   kFloodLimited,
-  /** The flow table is full and nothing in it may be given up. */
+  /** The flow table is full and no entry can be evicted. */
   kFlowTableFull,
-  /** First packet of a flow that was refused a short while ago; the refusal was already sent. */
+  /** First packet of a flow that was refused recently; the refusal has already been sent. */
   kRefusedBefore,
   kCount,
 };
 
-/** @return the snake_case label of a reason. */
+/** @return the snake_case label of the reason. */
 std::string_view toString(DropReason reason);
 
 }  // namespace umberhold
--- a/source/common/flow/flow_director.h
+++ b/source/common/flow/flow_director.h
@@ -1,9 +1,9 @@
 /**
- * @file The seam between the packet path and the decision where a flow goes.
+ * @file Interface between the packet path and the decision where a flow goes.
  *
- * packet/packet_path.h parses a packet, finds its service and asks a FlowDirector. The real
- * director (shard/shard_director.h) knows owners, flow tables and hand-over; the baselines of
- * shard/baseline_director.h stand behind the same interface.
+ * packet/packet_path.h parses a packet, looks up its service and calls a FlowDirector.
+ * shard/shard_director.h implements it with shard owners, flow tables and handover; the baselines
+ * in shard/baseline_director.h implement the same interface.
  */
 #pragma once
 
@@ -20,17 +20,17 @@
 
 namespace umberhold {
 
-/** Who handed the packet to this node. */
+/** Where this node received the packet from. */
 enum class PacketSource : uint8_t { kFabric, kPeer };
 
-/** A parsed packet, as the director sees it. */
+/** A parsed packet, as passed to the director. */
 struct FlowPacket {
   FlowKey key;
   FlowHash hash;
   ServiceId service;
   PacketPhase phase = PacketPhase::kUnmarked;
   PacketSource source = PacketSource::kFabric;
-  /** Inner IP time to live; a relay lowers it by one, so that a relay loop ends. */
+  /** Inner IP time to live; decremented by each relay, so that a relay loop ends. */
   uint8_t timeToLive = 64;
   /** Flow token that the caller reflects (packet/packet_format.h); 0: none. */
   uint32_t token = 0;
@@ -40,46 +40,48 @@
   uint32_t dataBytes = 0;
 };
 
-/** A host's names, for people; valid until the director's next change of hosts. */
+/** Human-readable names of a host; valid until the director's hosts change. */
 struct HostLabel {
   std::string_view name;
   std::string_view pool;
 };
 
 /**
- * What decided where a new flow went, for logs and metrics. Valid until the director's next
+ * The inputs of a placement decision, for logs and metrics. Valid until the director's next
  * decision or change.
  */
 struct PlacementEvidence {
   std::string_view service;
-  /** The pool that the flow was due to, where another one of its split took it for lack of room;
-   * or empty. */
+  /** The pool that the flow was due to, if it overflowed to another pool of its split because of
+   * lack of room; otherwise empty. */
   std::string_view overflowFrom;
   /** The host is in this node's zone. */
   bool ownZone = false;
-  /** This flow was to leave the node's zone, because the zone has few of the hosts or they answer
-   * late. */
+  /** The flow was to be placed outside the node's zone, because the zone has few of the hosts or
+   * they answer late. */
   bool leavesZone = false;
-  /** The host left several openings unanswered of late, and no better one was there. */
+  /** The host is unresponsive: it recently left several openings unanswered. No better host was
+   * available. */
   bool silent = false;
-  /** The host's registration has vanished, and no better one was there. */
+  /** The host's registration has disappeared, and no better host was available. */
   bool vanished = false;
-  /** This opening is a repeat; the host that left the earlier copy unanswered, or empty. */
+  /** If this opening is a retransmission: the host that left the earlier copy unanswered; otherwise
+   * empty. */
   std::string_view avoidedHost;
-  /** The host answers far later than its pool's median. */
+  /** The host's response time is far above its pool's median. */
   bool slow = false;
-  /** The host's answers of late, as a multiple of its pool's median. */
+  /** The host's recent response time as a multiple of its pool's median. */
   double slowness = 1.0;
-  /** Answers of the node's own zone of late, as a multiple of the usual time. */
+  /** Recent response time in the node's own zone as a multiple of the usual time. */
   double zoneScore = 1.0;
-  /** The host's load by this node's own packets, in packets of late. */
+  /** The host's load by this node's own traffic, in recent packets. */
   double load = 0.0;
   uint32_t weight = 0;
-  /** Work of the host in the same time, as a multiple of the usual, as learnt; 1: not known. */
+  /** Learnt speed of the host as a multiple of the usual speed; 1: not known. */
   double speed = 1.0;
-  /** Hosts that could have taken the flow. */
+  /** Number of hosts that could have taken the flow. */
   uint32_t candidates = 0;
-  /** Version of the catalogue that the pool is from, and when this node applied it. */
+  /** Version of the catalogue that contains the pool, and when this node applied it. */
   uint64_t poolVersion = 0;
   TimePoint poolAppliedAt{};
 };
@@ -90,11 +92,11 @@
   Endpoint endpoint;
   /** HostSpec::incarnation, for formats that carry it. */
   uint64_t incarnation = 0;
-  /** Flow token for the host and the caller to reflect; 0: none. */
+  /** Flow token to be reflected by the host and the caller; 0: none. */
   uint32_t token = 0;
-  /** Empty where the director doesn't say. */
+  /** Empty if the director doesn't provide it. */
   HostLabel label{};
-  /** Borrowed; set by directors that say it, for the opening packet of a flow. */
+  /** Borrowed; set for the opening packet of a flow by directors that provide it. */
   const PlacementEvidence* placement = nullptr;
 };
 /** Send the packet to the relay endpoint of the node that owns the flow. */
@@ -106,13 +108,14 @@
 enum class RefusalReason : uint8_t {
   /** No host may take the flow. */
   kNoHost,
-  /** The flow's host has definitely ended. */
+  /** The flow's host has definitely stopped. */
   kHostEnded,
-  /** The flow's host acknowledges nothing, and its callers may repeat their requests elsewhere. */
+  /** The flow's host is unresponsive (it acknowledges nothing), and its callers may retry their
+     requests elsewhere. */
   kHostSilent,
-  /** The hosts have enough to do, and the opening has waited as long as it may. */
+  /** The hosts are busy, and the opening has reached its maximum wait. */
   kHostsBusy,
-  /** No service has the address. */
+  /** No service listens on the address. */
   kUnknownService,
   kCount,
 };
@@ -120,32 +123,33 @@
 /** @return the snake_case label of a reason. */
 std::string_view toString(RefusalReason reason);
 
-/** Answer the caller: the flow is refused, or its host has ended; the packet is not forwarded. */
+/** Notify the caller that the flow is refused or that its host has stopped; the packet is not
+ * forwarded. */
 struct RefuseFlow {
   RefusalReason reason = RefusalReason::kNoHost;
 };
-/** Answer the caller of a flow although it sent no packet: its host is dead. */
+/** Reset a flow towards its caller without a packet to answer, because its host is dead. */
 struct ResetFlow {
   FlowKey key;
-  /** What the caller acknowledged last, as far as this node saw. */
+  /** The last acknowledgement number of the caller seen by this node. */
   uint32_t acknowledged = 0;
   RefusalReason reason = RefusalReason::kHostEnded;
 };
-/** What a packet waits for. */
+/** Why a packet is held. */
 enum class HoldReason : uint8_t {
-  /** The owner of its flow is being found. */
+  /** The owner of its flow is being determined. */
   kTakeover,
-  /** No known host has its token; the host may be without an entry for a moment. */
+  /** No known host has its token; the host's entry may be missing temporarily. */
   kHostUnknown,
-  /** An opening: the hosts have enough to do. */
+  /** The packet is an opening, and the hosts are busy. */
   kHostsBusy,
 };
 
 /** @return the snake_case label of a reason. */
 std::string_view toString(HoldReason reason);
 
-/** The director keeps a copy (it was given the bytes) and releases it later, by a HeldPacketSink or
- * to its caller. */
+/** The director keeps a copy of the packet and releases it later, through a HeldPacketSink or to
+ * its caller. */
 struct HoldPacket {
   HoldReason reason = HoldReason::kTakeover;
 };
@@ -154,7 +158,7 @@
   DropReason reason = DropReason::kMalformed;
 };
 
-/** What to do with one packet. */
+/** The decision for one packet. */
 using FlowDecision = std::variant<ForwardToHost, RelayToNode, RefuseFlow, HoldPacket, DropPacket>;
 
 /** Decides where packets go. No I/O; not thread safe. */
@@ -165,18 +169,19 @@
   /**
    * @param now the current instant.
    * @param packet the parsed packet.
-   * @param bytes the whole inner IP packet, copied only where the decision is HoldPacket.
-   * @return what to do with the packet.
+   * @param bytes the whole inner IP packet; copied only if the decision is HoldPacket.
+   * @return the decision for the packet.
    */
   virtual FlowDecision decide(TimePoint now, const FlowPacket& packet, std::string_view bytes) = 0;
 };
 
-/** Takes packets that were held during a takeover and may now go on; runs them through decide
+/** Receives packets that were held during a takeover and are now released; calls decide for them
  * again. */
 class HeldPacketSink {
  public:
   virtual ~HeldPacketSink() = default;
-  /** @param bytes the inner IP packet as it arrived; @param source who had handed it in. */
+  /** @param bytes the inner IP packet as it arrived; @param source where it had been received from.
+   */
   virtual void release(TimePoint now, std::string bytes, PacketSource source) = 0;
 };
 
--- a/source/common/flow/flow_key.h
+++ b/source/common/flow/flow_key.h
@@ -18,12 +18,13 @@
   auto operator<=>(const FlowKey&) const = default;
 };
 
-/** @return the same 64-bit value on every node; it stands for the flow in tables and messages. */
+/** @return a 64-bit hash, identical on every node, that identifies the flow in tables and messages.
+ */
 FlowHash hashOf(const FlowKey& key);
 
-/** Where in a flow's life a packet stands, as far as the packet itself tells. */
+/** Phase of a flow, as indicated by a single packet. */
 enum class PacketPhase : uint8_t {
-  /** TCP SYN without ACK: the first packet of a flow or a repeat of it. */
+  /** TCP SYN without ACK: the first packet of a flow or a retransmission of it. */
   kOpening,
   /** Any other TCP packet. */
   kContinuing,
@@ -31,7 +32,7 @@
   kClosing,
   /** TCP RST. */
   kReset,
-  /** UDP: the packet does not tell. */
+  /** UDP: packets carry no phase. */
   kUnmarked,
 };
 
--- a/source/common/flow/flow_segment.cc
+++ b/source/common/flow/flow_segment.cc
@@ -8,17 +8,17 @@
 namespace umberhold {
 namespace {
 
-constexpr size_t kFewestSlots = 4;
+constexpr size_t kMinSlots = 4;
 /** Used slots, in percent, above which a segment grows and below which it shrinks. */
-constexpr size_t kHighestFillPercent = 80;
-constexpr size_t kLowestFillPercent = 40;
+constexpr size_t kMaxFillPercent = 80;
+constexpr size_t kMinFillPercent = 40;
 
 bool isTooFull(size_t used, size_t slots) {
-  return used * 100 > slots * kHighestFillPercent;
+  return used * 100 > slots * kMaxFillPercent;
 }
 
 size_t grownSize(size_t slots) {
-  return std::max(kFewestSlots, slots + slots / 4 + 1);
+  return std::max(kMinSlots, slots + slots / 4 + 1);
 }
 
 }  // namespace
@@ -86,10 +86,10 @@
     slots_ = {};
     return;
   }
-  if (slots_.size() <= kFewestSlots || used_ * 100 >= slots_.size() * kLowestFillPercent) {
+  if (slots_.size() <= kMinSlots || used_ * 100 >= slots_.size() * kMinFillPercent) {
     return;
   }
-  resize(std::max(kFewestSlots, used_ * 100 / kHighestFillPercent + used_ / 4 + 1), seed);
+  resize(std::max(kMinSlots, used_ * 100 / kMaxFillPercent + used_ / 4 + 1), seed);
 }
 
 void FlowSegment::resize(size_t slotCount, uint64_t seed) {
--- a/source/common/flow/flow_segment.h
+++ b/source/common/flow/flow_segment.h
@@ -1,4 +1,4 @@
-/** @file One open-addressing array of flow slots; flow_table.h puts many of them together. */
+/** @file One open-addressing array of flow slots; a FlowTable consists of many segments. */
 #pragma once
 
 #include <cstddef>
@@ -10,10 +10,10 @@
 
 namespace umberhold {
 
-/** One flow in 16 bytes. */
+/** An entry of 16 bytes for one flow. */
 struct FlowSlot {
   uint64_t flow = 0;
-  /** Second of the last packet, modulo 2^27 (4.2 years). */
+  /** Time of the last packet in seconds, modulo 2^27 (4.2 years). */
   uint32_t lastSeen : 27 = 0;
   uint32_t state : 3 = 0;
   uint32_t exception : 1 = 0;
@@ -32,11 +32,12 @@
 
   /** @return index of the flow's slot, or kNotFound. @param position see FlowTable::positionOf. */
   size_t find(uint64_t position, FlowHash flow) const;
-  /** Adds a flow that isn't there; moves every slot where the segment has to grow. */
+  /** Adds a flow that isn't in the segment; if the segment has to grow, all slots are moved. */
   FlowSlot& add(uint64_t position, const FlowSlot& slot, uint64_t seed);
-  /** Frees a slot; the next slots move up, so the same index may hold another flow afterwards. */
+  /** Frees a slot. Later slots are shifted back, so the same index may hold another flow
+   * afterwards. */
   void eraseAt(size_t index, uint64_t seed);
-  /** Gives memory back where the segment is mostly empty. */
+  /** Releases memory if the segment is mostly empty. */
   void shrink(uint64_t seed);
 
   size_t slotCount() const { return slots_.size(); }
@@ -44,7 +45,7 @@
   FlowSlot& at(size_t index) { return slots_[index]; }
   const FlowSlot& at(size_t index) const { return slots_[index]; }
 
-  /** @return where a flow belongs: the upper bits choose the segment, the others the slot. */
+  /** @return the position of a flow: the upper bits select the segment, the others the slot. */
   static uint64_t positionOf(FlowHash flow, uint64_t seed);
   /** log2 of the number of segments of a shard. */
   static constexpr unsigned kSegmentBits = 6;
--- a/source/common/flow/flow_state.cc
+++ b/source/common/flow/flow_state.cc
@@ -3,15 +3,15 @@
 namespace umberhold {
 namespace {
 
-/** Packets that were overtaken by an RST arrive within this; a later one shows that it was no real
- * one. */
-constexpr uint32_t kOvertakenSeconds = 2;
-/** A closing flow without a packet for this long most likely has ended. */
-constexpr uint32_t kQuietClosingSeconds = 10;
+/** Packets reordered behind a RST arrive within this time; a later packet shows that the RST was
+ * forged. */
+constexpr uint32_t kReorderSeconds = 2;
+/** A closing flow without a packet for this long has most likely ended. */
+constexpr uint32_t kIdleClosingSeconds = 10;
 
 }  // namespace
 
-bool isBegun(FlowState state) {
+bool isUnestablished(FlowState state) {
   return state == FlowState::kOpening || state == FlowState::kFirstDatagram;
 }
 
@@ -19,12 +19,12 @@
   return state != FlowState::kClosing && state != FlowState::kReset;
 }
 
-int giveUpRank(FlowState state, uint32_t idleSeconds) {
+int evictionRank(FlowState state, uint32_t idleSeconds) {
   switch (state) {
     case FlowState::kReset:
       return 3;
     case FlowState::kClosing:
-      return idleSeconds >= kQuietClosingSeconds ? 2 : 1;
+      return idleSeconds >= kIdleClosingSeconds ? 2 : 1;
     case FlowState::kOpening:
     case FlowState::kFirstDatagram:
     case FlowState::kLoneDatagram:
@@ -54,11 +54,12 @@
 FlowState nextState(FlowState state, PacketPhase phase, uint32_t idleSeconds) {
   switch (phase) {
     case PacketPhase::kOpening:
-      // A caller that uses its port again; an established flow isn't thrown back by a stray SYN.
+      // A SYN on a closing or reset flow is a caller that reuses its port; a stray SYN doesn't
+      // change an established flow.
       return isOpen(state) ? state : FlowState::kOpening;
     case PacketPhase::kContinuing:
       if (state == FlowState::kClosing ||
-          (state == FlowState::kReset && idleSeconds < kOvertakenSeconds)) {
+          (state == FlowState::kReset && idleSeconds < kReorderSeconds)) {
         return state;
       }
       return FlowState::kEstablished;
--- a/source/common/flow/flow_state.h
+++ b/source/common/flow/flow_state.h
@@ -1,4 +1,5 @@
-/** @file How far a flow has come, as far as the caller's direction tells (answers bypass the node).
+/** @file State of a flow, derived from the caller's packets only (direct server return: answers
+ * bypass the node).
  */
 #pragma once
 
@@ -9,16 +10,17 @@
 
 namespace umberhold {
 
-/** State of a flow; see nextState for the changes. */
+/** State of a flow; see nextState for the transitions. */
 enum class FlowState : uint8_t {
   /** Only TCP SYNs were seen. */
   kOpening = 0,
-  /** Only one UDP datagram was seen, a short while ago. */
+  /** Only one UDP datagram was seen, recently. */
   kFirstDatagram = 1,
-  /** Only one UDP datagram was seen, longer ago; no longer counted against its source. */
+  /** Only one UDP datagram was seen, some time ago; no longer counts against the limit of its
+     source. */
   kLoneDatagram = 2,
   kEstablished = 3,
-  /** The caller has sent FIN; the answer may still be on its way. */
+  /** The caller has sent FIN; the answer may still be in transit. */
   kClosing = 4,
   /** The caller has sent RST. */
   kReset = 5,
@@ -27,19 +29,20 @@
 /** Number of values of FlowState. */
 inline constexpr size_t kFlowStates = 6;
 
-/** @return whether the flow counts against its source, as one that has merely begun. */
-bool isBegun(FlowState state);
-/** @return whether the flow neither closes nor was reset. */
+/** @return whether the flow is not yet established and counts against the limit of its source. */
+bool isUnestablished(FlowState state);
+/** @return whether the flow is neither closing nor reset. */
 bool isOpen(FlowState state);
 /**
- * @return how readily a flow is given up in a full table; the highest goes first, 0 never. A
- * closing flow that is still active (a long answer to a caller that has closed its side) is no
- * better than one that merely began; among equals the one that is idle for longest goes first.
+ * @return eviction rank of a flow in a full table: the highest is evicted first, and 0 never. A
+ * closing flow that is still active (a long answer to a caller that has closed its side) ranks the
+ * same as an unestablished one. Among equal ranks, the flow that has been idle for longest is
+ * evicted first.
  */
-int giveUpRank(FlowState state, uint32_t idleSeconds);
-/** @return the state of a flow after the packet that brought it. */
+int evictionRank(FlowState state, uint32_t idleSeconds);
+/** @return the state of a flow after its first packet. */
 FlowState firstState(PacketPhase phase);
-/** @return the state after one more packet. @param idleSeconds time since the packet before it. */
+/** @return the state after another packet. @param idleSeconds time since the previous packet. */
 FlowState nextState(FlowState state, PacketPhase phase, uint32_t idleSeconds);
 
 }  // namespace umberhold
--- a/source/common/flow/flow_sweep.cc
+++ b/source/common/flow/flow_sweep.cc
@@ -1,4 +1,4 @@
-/** @file How FlowTable forgets flows by itself: idle ones a part at a time, and under pressure. */
+/** @file Expiry of idle flows, in increments, and eviction of flows from a full FlowTable. */
 #include <algorithm>
 
 #include "common/flow/flow_shard.h"
@@ -7,15 +7,15 @@
 namespace umberhold {
 namespace {
 
-/** Slots that one tick looks at; whole segments, so up to one segment more. */
+/** Slots scanned per tick; segments are scanned as a whole, so it may be up to one segment more. */
 constexpr size_t kSweepSlots = 1024;
-/** Segments without any slot that one tick passes over. */
+/** Maximum number of segments visited per tick, including empty ones. */
 constexpr size_t kSweepSegments = 512;
-/** Slots that the search for room compares before it takes the best of them. */
-constexpr size_t kPressureSample = 64;
-/** Slots (and empty segments) after which the search for room gives up. */
-constexpr size_t kPressureLimit = 16384;
-/** After this a lone datagram no longer counts against its source. */
+/** Number of slots that the search for a flow to evict compares before it takes the best one. */
+constexpr size_t kEvictionSample = 64;
+/** Number of slots (and segments) after which the search for a flow to evict gives up. */
+constexpr size_t kMaxEvictionScan = 16384;
+/** Time after which a lone datagram no longer counts against the limit of its source. */
 constexpr uint32_t kFirstDatagramSeconds = 10;
 
 }  // namespace
@@ -43,8 +43,8 @@
     FlowSlot& slot = segment.at(index);
     if (slot.occupied != 0 && isExpired(shard, slot, nowSeconds)) {
       const bool closed = !isOpen(slot.flowState());
-      forget(shardSlot, segment, index, nowSeconds,
-             closed ? RemovalCause::kClosed : RemovalCause::kIdle);
+      removeFlow(shardSlot, segment, index, nowSeconds,
+                 closed ? RemovalCause::kClosed : RemovalCause::kIdle);
       continue;  // another flow may have moved to this index
     }
     if (slot.occupied != 0 && slot.flowState() == FlowState::kFirstDatagram &&
@@ -77,54 +77,56 @@
   return idleSecondsOf(slot, nowSeconds) >= timeout;
 }
 
-/** The flow to give up that the search has found so far. */
+/** The best flow to evict found so far. */
 struct FlowTable::Victim {
   uint32_t shardSlot = 0;
   FlowSegment* segment = nullptr;
   size_t index = 0;
   int rank = 0;
   uint32_t idleSeconds = 0;
-  /** Slots and segments looked at. */
-  size_t seen = 0;
+  /** Number of slots and segments scanned. */
+  size_t scanned = 0;
 };
 
-bool FlowTable::makeRoom(uint32_t nowSeconds) {
+bool FlowTable::evictOne(uint32_t nowSeconds) {
   if (stats_.byState[static_cast<size_t>(FlowState::kEstablished)] == stats_.flows) {
     return false;
   }
   Victim victim;
-  while (victim.seen < kPressureLimit && (victim.rank == 0 || victim.seen < kPressureSample)) {
-    compareRun(victim, nowSeconds);
+  while (victim.scanned < kMaxEvictionScan &&
+         (victim.rank == 0 || victim.scanned < kEvictionSample)) {
+    scanForVictim(victim, nowSeconds);
   }
   if (victim.rank == 0) {
     return false;
   }
-  forget(victim.shardSlot, *victim.segment, victim.index, nowSeconds, RemovalCause::kPressure);
+  removeFlow(victim.shardSlot, *victim.segment, victim.index, nowSeconds, RemovalCause::kTableFull);
   return true;
 }
 
-void FlowTable::compareRun(Victim& victim, uint32_t nowSeconds) {
-  const size_t shardSlot = pressureSegment_ / kSegmentsOfShard;
+void FlowTable::scanForVictim(Victim& victim, uint32_t nowSeconds) {
+  const size_t shardSlot = evictionSegment_ / kSegmentsOfShard;
   FlowSegment* segment = nullptr;
   if (shardSlot < shards_.size() && shards_[shardSlot]) {
-    segment = &shards_[shardSlot]->segments[pressureSegment_ % kSegmentsOfShard];
+    segment = &shards_[shardSlot]->segments[evictionSegment_ % kSegmentsOfShard];
   }
   const size_t slots = segment == nullptr ? 0 : segment->slotCount();
-  const size_t end = std::min(slots, pressureIndex_ + kPressureSample);
-  for (; pressureIndex_ < end; ++pressureIndex_) {
-    const FlowSlot& slot = segment->at(pressureIndex_);
+  const size_t end = std::min(slots, evictionIndex_ + kEvictionSample);
+  for (; evictionIndex_ < end; ++evictionIndex_) {
+    const FlowSlot& slot = segment->at(evictionIndex_);
     const uint32_t idle = idleSecondsOf(slot, nowSeconds);
-    const int rank = slot.occupied == 0 ? 0 : giveUpRank(slot.flowState(), idle);
-    ++victim.seen;
+    const int rank = slot.occupied == 0 ? 0 : evictionRank(slot.flowState(), idle);
+    ++victim.scanned;
     if (rank > victim.rank || (rank == victim.rank && rank > 0 && idle > victim.idleSeconds)) {
-      const size_t seen = victim.seen;
-      victim = Victim{static_cast<uint32_t>(shardSlot), segment, pressureIndex_, rank, idle, seen};
+      const size_t scanned = victim.scanned;
+      victim =
+          Victim{static_cast<uint32_t>(shardSlot), segment, evictionIndex_, rank, idle, scanned};
     }
   }
-  if (pressureIndex_ >= slots) {
-    ++victim.seen;
-    pressureIndex_ = 0;
-    pressureSegment_ = (pressureSegment_ + 1) % (shards_.size() * kSegmentsOfShard);
+  if (evictionIndex_ >= slots) {
+    ++victim.scanned;
+    evictionIndex_ = 0;
+    evictionSegment_ = (evictionSegment_ + 1) % (shards_.size() * kSegmentsOfShard);
   }
 }
 
--- a/source/common/flow/flow_table.cc
+++ b/source/common/flow/flow_table.cc
@@ -68,10 +68,10 @@
   slot.exception = flow.exception ? 1 : 0;
   slot.hostSlot = flow.hostSlot;
   slot.source = sources_.bucketOf(flow.callerAddress);
-  if (isBegun(slot.flowState()) && !sources_.acquire(slot.source)) {
+  if (isUnestablished(slot.flowState()) && !sources_.acquire(slot.source)) {
     return DropReason::kFloodLimited;
   }
-  if (stats_.flows >= options_.capacity && !makeRoom(slot.lastSeen)) {
+  if (stats_.flows >= options_.capacity && !evictOne(slot.lastSeen)) {
     releaseSource(slot);
     return DropReason::kFlowTableFull;
   }
@@ -103,7 +103,7 @@
   FlowSlot& slot = segment.at(index);
   const FlowEntry before = entryOf(slot, secondsOf(now));
   const FlowState next = nextState(before.state, phase, before.idleSeconds);
-  // A reset flow isn't kept fresh by packets that were overtaken by the RST.
+  // Packets that were reordered behind the RST don't extend the life of a reset flow.
   if (before.state != FlowState::kReset || next != FlowState::kReset) {
     slot.lastSeen = secondsOf(now);
   }
@@ -181,13 +181,13 @@
   segment.eraseAt(index, options_.seed);
 }
 
-void FlowTable::forget(uint32_t shardSlot, FlowSegment& segment, size_t index, uint32_t nowSeconds,
-                       RemovalCause cause) {
+void FlowTable::removeFlow(uint32_t shardSlot, FlowSegment& segment, size_t index,
+                           uint32_t nowSeconds, RemovalCause cause) {
   const FlowEntry entry = entryOf(segment.at(index), nowSeconds);
   eraseAt(shardAt(shardSlot), segment, index);
-  stats_.forgottenIdle += cause == RemovalCause::kIdle ? 1 : 0;
-  stats_.forgottenClosed += cause == RemovalCause::kClosed ? 1 : 0;
-  stats_.forgottenUnderPressure += cause == RemovalCause::kPressure ? 1 : 0;
+  stats_.removedIdle += cause == RemovalCause::kIdle ? 1 : 0;
+  stats_.removedClosed += cause == RemovalCause::kClosed ? 1 : 0;
+  stats_.evictedWhenFull += cause == RemovalCause::kTableFull ? 1 : 0;
   if (observer_ != nullptr) {
     observer_->onFlowRemoved(shardSlot, entry, cause);
   }
@@ -198,12 +198,12 @@
     return;
   }
   count(shard, slot, -1);
-  if (isBegun(slot.flowState())) {
+  if (isUnestablished(slot.flowState())) {
     sources_.release(slot.source);
   }
-  // A caller that opens again on a remembered flow isn't refused: it is counted only where there is
-  // room.
-  if (isBegun(state) && !sources_.acquire(slot.source)) {
+  // A caller that reopens a flow that is still in the table isn't refused: if its source is at the
+  // limit, the flow is not counted.
+  if (isUnestablished(state) && !sources_.acquire(slot.source)) {
     state = FlowState::kLoneDatagram;
   }
   slot.state = static_cast<uint32_t>(state);
@@ -223,7 +223,7 @@
 }
 
 void FlowTable::releaseSource(const FlowSlot& slot) {
-  if (isBegun(slot.flowState())) {
+  if (isUnestablished(slot.flowState())) {
     sources_.release(slot.source);
   }
 }
--- a/source/common/flow/flow_table.h
+++ b/source/common/flow/flow_table.h
@@ -1,11 +1,11 @@
 /**
- * @file The flows of one node: which host each flow of each owned shard was given.
+ * @file The flow table of a node: maps each flow of each owned shard to its host.
  *
- * Sized for 500,000 flows at 16 bytes a slot. Each shard has its own segments (open addressing,
- * linear probing, backward-shift deletion), so that a shard is listed or dropped without touching
- * the others. A segment grows and shrinks by itself; no call ever moves more than one segment
- * (about 1/64 of a shard). Slots are chosen by a per-process secret, so that chosen tuples can't
- * lengthen the probes.
+ * Designed for 500,000 flows at 16 bytes per slot. Each shard has its own segments (open
+ * addressing, linear probing, backward-shift deletion), so that a shard is listed or dropped
+ * without touching the others. Segments grow and shrink individually; no call moves more than one
+ * segment (about 1/64 of a shard). Slots are chosen with a per-process secret, so that an attacker
+ * can't lengthen probe sequences by choosing tuples.
  */
 #pragma once
 
@@ -29,33 +29,34 @@
 class FlowSegment;
 struct FlowSlot;
 
-/** Why the table forgot a flow by itself. */
-enum class RemovalCause : uint8_t { kIdle, kClosed, kPressure };
+/** Why the table removed a flow on its own: idle timeout, timeout of a closing or reset flow, or
+ * eviction from a full table. */
+enum class RemovalCause : uint8_t { kIdle, kClosed, kTableFull };
 
-/** One flow, as callers of the table see it. */
+/** A flow, as returned to callers of the table. */
 struct FlowEntry {
   FlowHash flow;
-  /** Index of the host in its shard; the shard logic gives it its meaning. */
+  /** Index of the host in its shard; interpreted by the shard logic. */
   uint16_t hostSlot = 0;
   FlowState state = FlowState::kOpening;
-  /** The host is not the one that the base table names; set by the shard logic. */
+  /** The host differs from the base table's default; set by the shard logic. */
   bool exception = false;
   uint32_t idleSeconds = 0;
 };
 
-/** A flow to be entered. */
+/** A flow to be inserted. */
 struct NewFlow {
   uint32_t shardSlot = 0;
   FlowHash flow;
   uint16_t hostSlot = 0;
   bool exception = false;
-  /** Phase of the packet that brings the flow; kContinuing enters it as established. */
+  /** Phase of the flow's first packet; kContinuing inserts it as established. */
   PacketPhase phase = PacketPhase::kOpening;
   /** Address of the caller, host byte order. */
   uint32_t callerAddress = 0;
 };
 
-/** Called for flows that the table forgets by itself; not by erase() and removeShard(). */
+/** Notified of flows that the table removes on its own; not of erase() and removeShard(). */
 class FlowTableObserver {
  public:
   virtual ~FlowTableObserver() = default;
@@ -63,20 +64,21 @@
   virtual void onFlowRemoved(uint32_t shardSlot, const FlowEntry& entry, RemovalCause cause) = 0;
 };
 
-/** Sizes and times of a table. */
+/** Sizes and timeouts of a table. */
 struct FlowTableOptions {
-  /** Most flows over all shards. */
+  /** Maximum number of flows over all shards. */
   uint32_t capacity = 500000;
-  /** Secret of the slot choice; random in each process. */
+  /** Secret for the choice of slots; random in each process. */
   uint64_t seed = 0;
   /**
-   * Idle time after the caller's FIN. The host's direction isn't seen: a half-closed flow may
-   * receive its answer for long, but then the caller's acknowledgements keep it fresh.
+   * Idle timeout after the caller's FIN. The host's direction isn't visible: a half-closed flow may
+   * receive a long answer, but then the caller's acknowledgements keep it from being idle.
    */
   uint32_t closingTimeoutSeconds = 60;
-  /** Idle time after a RST; covers packets that were overtaken by it. */
+  /** Idle timeout after a RST; covers packets that were reordered behind it. */
   uint32_t resetTimeoutSeconds = 10;
-  /** Idle time while only SYNs were seen; above the longest usual gap between repeats (64 s). */
+  /** Idle timeout while only SYNs were seen; above the maximum usual retransmission interval (64
+   * s). */
   uint32_t openingTimeoutSeconds = 75;
   SourceLimits sourceLimits;
 };
@@ -85,7 +87,7 @@
 struct HostFlowCounts {
   /** Opening, datagram and established flows. */
   uint32_t open = 0;
-  /** Closing and reset flows that are still remembered. */
+  /** Closing and reset flows that are still in the table. */
   uint32_t closing = 0;
 };
 
@@ -94,14 +96,14 @@
   uint32_t flows = 0;
   /** Flows by FlowState. */
   std::array<uint32_t, kFlowStates> byState = {};
-  uint64_t forgottenIdle = 0;
-  uint64_t forgottenClosed = 0;
-  uint64_t forgottenUnderPressure = 0;
-  /** Bytes of all slots, used or not. */
+  uint64_t removedIdle = 0;
+  uint64_t removedClosed = 0;
+  uint64_t evictedWhenFull = 0;
+  /** Memory of all slots in bytes, used or not. */
   uint64_t slotBytes = 0;
 };
 
-/** The table. Not thread safe. */
+/** See the file comment. Not thread safe. */
 class FlowTable {
  public:
   explicit FlowTable(FlowTableOptions options);
@@ -112,42 +114,43 @@
   /** @param observer borrowed; may be nullptr. */
   void setObserver(FlowTableObserver* observer) { observer_ = observer; }
 
-  /** @return the slot of a new, empty shard; slots of removed shards are used again. */
+  /** @return the slot of a new, empty shard; slots of removed shards are reused. */
   uint32_t addShard(uint32_t idleTimeoutSeconds);
-  /** Drops a shard with all its flows. */
+  /** Removes a shard with all its flows. */
   void removeShard(uint32_t shardSlot);
-  /** Takes effect for the flows that are already there, too. */
+  /** Also takes effect for existing flows. */
   void setIdleTimeout(uint32_t shardSlot, uint32_t seconds);
 
   /**
-   * Enters a flow, or moves the one that is there to the given host.
-   * @return kFloodLimited where its source has too many flows that only began; kFlowTableFull where
-   * the table is full and no reset, closing or merely begun flow could be given up.
+   * Inserts a flow, or moves an existing one to the given host.
+   * @return kFloodLimited if its source has too many unestablished flows; kFlowTableFull if the
+   * table is full and no reset, closing or unestablished flow can be evicted.
    */
   Result<Ok, DropReason> insert(TimePoint now, const NewFlow& flow);
   /** @return the flow, unchanged. */
   std::optional<FlowEntry> find(TimePoint now, uint32_t shardSlot, FlowHash flow) const;
-  /** Finds the flow of a packet, marks it as seen and follows its phase; `idleSeconds` is as
-   * before. */
+  /** Finds the flow of a packet and updates its state and the time of its last packet. @return the
+   * updated flow; its `idleSeconds` is the idle time before this packet. */
   std::optional<FlowEntry> touch(TimePoint now, uint32_t shardSlot, FlowHash flow,
                                  PacketPhase phase);
-  /** Moves a flow to another host slot or changes its exception mark. @return whether it was there.
+  /** Moves a flow to another host slot or changes its exception flag. @return whether the flow
+   * existed.
    */
   bool setHost(uint32_t shardSlot, FlowHash flow, uint16_t hostSlot, bool exception);
-  /** @return whether the flow was there. */
+  /** @return whether the flow existed. */
   bool erase(uint32_t shardSlot, FlowHash flow);
 
-  /** Visits every flow of a shard; the visitor must not change the table. */
+  /** Calls the visitor for every flow of a shard; it must not change the table. */
   void forEach(TimePoint now, uint32_t shardSlot,
                const std::function<void(const FlowEntry&)>& visitor) const;
 
-  /** @return flows of a shard. */
+  /** @return number of flows of a shard. */
   uint32_t flowCount(uint32_t shardSlot) const;
-  /** @return flows of a shard on one host. */
+  /** @return numbers of flows of a shard on one host. */
   HostFlowCounts hostCounts(uint32_t shardSlot, uint16_t hostSlot) const;
   FlowTableStats stats() const;
 
-  /** Forgets idle flows in a bounded part of the table; call about every 10 ms. */
+  /** Removes expired flows in a bounded part of the table; to be called about every 10 ms. */
   void tick(TimePoint now);
 
  private:
@@ -156,12 +159,12 @@
   Shard& shardAt(uint32_t shardSlot);
   const Shard& shardAt(uint32_t shardSlot) const;
   FlowSegment& segmentOf(Shard& shard, uint64_t position) const;
-  bool makeRoom(uint32_t nowSeconds);
+  bool evictOne(uint32_t nowSeconds);
   struct Victim;
-  void compareRun(Victim& victim, uint32_t nowSeconds);
+  void scanForVictim(Victim& victim, uint32_t nowSeconds);
   void eraseAt(Shard& shard, FlowSegment& segment, size_t index);
-  void forget(uint32_t shardSlot, FlowSegment& segment, size_t index, uint32_t nowSeconds,
-              RemovalCause cause);
+  void removeFlow(uint32_t shardSlot, FlowSegment& segment, size_t index, uint32_t nowSeconds,
+                  RemovalCause cause);
   size_t sweepSegment(uint32_t shardSlot, FlowSegment& segment, uint32_t nowSeconds);
   bool isExpired(const Shard& shard, const FlowSlot& slot, uint32_t nowSeconds) const;
   void changeState(Shard& shard, FlowSlot& slot, FlowState state);
@@ -173,10 +176,10 @@
   FlowTableObserver* observer_ = nullptr;
   std::vector<std::unique_ptr<Shard>> shards_;
   FlowTableStats stats_;
-  /** Where the next tick and the next search for room go on. */
+  /** Positions at which the next tick and the next search for a flow to evict continue. */
   uint64_t sweepCursor_ = 0;
-  uint64_t pressureSegment_ = 0;
-  size_t pressureIndex_ = 0;
+  uint64_t evictionSegment_ = 0;
+  size_t evictionIndex_ = 0;
 };
 
 }  // namespace umberhold
--- a/source/common/flow/held_packets.h
+++ b/source/common/flow/held_packets.h
@@ -1,9 +1,10 @@
 /**
- * @file Packets that arrive at a node before what they need: a node that has started knows no
- * configuration yet, and after an outage of the store hosts that live have no entry for a while.
+ * @file Packets held until a node can forward them: a node that has just started has no
+ * configuration yet, and after an outage of the store, entries of live hosts may be missing for a
+ * while.
  *
- * A packet that is dropped is sent again only after up to 1.6 s. So it waits here for the fraction
- * of a second until the node is ready, or its host is there.
+ * A dropped packet is retransmitted only after up to 1.6 s. Therefore it is held here for the
+ * fraction of a second until the node is ready or the host's entry is present.
  */
 #pragma once
 
@@ -21,21 +22,22 @@
 
 namespace umberhold {
 
-/** Bounded: what is too much pushes the oldest out. Not thread safe. */
+/** Bounded: when it is full, the oldest packet is evicted. Not thread safe. */
 class HeldPackets {
  public:
-  /** Holds a packet; a copy takes the place of the one before it. @return packets pushed out. */
+  /** Holds a packet; a retransmission replaces the earlier copy. @return number of evicted packets.
+   */
   size_t hold(TimePoint now, const FlowPacket& packet, std::string_view bytes);
-  /** @return the packets in the order of their arrival; nothing is held any more. Those that
-   * waited too long are left out: their callers have sent copies, or given up. */
+  /** Removes all packets. @return them in order of arrival, without those held for more than
+   * kMaxHoldTime: their callers have retransmitted them or given up. */
   std::vector<std::string> take(TimePoint now);
-  /** The same for the packets whose tokens are among these; others are held on. */
+  /** The same for packets with one of these tokens; other packets remain held. */
   std::vector<std::string> takeByToken(TimePoint now, const std::set<uint32_t>& tokens);
   size_t size() const { return packets_.size(); }
 
-  /** At 1,200 bytes of data each: 1.3 MB at most. */
+  /** At 1,200 bytes of data each, at most 1.3 MB. */
   static constexpr size_t kCapacity = 1024;
-  /** A caller gives an opening up after so long, and sends data again within 1.6 s. */
+  /** Callers give up an opening after this time, and retransmit data within 1.6 s. */
   static constexpr Duration kMaxHoldTime = std::chrono::milliseconds(1400);
 
  private:
@@ -47,7 +49,7 @@
   };
 
   std::list<Held> packets_;
-  /** By flow, kind and sequence number: the same for copies of one packet. */
+  /** By a key of flow, kind and sequence number, which is the same for copies of one packet. */
   std::unordered_map<uint64_t, std::list<Held>::iterator> byKey_;
 };
 
--- a/source/common/flow/sequence_number.h
+++ b/source/common/flow/sequence_number.h
@@ -5,7 +5,7 @@
 
 namespace umberhold {
 
-/** @return whether a sequence number comes after another, which may have wrapped around. */
+/** @return whether `left` comes after `right`, allowing for wraparound. */
 inline bool isAfter(uint32_t left, uint32_t right) {
   return static_cast<int32_t>(left - right) > 0;
 }
--- a/source/common/flow/service_lookup.h
+++ b/source/common/flow/service_lookup.h
@@ -1,4 +1,5 @@
-/** @file Which service a packet is meant for; catalog/service_catalog.h implements it. */
+/** @file Lookup of the service that a packet is addressed to; implemented by
+ * catalog/service_catalog.h. */
 #pragma once
 
 #include <cstdint>
@@ -12,16 +13,17 @@
 /** The service behind a virtual address. */
 struct ServiceMatch {
   ServiceId service;
-  /** Whether the service is at home in this node's region. */
+  /** Whether the service belongs to this node's region. */
   bool homeRegion = false;
 };
 
-/** Finds services by what a packet carries; asked once a packet, so it must be a hash lookup. */
+/** Finds services by the destination of a packet. Called for every packet, so it must be a hash
+ * lookup. */
 class ServiceLookup {
  public:
   virtual ~ServiceLookup() = default;
-  /** @param address virtual address, host byte order. @return nothing where no service listens
-   * there. */
+  /** @param address virtual address, host byte order. @return nullopt if no service listens there.
+   */
   virtual std::optional<ServiceMatch> find(uint32_t address, uint16_t port,
                                            TransportProtocol protocol) const = 0;
 };
--- a/source/common/flow/source_limiter.cc
+++ b/source/common/flow/source_limiter.cc
@@ -23,8 +23,8 @@
       seed_(seed),
       addresses_(size_t{1} << (kPrefixBucketBits + kAddressBucketBits)),
       prefixes_(size_t{1} << kPrefixBucketBits) {
-  constexpr uint32_t kHighestCount = std::numeric_limits<uint16_t>::max();
-  limits_.perAddress = std::min(limits_.perAddress, kHighestCount);
+  constexpr uint32_t kMaxCount = std::numeric_limits<uint16_t>::max();
+  limits_.perAddress = std::min(limits_.perAddress, kMaxCount);
 }
 
 SourceBucket SourceLimiter::bucketOf(uint32_t address) const {
--- a/source/common/flow/source_limiter.h
+++ b/source/common/flow/source_limiter.h
@@ -1,8 +1,8 @@
 /**
- * @file Bounds the flows that one source may have merely begun.
+ * @file Limits the number of unestablished flows per source.
  *
- * Counts are kept in fixed hashed buckets: 1,024 buckets of /24 prefixes, each with 64 buckets of
- * addresses. Sources that share a bucket share its limit; the memory is 130 KB whatever arrives.
+ * Counts are kept in a fixed number of hash buckets: 1,024 buckets of /24 prefixes, each with 64
+ * buckets of addresses. Sources in the same bucket share its limit; the memory is always 130 KB.
  */
 #pragma once
 
@@ -11,7 +11,8 @@
 
 namespace umberhold {
 
-/** Most merely begun flows per source; high enough for many callers behind one translated address.
+/** Maximum number of unestablished flows per source; high enough for many callers behind one NAT
+ * address.
  */
 struct SourceLimits {
   uint32_t perAddress = 16384;
@@ -19,20 +20,21 @@
   uint32_t perPrefix = 65536;
 };
 
-/** Index of an address bucket; the upper bits name the prefix bucket. */
+/** Index of an address bucket; the upper bits are the index of the prefix bucket. */
 using SourceBucket = uint16_t;
 
-/** Counts begun flows by source. Not thread safe. */
+/** Counts unestablished flows by source. Not thread safe. */
 class SourceLimiter {
  public:
-  /** @param seed secret of the bucket choice. */
+  /** @param seed secret for the choice of buckets. */
   SourceLimiter(SourceLimits limits, uint64_t seed);
 
   /** @return the bucket of a caller's address (host byte order). */
   SourceBucket bucketOf(uint32_t address) const;
-  /** Counts a begun flow. @return false, and counts nothing, where the source is at its limit. */
+  /** Counts an unestablished flow. @return false, without counting it, if the source is at its
+   * limit. */
   bool acquire(SourceBucket bucket);
-  /** Ends the count of a flow that acquire() admitted. */
+  /** Stops counting a flow that acquire() has counted. */
   void release(SourceBucket bucket);
 
  private:
--- a/test/common/flow/flow_table_test.cc
+++ b/test/common/flow/flow_table_test.cc
@@ -1,4 +1,4 @@
-/** @file Tests of the flow table: what it forgets, what it never gives up, what it counts. */
+/** @file Tests of the flow table: expiry, eviction and counters. */
 #include "common/flow/flow_table.h"
 
 #include <rapidcheck.h>
@@ -19,20 +19,20 @@
 constexpr uint32_t kIdleTimeout = 3600;
 const TimePoint kStart{seconds(1000)};
 
-/** Keeps what the table said that it forgot. */
+/** Records the flows that the table removed. */
 class RecordingObserver : public FlowTableObserver {
  public:
   void onFlowRemoved(uint32_t, const FlowEntry& entry, RemovalCause cause) override {
-    forgotten[entry.flow.value] = cause;
+    removed[entry.flow.value] = cause;
   }
-  std::map<uint64_t, RemovalCause> forgotten;
+  std::map<uint64_t, RemovalCause> removed;
 };
 
 NewFlow newFlow(uint32_t shard, uint64_t flow, PacketPhase phase, uint32_t caller) {
   return NewFlow{shard, FlowHash{flow}, static_cast<uint16_t>(flow % 5), false, phase, caller};
 }
 
-/** Runs enough ticks to pass over a small table more than once. */
+/** Runs enough ticks to scan a small table more than once. */
 void sweep(FlowTable& table, TimePoint now) {
   for (int step = 0; step < 400; ++step) {
     table.tick(now);
@@ -51,7 +51,7 @@
   }
 };
 
-TEST(FlowTable, FullOfEstablishedFlowsRefusesAndKeepsThemAll) {
+TEST(FlowTable, TableFullOfEstablishedFlowsRefusesNewOnesAndKeepsThem) {
   FlowTable table(options);
   const uint32_t shard = table.addShard(kIdleTimeout);
   for (uint64_t flow = 1; flow <= options.capacity; ++flow) {
@@ -74,7 +74,8 @@
   }
   const auto limited = table.insert(kStart, newFlow(shard, 50, PacketPhase::kOpening, kFlooder));
   CHECK(!isOk(limited) && errorOf(limited) == DropReason::kFloodLimited);
-  // Another address of the same /24 has room up to the prefix limit; other prefixes have their own.
+  // Another address of the same /24 may add flows up to the prefix limit; other prefixes have their
+  // own limit.
   for (uint64_t flow = 100; flow < 130; ++flow) {
     CHECK(isOk(table.insert(kStart, newFlow(shard, flow, PacketPhase::kOpening, kFlooder + 1))));
   }
@@ -84,7 +85,7 @@
   CHECK(isOk(table.insert(kStart, newFlow(shard, 50, PacketPhase::kOpening, kFlooder))));
 }
 
-TEST(FlowTable, UnderPressureGivesUpResetThenQuietClosingThenTheOldestBegun) {
+TEST(FlowTable, FullTableEvictsResetThenIdleClosingThenOldestUnestablishedFlows) {
   RecordingObserver observer;
   options.capacity = 6;
   FlowTable table(options);
@@ -95,7 +96,7 @@
   table.insert(kStart + seconds(3), newFlow(shard, 3, PacketPhase::kOpening, 3));
   table.insert(kStart, newFlow(shard, 4, PacketPhase::kClosing, 4));
   table.insert(kStart, newFlow(shard, 5, PacketPhase::kReset, 5));
-  // The caller of flow 6 has closed its side and still receives a long answer.
+  // The caller of flow 6 has closed its side and is still receiving a long answer.
   table.insert(kStart, newFlow(shard, 6, PacketPhase::kClosing, 6));
   const TimePoint now = kStart + seconds(20);
   table.touch(now, shard, FlowHash{6}, PacketPhase::kContinuing);
@@ -103,15 +104,15 @@
   for (size_t step = 0; step < 5; ++step) {
     const uint64_t next = 10 + step;
     CHECK(isOk(table.insert(now, newFlow(shard, next, PacketPhase::kContinuing, 9))));
-    CHECK_EQUAL(step + 1, observer.forgotten.size());
-    CHECK(observer.forgotten.count(expected[step]) == 1);
-    CHECK(observer.forgotten[expected[step]] == RemovalCause::kPressure);
+    CHECK_EQUAL(step + 1, observer.removed.size());
+    CHECK(observer.removed.count(expected[step]) == 1);
+    CHECK(observer.removed[expected[step]] == RemovalCause::kTableFull);
   }
   CHECK_FALSE(isOk(table.insert(kStart, newFlow(shard, 20, PacketPhase::kOpening, 9))));
   CHECK(table.find(kStart, shard, FlowHash{1}).has_value());
 }
 
-TEST(FlowTable, ClosedFlowsAreForgottenSoonerThanIdleOnes) {
+TEST(FlowTable, ClosedFlowsExpireSoonerThanIdleOnes) {
   RecordingObserver observer;
   FlowTable table(options);
   table.setObserver(&observer);
@@ -121,22 +122,22 @@
   }
   table.touch(kStart, shard, FlowHash{1}, PacketPhase::kReset);
   table.touch(kStart, shard, FlowHash{2}, PacketPhase::kClosing);
-  // The caller of flow 3 has closed its side, and acknowledges a long answer.
+  // The caller of flow 3 has closed its side and acknowledges a long answer.
   table.touch(kStart, shard, FlowHash{3}, PacketPhase::kClosing);
   table.touch(kStart + seconds(50), shard, FlowHash{3}, PacketPhase::kContinuing);
   sweep(table, kStart + seconds(11));
-  CHECK_EQUAL(1U, observer.forgotten.size());
-  CHECK(observer.forgotten.at(1) == RemovalCause::kClosed);
+  CHECK_EQUAL(1U, observer.removed.size());
+  CHECK(observer.removed.at(1) == RemovalCause::kClosed);
   sweep(table, kStart + seconds(61));
-  CHECK_EQUAL(2U, observer.forgotten.size());
-  CHECK(observer.forgotten.at(2) == RemovalCause::kClosed);
+  CHECK_EQUAL(2U, observer.removed.size());
+  CHECK(observer.removed.at(2) == RemovalCause::kClosed);
   sweep(table, kStart + seconds(kIdleTimeout));
-  CHECK(observer.forgotten.at(4) == RemovalCause::kIdle);
+  CHECK(observer.removed.at(4) == RemovalCause::kIdle);
   CHECK_EQUAL(0U, table.flowCount(shard));
   CHECK_EQUAL(0U, table.stats().slotBytes);
 }
 
-TEST(FlowTable, SynRepeatDoesNotThrowAnEstablishedFlowBack) {
+TEST(FlowTable, RetransmittedSynDoesNotChangeAnEstablishedFlow) {
   FlowTable table(options);
   const uint32_t shard = table.addShard(kIdleTimeout);
   table.insert(kStart, newFlow(shard, 1, PacketPhase::kOpening, 1));
@@ -145,14 +146,15 @@
   CHECK(table.touch(kStart, shard, FlowHash{1}, PacketPhase::kOpening)->state ==
         FlowState::kEstablished);
   table.touch(kStart, shard, FlowHash{1}, PacketPhase::kReset);
-  // A packet that the RST overtook changes nothing; one much later shows that the RST was forged.
+  // A packet that was reordered behind the RST changes nothing; a much later one shows that the RST
+  // was forged.
   CHECK(table.touch(kStart + seconds(1), shard, FlowHash{1}, PacketPhase::kContinuing)->state ==
         FlowState::kReset);
   CHECK(table.touch(kStart + seconds(5), shard, FlowHash{1}, PacketPhase::kContinuing)->state ==
         FlowState::kEstablished);
 }
 
-TEST(FlowTable, RemovedShardLeavesTheOtherAlone) {
+TEST(FlowTable, RemovingAShardDoesNotAffectOthers) {
   FlowTable table(options);
   const uint32_t first = table.addShard(kIdleTimeout);
   const uint32_t second = table.addShard(kIdleTimeout);
@@ -165,7 +167,7 @@
   CHECK_EQUAL(0U, table.flowCount(first));
 }
 
-// rapidcheck keeps statics for the rest of the process, which the leak detector takes for leaks.
+// rapidcheck keeps statics for the rest of the process, which the leak detector reports as leaks.
 TEST_GROUP(FlowTableProperty){void setup()
                                   override{MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
 }
@@ -175,7 +177,7 @@
 }
 ;
 
-TEST(FlowTableProperty, AgreesWithAPlainMapOverRandomCalls) {
+TEST(FlowTableProperty, MatchesAMapOverRandomCalls) {
   CHECK(rc::check([] {
     FlowTableOptions seeded;
     seeded.seed = *rc::gen::arbitrary<uint64_t>();
--- a/test/common/flow/held_packets_test.cc
+++ b/test/common/flow/held_packets_test.cc
@@ -1,4 +1,4 @@
-/** @file Packets that wait for a node to become ready. */
+/** @file Tests of packets held until a node is ready. */
 #include "common/flow/held_packets.h"
 
 #include <string>
@@ -31,7 +31,7 @@
   }
 };
 
-TEST(HeldPackets, GivesPacketsBackOnceInTheirOrder) {
+TEST(HeldPackets, ReturnsPacketsOnceInOrder) {
   hold(1, PacketPhase::kOpening, 1, "a");
   hold(2, PacketPhase::kContinuing, 1, "b");
   hold(1, PacketPhase::kContinuing, 1, "c");
@@ -41,8 +41,8 @@
   LONGS_EQUAL(0, held.take(now).size());
 }
 
-/** Two copies of an opening that are placed at one moment would open the flow at two hosts. */
-TEST(HeldPackets, ACopyTakesThePlaceOfTheOneBefore) {
+/** Two copies of an opening placed at the same time would open the flow on two hosts. */
+TEST(HeldPackets, RetransmissionReplacesTheEarlierCopy) {
   hold(1, PacketPhase::kOpening, 1, "first");
   now += milliseconds(200);
   hold(1, PacketPhase::kOpening, 1, "second");
@@ -51,7 +51,7 @@
   CHECK_TRUE(taken[0] == "second");
 }
 
-TEST(HeldPackets, LeavesOutWhatWaitedTooLong) {
+TEST(HeldPackets, OmitsPacketsHeldTooLong) {
   hold(1, PacketPhase::kOpening, 1, "old");
   now += HeldPackets::kMaxHoldTime;
   hold(2, PacketPhase::kOpening, 1, "new");
@@ -61,7 +61,7 @@
   CHECK_TRUE(taken[0] == "new");
 }
 
-TEST(HeldPackets, GivesBackThoseOfSomeHosts) {
+TEST(HeldPackets, ReturnsPacketsByToken) {
   hold(1, PacketPhase::kContinuing, 1, "a");
   hold(2, PacketPhase::kContinuing, 1, "b");
   hold(1, PacketPhase::kContinuing, 2, "c");
@@ -74,7 +74,7 @@
   LONGS_EQUAL(0, held.size());
 }
 
-TEST(HeldPackets, PushesTheOldestOut) {
+TEST(HeldPackets, EvictsTheOldestWhenFull) {
   size_t pushedOut = 0;
   for (uint32_t caller = 1; caller <= 100000; ++caller) {
     pushedOut += hold(caller, PacketPhase::kOpening, 1, std::to_string(caller));
