--- a/source/common/catalog/service_catalog.cc
+++ b/source/common/catalog/service_catalog.cc
@@ -31,8 +31,8 @@
 }
 
 const Service* ServiceCatalog::find(ServiceId id) const {
-  const auto place = homeServices_.find(id);
-  return place == homeServices_.end() ? nullptr : &place->second;
+  const auto found = homeServices_.find(id);
+  return found == homeServices_.end() ? nullptr : &found->second;
 }
 
 void ServiceCatalog::forEach(const std::function<void(ServiceId, const Service&)>& visitor) const {
@@ -43,16 +43,16 @@
 
 std::optional<ServiceMatch> ServiceCatalog::find(uint32_t address, uint16_t port,
                                                  TransportProtocol protocol) const {
-  const auto place = listeners_.find(listenKey(address, port, protocol));
-  if (place == listeners_.end()) {
+  const auto found = listeners_.find(listenKey(address, port, protocol));
+  if (found == listeners_.end()) {
     return std::nullopt;
   }
-  return ServiceMatch{place->second, homeServices_.count(place->second) > 0};
+  return ServiceMatch{found->second, homeServices_.count(found->second) > 0};
 }
 
 const Policy* ServiceCatalog::findPolicy(const std::string& name) const {
-  const auto place = policies_.find(name);
-  return place == policies_.end() || !place->second.policy ? nullptr : &*place->second.policy;
+  const auto found = policies_.find(name);
+  return found == policies_.end() || !found->second.policy ? nullptr : &*found->second.policy;
 }
 
 ServiceCatalog::ListenKey ServiceCatalog::listenKey(uint32_t address, uint16_t port,
@@ -112,7 +112,7 @@
 
 void ServiceCatalog::deleteService(ServiceId id, ServiceEntry& entry) {
   releaseAddress(entry);
-  dropHomeService(id);
+  removeHomeService(id);
 }
 
 void ServiceCatalog::setService(ServiceId id, ServiceEntry& entry, Service service) {
@@ -122,7 +122,7 @@
     listenOn(id, entry, key);
   }
   if (service.region != homeRegion_) {
-    dropHomeService(id);
+    removeHomeService(id);
     return;
   }
   Service& kept = homeServices_[id];
@@ -132,7 +132,7 @@
   }
 }
 
-void ServiceCatalog::dropHomeService(ServiceId id) {
+void ServiceCatalog::removeHomeService(ServiceId id) {
   if (homeServices_.erase(id) == 0) {
     return;
   }
@@ -144,10 +144,10 @@
 void ServiceCatalog::listenOn(ServiceId id, ServiceEntry& entry, ListenKey key) {
   entry.listen = key;
   ++liveServices_;
-  const auto [place, isFree] = listeners_.try_emplace(key, id);
+  const auto [found, isFree] = listeners_.try_emplace(key, id);
   if (!isFree) {
     contested_.insert(key);
-    place->second = std::min(place->second, id);
+    found->second = std::min(found->second, id);
   }
 }
 
@@ -159,13 +159,13 @@
   entry.listen = 0;
   --liveServices_;
   if (contested_.count(key) > 0) {
-    settle(key);
+    reassignAddress(key);
   } else {
     listeners_.erase(key);
   }
 }
 
-void ServiceCatalog::settle(ListenKey key) {
+void ServiceCatalog::reassignAddress(ListenKey key) {
   size_t claims = 0;
   std::optional<ServiceId> lowest;
   for (const auto& [id, entry] : entries_) {
--- a/source/common/catalog/service_catalog.h
+++ b/source/common/catalog/service_catalog.h
@@ -1,8 +1,8 @@
 /**
- * @file What the applied configuration says, in the form that packets and placement ask for.
+ * @file The applied configuration, indexed for packet processing and placement.
  *
- * Of every service of the system it keeps a few dozen bytes (virtual address to identifier); only
- * services of this node's own region are kept whole.
+ * For every service of the system it keeps a few dozen bytes (virtual address to identifier); only
+ * services of this node's own region are stored completely.
  */
 #pragma once
 
@@ -22,7 +22,7 @@
 
 namespace umberhold {
 
-/** Is notified of every change of the catalogue, after it took effect. */
+/** Notified of every change of the catalogue, after it has taken effect. */
 class CatalogObserver {
  public:
   virtual ~CatalogObserver() = default;
@@ -34,19 +34,19 @@
   virtual void onPolicyDeleted(const std::string& name) = 0;
 };
 
-/** What became of a record. */
+/** Result of applying a record. */
 enum class ApplyOutcome : uint8_t {
   kApplied,
-  /** The catalogue already holds this version or a newer one. */
+  /** The catalogue already has this version or a newer one. */
   kNotNewer,
-  /** The record's kind is none of the catalogue's. */
+  /** The catalogue doesn't store records of this kind. */
   kOtherKind,
 };
 
 /**
- * The catalogue. A record never replaces a newer one, a deletion included, so records may come in
- * any order and repeated. A record that can't be decoded leaves the object as it was. Not thread
- * safe.
+ * See the file comment. A record never replaces a newer one, including a deletion, so records may
+ * arrive in any order and more than once. A record that can't be decoded leaves the object
+ * unchanged. Not thread safe.
  */
 class ServiceCatalog : public ServiceSource, public ServiceLookup {
  public:
@@ -68,11 +68,12 @@
 
   /** @return the policy, or nullptr; valid until the next change. */
   const Policy* findPolicy(const std::string& name) const;
-  /** @return live services of all regions. */
+  /** @return number of services of all regions, without deleted ones. */
   size_t serviceCount() const { return liveServices_; }
   size_t policyCount() const { return policies_.size(); }
   size_t homeServiceCount() const { return homeServices_.size(); }
-  /** @return virtual addresses that more than one service claims; the lowest identifier has them.
+  /** @return number of virtual addresses claimed by more than one service; such an address is
+   * assigned to the lowest identifier.
    */
   size_t contestedAddressCount() const { return contested_.size(); }
 
@@ -80,7 +81,7 @@
   /** Address, port and protocol in one integer; 0 for none. */
   using ListenKey = uint64_t;
 
-  /** What is kept of every service, tombstones included. */
+  /** Entry of every service, including tombstones. */
   struct ServiceEntry {
     uint64_t version = 0;
     ListenKey listen = 0;
@@ -96,11 +97,11 @@
   Result<ApplyOutcome, DecodeError> applyPolicy(const ConfigRecord& record);
   void deleteService(ServiceId id, ServiceEntry& entry);
   void setService(ServiceId id, ServiceEntry& entry, Service service);
-  void dropHomeService(ServiceId id);
+  void removeHomeService(ServiceId id);
   void listenOn(ServiceId id, ServiceEntry& entry, ListenKey key);
   void releaseAddress(ServiceEntry& entry);
-  /** Gives a contested address to the lowest identifier that claims it. */
-  void settle(ListenKey key);
+  /** Assigns a contested address to the lowest identifier that claims it. */
+  void reassignAddress(ListenKey key);
 
   const std::string homeRegion_;
   std::vector<CatalogObserver*> observers_;
--- a/test/common/catalog/service_catalog_test.cc
+++ b/test/common/catalog/service_catalog_test.cc
@@ -1,4 +1,4 @@
-/** @file The catalogue: versions decide, home region only, addresses, observers. */
+/** @file Tests of the catalogue: versions, home region, addresses and observers. */
 #include "common/catalog/service_catalog.h"
 
 #include <string>
@@ -70,7 +70,7 @@
   }
 };
 
-TEST(ServiceCatalog, AnOlderVersionNeverReplacesANewerOne) {
+TEST(ServiceCatalog, OlderVersionNeverReplacesANewerOne) {
   checkOutcome(ApplyOutcome::kApplied, serviceRecord(makeService("dispatch", "addis", 2), 9));
   checkOutcome(ApplyOutcome::kNotNewer, serviceRecord(makeService("dispatch", "addis", 1), 8));
   checkOutcome(ApplyOutcome::kNotNewer, serviceRecord(makeService("dispatch", "addis", 2), 9));
@@ -80,7 +80,7 @@
   CHECK_EQUAL(1U, observer.events.size());
 }
 
-TEST(ServiceCatalog, ADeletedServiceStaysDeletedAgainstOldRecords) {
+TEST(ServiceCatalog, OldRecordsDoNotRestoreADeletedService) {
   checkOutcome(ApplyOutcome::kApplied, serviceRecord(makeService("dispatch", "addis", 1), 5));
   checkOutcome(ApplyOutcome::kApplied, tombstone(ObjectKind::kService, "dispatch", 7));
   checkOutcome(ApplyOutcome::kNotNewer, serviceRecord(makeService("dispatch", "addis", 1), 6));
@@ -92,13 +92,13 @@
   STRCMP_EQUAL("deleted dispatch", observer.events[1].c_str());
 }
 
-TEST(ServiceCatalog, ATombstoneThatComesFirstIsRemembered) {
+TEST(ServiceCatalog, TombstoneThatArrivesFirstIsKept) {
   checkOutcome(ApplyOutcome::kApplied, tombstone(ObjectKind::kService, "dispatch", 7));
   checkOutcome(ApplyOutcome::kNotNewer, serviceRecord(makeService("dispatch", "addis", 1), 6));
   CHECK_TRUE(observer.events.empty());
 }
 
-TEST(ServiceCatalog, AnUndecodableRecordLeavesTheServiceAsItWas) {
+TEST(ServiceCatalog, UndecodableRecordLeavesTheServiceUnchanged) {
   checkOutcome(ApplyOutcome::kApplied, serviceRecord(makeService("dispatch", "addis", 1), 5));
   ConfigRecord broken = serviceRecord(makeService("dispatch", "addis", 2), 6);
   broken.payload.resize(3);
@@ -107,7 +107,7 @@
   checkOutcome(ApplyOutcome::kApplied, serviceRecord(makeService("dispatch", "addis", 2), 6));
 }
 
-TEST(ServiceCatalog, OtherRegionsAreFoundByAddressOnly) {
+TEST(ServiceCatalog, ServicesOfOtherRegionsAreFoundByAddressOnly) {
   checkOutcome(ApplyOutcome::kApplied, serviceRecord(makeService("fleet", "hobart", 3), 1));
   const ServiceLookup& lookup = catalog;
   const auto match = lookup.find(3, 7000, TransportProtocol::kTcp);
@@ -119,7 +119,7 @@
   CHECK_TRUE(observer.events.empty());
 }
 
-TEST(ServiceCatalog, AServiceThatMovesAwayIsDeletedHere) {
+TEST(ServiceCatalog, ServiceMovedToAnotherRegionIsDeletedHere) {
   checkOutcome(ApplyOutcome::kApplied, serviceRecord(makeService("dispatch", "addis", 1), 1));
   checkOutcome(ApplyOutcome::kApplied, serviceRecord(makeService("dispatch", "hobart", 1), 2));
   CHECK_TRUE(findHome("dispatch") == nullptr);
@@ -128,7 +128,7 @@
   checkListener("dispatch", 1);
 }
 
-TEST(ServiceCatalog, AContestedAddressHasOneWinnerInAnyOrder) {
+TEST(ServiceCatalog, ContestedAddressIsAssignedIndependentlyOfOrder) {
   const bool firstIsLower = serviceIdOf("dispatch") < serviceIdOf("fleet");
   const std::string winner = firstIsLower ? "dispatch" : "fleet";
   const std::string loser = firstIsLower ? "fleet" : "dispatch";
@@ -150,7 +150,7 @@
   }
 }
 
-TEST(ServiceCatalog, PoliciesFollowTheirVersionsToo) {
+TEST(ServiceCatalog, PoliciesAreAppliedByVersion) {
   const ConfigRecord policy{
       {ObjectKind::kPolicy, "even"}, 4, false, valueOf(encodePolicy({"even", "source"}))};
   checkOutcome(ApplyOutcome::kApplied, policy);
@@ -163,6 +163,6 @@
   STRCMP_EQUAL("no policy even", observer.events[1].c_str());
 }
 
-TEST(ServiceCatalog, RegionContactsAreNoneOfItsConcern) {
+TEST(ServiceCatalog, IgnoresRegionContacts) {
   checkOutcome(ApplyOutcome::kOtherKind, {{ObjectKind::kRegionContacts, "addis"}, 1, false, "x"});
 }
