--- a/source/common/admission/opening_queue.h
+++ b/source/common/admission/opening_queue.h
@@ -136,8 +136,8 @@
   /** @return the number of openings under way at the pool. */
   uint32_t underWayCount(const std::string& pool) const;
 
-  /** Callers retransmit an opening after 200 and 600 ms and give up 800 ms later, so an opening
-   * released after this time can still be answered. */
+  /** Maximum wait of an opening. Callers retransmit it after 200 and 600 ms and give up 800 ms
+   * later, so an opening released by then can still be answered. */
   static constexpr Duration kMaxWait = std::chrono::milliseconds(400);
   /** Openings of about 40 bytes each, plus about 300 bytes of bookkeeping (calculated): 0.4 MB. */
   static constexpr size_t kCapacity = 1024;
--- a/source/common/placement/shard_permits.cc
+++ b/source/common/placement/shard_permits.cc
@@ -36,8 +36,8 @@
                                                      size_t maxRequests) {
   std::vector<PermitRequest> requests;
   for (size_t visited = 0; visited < uses.size() && requests.size() < maxRequests; ++visited) {
-    nextIndex_ = (nextIndex_ + 1) % uses.size();
-    const HostUse& use = uses[nextIndex_];
+    lastIndex_ = (lastIndex_ + 1) % uses.size();
+    const HostUse& use = uses[lastIndex_];
     Entry& entry = entryOf(use.host);
     const auto request = entry.requester.due(now, shard_, entry.account, use);
     if (request.has_value()) {
--- a/source/common/placement/shard_permits.h
+++ b/source/common/placement/shard_permits.h
@@ -49,7 +49,7 @@
   bool totalsUnknown_;
   std::unordered_map<HostId, Entry> entries_;
   /** Index of the host that was checked last. */
-  size_t nextIndex_ = 0;
+  size_t lastIndex_ = 0;
 };
 
 }  // namespace umberhold
--- a/test/common/overflow/split_overflow_property.cc
+++ b/test/common/overflow/split_overflow_property.cc
@@ -128,8 +128,9 @@
         const auto others = static_cast<double>(split.othersOf(part) - sample.others[part]);
         // The bound applies to all flows, so it is scaled to the flows due to others; the initial
         // credit allows one more.
-        const double largest = others * split.maxPartOf(part) / (1.0 - split.weightOf(part)) + 1.0;
-        RC_ASSERT(beyond <= largest + kRounding);
+        const double maxOverflow =
+            others * split.maxPartOf(part) / (1.0 - split.weightOf(part)) + 1.0;
+        RC_ASSERT(beyond <= maxOverflow + kRounding);
       }
     }
   });
--- a/test/common/placement/misleading_health_test.cc
+++ b/test/common/placement/misleading_health_test.cc
@@ -116,7 +116,7 @@
   double maxShare = 0.0;
   for (int second = 0; second < 60; ++second) {
     group.run(kSecond);
-    maxShare = std::max(most, group.flowsOn(0) / group.meanFlows());
+    maxShare = std::max(maxShare, group.flowsOn(0) / group.meanFlows());
   }
   CHECK_COMPARE(maxShare, <, 1.5);
   CHECK_EQUAL(0U, group.refused());
