--- a/source/common/placement/base_table.cc
+++ b/source/common/placement/base_table.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 BaseTable::BaseTable(std::vector<BaseHost> hosts)
-    : hosts_(std::handOverOwner(hosts)), version_(fingerprint(hosts_)) {}
+    : hosts_(std::move(hosts)), version_(fingerprint(hosts_)) {}
 
 std::optional<HostId> BaseTable::defaultHost(FlowHash flow) const {
   const size_t index = bestHost(hosts_, flow);
--- a/source/common/placement/host_load_table.cc
+++ b/source/common/placement/host_load_table.cc
@@ -87,7 +87,7 @@
     for (size_t slot = 0; slot < kept.size(); ++slot) {
       moved[slot] = oldSlots[slot] < oldSize ? counts[oldSlots[slot]] : 0;
     }
-    counts = std::handOverOwner(moved);
+    counts = std::move(moved);
   };
   for (auto& [index, shard] : own_) {
     rearrange(shard.known);
@@ -98,7 +98,7 @@
     rearrange(shard.counts);
   }
   rearrange(ownFlows_);
-  hosts_ = std::handOverOwner(kept);
+  hosts_ = std::move(kept);
   slots_.clear();
   for (size_t slot = 0; slot < hosts_.size(); ++slot) {
     slots_.emplace(hosts_[slot], slot);
@@ -146,7 +146,7 @@
   ownTotal_ -= sumOf(other.counts);
   other.ownTotal = static_cast<double>(ownTotal_);
   own_.erase(found);
-  others_[shard] = std::handOverOwner(other);
+  others_[shard] = std::move(other);
   othersDirty_ = true;
 }
 
--- a/source/common/placement/service_placement.cc
+++ b/source/common/placement/service_placement.cc
@@ -23,7 +23,7 @@
 ServicePlacement::ServicePlacement(TimePoint now, const Service& service,
                                    ServicePlacementOptions options, ExceptionBudget& budget,
                                    uint64_t seed)
-    : parts_(std::make_unique<Parts>(service, std::handOverOwner(options), budget, seed)) {
+    : parts_(std::make_unique<Parts>(service, std::move(options), budget, seed)) {
   parts_->setHosts(now, service);
 }
 
@@ -285,7 +285,7 @@
     view.draining = spec.state == HostState::kDraining;
     view.ageSeconds = parts_->health.ageSeconds(now, parts_->hosts[index]);
     view.sameZone = spec.zone == parts_->options.zoneName;
-    views.push_back(std::handOverOwner(view));
+    views.push_back(std::move(view));
   }
   return views;
 }
--- a/source/common/placement/service_placement_parts.h
+++ b/source/common/placement/service_placement_parts.h
@@ -59,7 +59,7 @@
   Parts(const Service& configured, ServicePlacementOptions given, ExceptionBudget& shared,
         uint64_t seed)
       : id(serviceIdOf(configured.name)),
-        options(std::handOverOwner(given)),
+        options(std::move(given)),
         budget(shared),
         loads(options.aging, options.loadShareInterval),
         health(options.health, seed) {}
--- a/source/common/shard/local_shard.h
+++ b/source/common/shard/local_shard.h
@@ -98,7 +98,7 @@
   /** The service's configuration changed: the replica must know the flows from before at once. */
   void hurryKnownFlows() { knownFlows_.hurry(); }
   /** The flow table forgot an entry of this shard. */
-  void onFlowRemoved(TimePoint now, const FlowEntry& entry);
+  void onFlowForgotten(TimePoint now, const FlowEntry& entry);
 
   ShardRole role() const { return role_; }
   uint32_t epoch() const { return epoch_; }
--- a/source/common/shard/local_shard_packets.cc
+++ b/source/common/shard/local_shard_packets.cc
@@ -117,10 +117,10 @@
 
 void LocalShard::dropEntry(TimePoint now, const FlowEntry& entry) {
   context_.flows.erase(flowSlot_, entry.flow);
-  onFlowRemoved(now, entry);
+  onFlowForgotten(now, entry);
 }
 
-void LocalShard::onFlowRemoved(TimePoint now, const FlowEntry& entry) {
+void LocalShard::onFlowForgotten(TimePoint now, const FlowEntry& entry) {
   if (role_ != ShardRole::kOwner) {
     return;
   }
--- a/source/common/shard/shard_director.cc
+++ b/source/common/shard/shard_director.cc
@@ -354,7 +354,7 @@
                                     RemovalCause /*cause*/) {
   for (auto& [id, shard] : shards_) {
     if (shard->flowSlot() == shardSlot) {
-      shard->onFlowRemoved(now_, entry);
+      shard->onFlowForgotten(now_, entry);
       return;
     }
   }
--- a/test/common/placement/owner_group.cc
+++ b/test/common/placement/owner_group.cc
@@ -70,7 +70,7 @@
     owners_[flow.owner].placement->flowRemoved(owners_[flow.owner].shard, hosts_[host]);
     --flows_[host];
   }
-  departures_ = decltype(departures_)({}, std::handOverOwner(kept));
+  departures_ = decltype(departures_)({}, std::move(kept));
 }
 
 void OwnerGroup::startHost(size_t host) {
