--- a/source/common/shard/local_shard_replication.cc
+++ b/source/common/shard/local_shard_replication.cc
@@ -361,7 +361,7 @@
   if (!knowsAllFlows_ && now - ownedSince_ >= idleTimeout) {
     knowsAllFlows_ = true;
     oldFlows_.reset();
-    service_.placement->shardKnowsAllFlows(id_);
+    service_.placement->markFlowsComplete(id_);
   }
 }
 
