--- a/bench/load_model/load_model.cc
+++ b/bench/load_model/load_model.cc
@@ -332,10 +332,10 @@
   void share() {
     for (size_t zone = 0; day_.sharesSilence && zone < nodes_.size(); ++zone) {
       for (size_t index = 0; index < nodes_[zone].size(); ++index) {
-        SignGatherer& gatherer = gatherers_[zone][index];
-        gatherer.add(nodes_[zone][index]->takeSigns());
+        AckStateCollector& gatherer = gatherers_[zone][index];
+        gatherer.add(nodes_[zone][index]->takeAckStates());
         silence_[zone].merge(now(), index, gatherer.take(now()));
-        nodes_[zone][index]->learnSilent(now(), silence_[zone].silentHosts(now()));
+        nodes_[zone][index]->applySilentHosts(now(), silence_[zone].silentHosts(now()));
       }
     }
     at(now_ + kShareInterval, [this] { share(); });
@@ -598,7 +598,7 @@
   std::vector<Host> hosts_;
   std::unordered_map<uint32_t, size_t> byToken_;
   std::vector<std::vector<std::unique_ptr<TokenDirector>>> nodes_;
-  std::vector<std::vector<SignGatherer>> gatherers_;
+  std::vector<std::vector<AckStateCollector>> gatherers_;
   std::vector<ZoneSilence> silence_;
   std::deque<User> users_;
   std::deque<Request> requests_;
--- a/source/common/health/host_health.cc
+++ b/source/common/health/host_health.cc
@@ -118,7 +118,7 @@
   }
 }
 
-void HostHealth::onRemote(TimePoint now, uint16_t fromShard, HostId host, bool healthy,
+void HostHealth::onRemoteResult(TimePoint now, uint16_t fromShard, HostId host, bool healthy,
                           std::optional<LoadReport> report) {
   const auto found = states_.find(host);
   if (found == states_.end() || found->second.index % shardCount_ != fromShard ||
--- a/source/common/health/host_health.h
+++ b/source/common/health/host_health.h
@@ -60,7 +60,7 @@
   uint32_t loadPercent = 0;
   TimePoint at;
   /** Flows on the host when the report came. */
-  double flowsThen = 0.0;
+  double flowsAtReport = 0.0;
 };
 
 /** Not thread safe; no I/O. */
@@ -79,7 +79,7 @@
   /** Takes a result of this node's probe. */
   void onProbe(TimePoint now, HostId host, bool healthy, std::optional<LoadReport> report);
   /** Takes what the owner of a shard found; ignored where that owner doesn't probe the host. */
-  void onRemote(TimePoint now, uint16_t fromShard, HostId host, bool healthy,
+  void onRemoteResult(TimePoint now, uint16_t fromShard, HostId host, bool healthy,
                 std::optional<LoadReport> report);
 
   /** @return whether the host may get new flows as far as health goes; panic threshold applied. */
--- a/source/common/health/host_observations.cc
+++ b/source/common/health/host_observations.cc
@@ -31,8 +31,8 @@
 }  // namespace
 
 size_t mostSpeedsBeside(size_t standings) {
-  const size_t left = kMostStandings - std::min(standings, kMostStandings);
-  return std::min(kMostLearnedSpeeds, left * kStandingBytes / kSpeedBytes);
+  const size_t left = kMaxStandings - std::min(standings, kMaxStandings);
+  return std::min(kMaxLearnedSpeeds, left * kStandingBytes / kSpeedBytes);
 }
 
 std::string_view toString(ReportOutcome outcome) {
@@ -51,9 +51,9 @@
   return "unknown";
 }
 
-void SampleGatherer::add(const std::vector<HostSample>& samples) {
+void SampleCollector::add(const std::vector<HostSample>& samples) {
   for (const HostSample& sample : samples) {
-    if (sums_.size() >= kMostReportedHosts && !sums_.contains(sample.token)) {
+    if (sums_.size() >= kMaxReportedHosts && !sums_.contains(sample.token)) {
       continue;
     }
     Sum& sum = sums_[sample.token];
@@ -66,7 +66,7 @@
   }
 }
 
-HostReport SampleGatherer::takeReport(TimePoint now) {
+HostReport SampleCollector::takeReport(TimePoint now) {
   HostReport report;
   report.reporter = reporter_;
   report.sequence = static_cast<uint64_t>(now.time_since_epoch().count());
@@ -82,8 +82,8 @@
 }
 
 ReportOutcome ZoneObservations::merge(TimePoint now, const HostReport& report) {
-  const bool isSane = report.hosts.size() <= kMostReportedHosts &&
-                      report.signs.size() <= kMostReportedSigns &&
+  const bool isSane = report.hosts.size() <= kMaxReportedHosts &&
+                      report.signs.size() <= kMaxReportedSigns &&
                       std::all_of(report.hosts.begin(), report.hosts.end(), isValid);
   if (!isSane) {
     return ReportOutcome::kInvalid;
@@ -150,7 +150,7 @@
             [](const HostStanding& left, const HostStanding& right) {
               return left.percentOfUsual > right.percentOfUsual;
             });
-  standings.resize(std::min(standings.size(), kMostStandings));
+  standings.resize(std::min(standings.size(), kMaxStandings));
   return standings;
 }
 
--- a/source/common/health/host_observations.h
+++ b/source/common/health/host_observations.h
@@ -23,19 +23,19 @@
 
 /** Hosts in one report, 13 bytes each; of more, those that were seen last are left out. Both bounds
  * together keep polls of 0.6 s below 2.7 KB/s. */
-constexpr size_t kMostReportedHosts = 48;
+constexpr size_t kMaxReportedHosts = 48;
 /** Hosts in one answer, 12 bytes each, the latest first. */
-constexpr size_t kMostStandings = 80;
+constexpr size_t kMaxStandings = 80;
 /** Speeds in one answer, 10 bytes each. */
-constexpr size_t kMostLearnedSpeeds = 60;
+constexpr size_t kMaxLearnedSpeeds = 60;
 /** @return speeds in an answer beside so many standings: both together take no more bytes than
- * kMostStandings do. */
+ * kMaxStandings do. */
 size_t mostSpeedsBeside(size_t standings);
 
 /** Gathers a node's own samples until its next report. Not thread safe. */
-class SampleGatherer {
+class SampleCollector {
  public:
-  explicit SampleGatherer(uint64_t reporter) : reporter_(reporter) {}
+  explicit SampleCollector(uint64_t reporter) : reporter_(reporter) {}
 
   void add(const std::vector<HostSample>& samples);
   /** @param now gives the sequence number. @return what was gathered since the last report. */
--- a/source/common/health/observation_exchange.cc
+++ b/source/common/health/observation_exchange.cc
@@ -16,9 +16,9 @@
 /** The same while a host leaves data unacknowledged. */
 constexpr Duration kUrgentInterval = std::chrono::milliseconds(100);
 
-bool isUrgent(const std::vector<HostSigns>& signs) {
+bool isUrgent(const std::vector<HostAckState>& signs) {
   return std::any_of(signs.begin(), signs.end(),
-                     [](const HostSigns& sign) { return sign.copies > 0; });
+                     [](const HostAckState& sign) { return sign.copies > 0; });
 }
 
 }  // namespace
@@ -27,7 +27,7 @@
     : gatherer_(hashBytes(nodeName)) {}
 
 void ObservationExchange::add(TimePoint now, const std::vector<HostSample>& samples,
-                              const std::vector<HostSigns>& signs) {
+                              const std::vector<HostAckState>& signs) {
   const bool urgent = isUrgent(signs);
   bool isAsked = false;
   {
@@ -64,13 +64,13 @@
   return outcome;
 }
 
-ZoneNews ObservationExchange::newsNow(TimePoint now) {
-  ZoneNews news{zone_.standings(now), silence_.silentHosts(now), {}};
+ZoneUpdate ObservationExchange::newsNow(TimePoint now) {
+  ZoneUpdate news{zone_.standings(now), silence_.silentHosts(now), {}};
   news.speeds = zone_.speeds(now, mostSpeedsBeside(news.standings.size()));
   return news;
 }
 
-std::optional<ZoneNews> ObservationExchange::takeNews() {
+std::optional<ZoneUpdate> ObservationExchange::takeUpdate() {
   const std::lock_guard lock(mutex_);
   return std::exchange(news_, std::nullopt);
 }
@@ -80,7 +80,7 @@
   return takeOwnReport(now);
 }
 
-void ObservationExchange::learn(ZoneNews news) {
+void ObservationExchange::onPeerUpdate(ZoneUpdate news) {
   const std::lock_guard lock(mutex_);
   news_ = std::move(news);
 }
@@ -94,7 +94,7 @@
   ++counters_[static_cast<size_t>(outcome)];
 }
 
-ZoneNews ObservationExchange::news(TimePoint now) {
+ZoneUpdate ObservationExchange::zoneUpdate(TimePoint now) {
   const std::lock_guard lock(mutex_);
   return newsNow(now);
 }
--- a/source/common/health/observation_exchange.h
+++ b/source/common/health/observation_exchange.h
@@ -22,7 +22,7 @@
 using ReportCounters = std::array<uint64_t, static_cast<size_t>(ReportOutcome::kCount)>;
 
 /** What a zone's nodes together say of hosts. */
-struct ZoneNews {
+struct ZoneUpdate {
   /** Hosts that answer late. */
   std::vector<HostStanding> standings;
   /** Hosts that are silent to all. */
@@ -40,22 +40,22 @@
   // The packets' thread.
   /** This node's own samples and signs. */
   void add(TimePoint now, const std::vector<HostSample>& samples,
-           const std::vector<HostSigns>& signs);
+           const std::vector<HostAckState>& signs);
   /** @return what the zone's nodes together say, where that is newer than at the last call. */
-  std::optional<ZoneNews> takeNews();
+  std::optional<ZoneUpdate> takeUpdate();
   /** @param notify called on the packets' thread when there is something that others should hear
    * of at once: a host left data unacknowledged. Set it before the first add(). */
-  void setUrgent(std::function<void()> notify) { notifyUrgent_ = std::move(notify); }
+  void setUrgentCallback(std::function<void()> notify) { notifyUrgent_ = std::move(notify); }
 
   // A node that asks a peer.
   HostReport takeReport(TimePoint now);
   /** The peer's answer to the report. */
-  void learn(ZoneNews news);
+  void onPeerUpdate(ZoneUpdate news);
 
   // A node that is asked.
   /** @param bytes a report as encoded by encodeHostReport(). */
   void merge(TimePoint now, std::string_view bytes);
-  ZoneNews news(TimePoint now);
+  ZoneUpdate zoneUpdate(TimePoint now);
   ReportCounters counters() const;
 
  private:
@@ -65,13 +65,13 @@
   mutable std::mutex mutex_;
   HostReport takeOwnReport(TimePoint now);
   ReportOutcome mergeReport(TimePoint now, const HostReport& report);
-  ZoneNews newsNow(TimePoint now);
+  ZoneUpdate newsNow(TimePoint now);
 
-  SampleGatherer gatherer_;
-  SignGatherer signs_;
+  SampleCollector gatherer_;
+  AckStateCollector signs_;
   ZoneObservations zone_;
   ZoneSilence silence_;
-  std::optional<ZoneNews> news_;
+  std::optional<ZoneUpdate> news_;
   std::function<void()> notifyUrgent_;
   ReportCounters counters_{};
   /** When a peer last reported; none where none did. */
--- a/source/common/health/zone_silence.cc
+++ b/source/common/health/zone_silence.cc
@@ -24,15 +24,15 @@
 
 }  // namespace
 
-void SignGatherer::add(const std::vector<HostSigns>& signs) {
-  for (const HostSigns& sign : signs) {
-    if (signs_.size() < kMostReportedSigns || signs_.contains(sign.token) || sign.copies > 0) {
+void AckStateCollector::add(const std::vector<HostAckState>& signs) {
+  for (const HostAckState& sign : signs) {
+    if (signs_.size() < kMaxReportedSigns || signs_.contains(sign.token) || sign.copies > 0) {
       signs_[sign.token] = sign;
     }
   }
 }
 
-std::vector<HostSign> SignGatherer::take(TimePoint now) {
+std::vector<HostSign> AckStateCollector::take(TimePoint now) {
   std::vector<HostSign> report;
   for (const auto& [token, sign] : signs_) {
     HostSign& reported = report.emplace_back();
@@ -41,13 +41,13 @@
         sign.answeredAt ? millisecondsSince(*sign.answeredAt, now) : kNeverAnswered;
     reported.copies = sign.copies;
     reported.callers = sign.callers;
-    reported.callers.resize(std::min(reported.callers.size(), kMostReportedCallers));
+    reported.callers.resize(std::min(reported.callers.size(), kMaxReportedCallers));
     reported.silentMilliseconds = sign.copies == 0 ? 0 : millisecondsSince(sign.since, now);
   }
   std::stable_sort(report.begin(), report.end(), [](const HostSign& left, const HostSign& right) {
     return left.copies > right.copies;
   });
-  report.resize(std::min(report.size(), kMostReportedSigns));
+  report.resize(std::min(report.size(), kMaxReportedSigns));
   std::erase_if(signs_, [now](const auto& named) {
     return named.second.copies == 0 || now - named.second.lastCopyAt > kWindow;
   });
@@ -106,7 +106,7 @@
   std::erase_if(hosts_, [now](const auto& named) {
     return named.second.reports.empty() && now - named.second.answeredAt > kWindow;
   });
-  silent.resize(std::min(silent.size(), kMostSilentHosts));
+  silent.resize(std::min(silent.size(), kMaxSilentHosts));
   return silent;
 }
 
--- a/source/common/health/zone_silence.h
+++ b/source/common/health/zone_silence.h
@@ -21,21 +21,21 @@
 
 /** Signs of hosts in one report, hosts without acknowledgements first: 12 bytes each, 26 of a
  * silent host. With 48 late hosts a report fits into the path of one question (2.3 KB, base64). */
-constexpr size_t kMostReportedSigns = 64;
+constexpr size_t kMaxReportedSigns = 64;
 /** Callers that a report names for a host: as many as are needed. */
-constexpr size_t kMostReportedCallers = 2;
+constexpr size_t kMaxReportedCallers = 2;
 /** Hosts in one answer, 8 bytes each. */
-constexpr size_t kMostSilentHosts = 256;
+constexpr size_t kMaxSilentHosts = 256;
 
 /** Gathers a node's own signs until its next report. Not thread safe. */
-class SignGatherer {
+class AckStateCollector {
  public:
-  void add(const std::vector<HostSigns>& signs);
+  void add(const std::vector<HostAckState>& signs);
   /** @return what is new since the last report, and hosts that stay silent. */
   std::vector<HostSign> take(TimePoint now);
 
  private:
-  std::unordered_map<uint32_t, HostSigns> signs_;
+  std::unordered_map<uint32_t, HostAckState> signs_;
 };
 
 /** Merges the signs that a zone's nodes report. Not thread safe. */
--- a/source/common/placement/blended_load.cc
+++ b/source/common/placement/blended_load.cc
@@ -29,10 +29,10 @@
 /** @return the reported load, corrected by the flows that came or went since. */
 double correctedLoad(const LoadEvidence& host) {
   const double reported = host.report->loadPercent / kPercent;
-  if (host.report->flowsThen < kScalableFlows) {
+  if (host.report->flowsAtReport < kScalableFlows) {
     return reported;
   }
-  const double scale = host.flows / host.report->flowsThen;
+  const double scale = host.flows / host.report->flowsAtReport;
   return reported * std::clamp(scale, 1.0 / kLargestScale, kLargestScale);
 }
 
--- a/source/common/placement/service_placement.cc
+++ b/source/common/placement/service_placement.cc
@@ -191,7 +191,7 @@
     if (load.reportedLoad != kNotReported) {
       report = LoadReport{load.reportedLoad, now, flows[parts_->loads.findSlot(load.host)]};
     }
-    parts_->health.onRemote(now, share.shard.index, load.host, load.healthy, report);
+    parts_->health.onRemoteResult(now, share.shard.index, load.host, load.healthy, report);
   }
   parts_->dirty = true;
 }
--- a/source/common/server/silence_text.h
+++ b/source/common/server/silence_text.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <ostream>
 
-#include "common/token/silence_judge.h"
+#include "common/token/silence_detector.h"
 
 namespace umberhold {
 
--- a/source/common/server/token_node.cc
+++ b/source/common/server/token_node.cc
@@ -154,16 +154,16 @@
       return;
     }
     const TimePoint now = steadyNow();
-    hooks.observations->add(now, director.takeSamples(), director.takeSigns());
-    if (const auto news = hooks.observations->takeNews()) {
-      director.learn(now, news->standings);
-      director.learnSilent(now, news->silentHosts);
-      director.learnSpeeds(now, news->speeds);
+    hooks.observations->add(now, director.takeSamples(), director.takeAckStates());
+    if (const auto news = hooks.observations->takeUpdate()) {
+      director.applyStandings(now, news->standings);
+      director.applySilentHosts(now, news->silentHosts);
+      director.applySpeeds(now, news->speeds);
     }
   }
 
   void logPaces() {
-    for (const HostPace& pace : director.takePaceChanges()) {
+    for (const HostSlownessChange& pace : director.takeSlownessChanges()) {
       if (flowLog.admit(steadyNow(), LineKind::kBelief)) {
         LOG_TO_SINK_BUT_NOT_TO_LOGFILE(flowLog.sink(), INFO)
             << "event=host_" << (pace.slow ? "slow" : "usual") << " pool=" << pace.pool
--- a/source/common/token/flow_placement.h
+++ b/source/common/token/flow_placement.h
@@ -23,7 +23,7 @@
 namespace umberhold {
 
 /** A host began or ceased to answer far later than the others of its pool; for logs. */
-struct HostPace {
+struct HostSlownessChange {
   std::string pool;
   std::string host;
   bool slow = false;
@@ -56,7 +56,7 @@
   /** Fed by who sees what hosts answer. */
   SilentZones& silentZones() { return silentZones_; }
   /** @return the hosts that became slow or usual since the last call. */
-  std::vector<HostPace> takePaceChanges() { return std::exchange(paceChanges_, {}); }
+  std::vector<HostSlownessChange> takeSlownessChanges() { return std::exchange(paceChanges_, {}); }
   /** @return what decided the last placement; fields that a pool doesn't know are left alone. */
   PlacementEvidence& evidence() { return evidence_; }
 
@@ -125,7 +125,7 @@
   /** Kept between calls for its memory. */
   std::vector<Candidate> candidates_;
   std::vector<double> times_;
-  std::vector<HostPace> paceChanges_;
+  std::vector<HostSlownessChange> paceChanges_;
 };
 
 }  // namespace umberhold
--- a/source/common/token/silence_judge.cc
+++ b/source/common/token/silence_detector.cc
@@ -1,4 +1,4 @@
-#include "common/token/silence_judge.h"
+#include "common/token/silence_detector.h"
 
 #include <algorithm>
 
@@ -29,7 +29,7 @@
   return outcome == SilenceOutcome::kDead ? "dead" : "spared";
 }
 
-void SilenceJudge::onAnswered(TimePoint now, uint32_t token, TimePoint sentAt) {
+void SilenceDetector::onAnswered(TimePoint now, uint32_t token, TimePoint sentAt) {
   if (token != latest_.token) {
     other_ = latest_;
     latest_ = {token, sentAt, now};
@@ -39,17 +39,17 @@
   }
 }
 
-const SilenceJudge::LatestAnswer* SilenceJudge::answerBeside(TimePoint now, uint32_t token) const {
+const SilenceDetector::LatestAnswer* SilenceDetector::answerBeside(TimePoint now, uint32_t token) const {
   const LatestAnswer& beside = latest_.token == token ? other_ : latest_;
   return beside.token != 0 && now - beside.at <= kComparable ? &beside : nullptr;
 }
 
-bool SilenceJudge::isOvertaken(TimePoint now, uint32_t token, TimePoint since) const {
+bool SilenceDetector::isOvertaken(TimePoint now, uint32_t token, TimePoint since) const {
   const LatestAnswer* beside = answerBeside(now, token);
   return beside == nullptr || beside->sentAt >= since + kLeastSilence;
 }
 
-std::set<uint32_t> SilenceJudge::onCopy(TimePoint now, const TokenHost& host) {
+std::set<uint32_t> SilenceDetector::onCopy(TimePoint now, const TokenHost& host) {
   const Duration silence = host.silence.silentFor(now);
   if (host.silence.callers() < kCallersOfDeadHost || silence < kLeastSilence ||
       !isOvertaken(now, host.token, now - silence)) {
@@ -58,7 +58,7 @@
   return judge(now, {host.token}, SilenceSource::kNode);
 }
 
-std::set<uint32_t> SilenceJudge::onZoneSilent(TimePoint now,
+std::set<uint32_t> SilenceDetector::onZoneSilent(TimePoint now,
                                               const std::vector<SilentHost>& silentHosts) {
   std::set<uint32_t> silent;
   for (const SilentHost& named : silentHosts) {
@@ -72,7 +72,7 @@
   return judge(now, silent, SilenceSource::kZone);
 }
 
-std::set<uint32_t> SilenceJudge::judge(TimePoint now, const std::set<uint32_t>& tokens,
+std::set<uint32_t> SilenceDetector::judge(TimePoint now, const std::set<uint32_t>& tokens,
                                        SilenceSource source) {
   std::set<uint32_t> dead;
   for (const uint32_t token : tokens) {
@@ -93,7 +93,7 @@
   return dead;
 }
 
-bool SilenceJudge::leavesEnough(TimePoint now, const TokenPool& pool,
+bool SilenceDetector::leavesEnough(TimePoint now, const TokenPool& pool,
                                 const std::set<uint32_t>& tokens) const {
   size_t active = 0;
   size_t dead = 0;
@@ -106,7 +106,7 @@
   return static_cast<double>(dead) <= kMostDeadPart * static_cast<double>(active);
 }
 
-void SilenceJudge::note(TimePoint now, const TokenHost& host, const TokenPool& pool,
+void SilenceDetector::note(TimePoint now, const TokenHost& host, const TokenPool& pool,
                         SilenceOutcome outcome, SilenceSource source) {
   std::erase_if(standing_, [now](const auto& entry) { return now >= entry.second.until; });
   const auto known = standing_.find(host.token);
@@ -119,7 +119,7 @@
   if (verdicts_.size() >= kMostVerdicts) {
     return;
   }
-  const HostSigns signs = host.silence.signs(host.token);
+  const HostAckState signs = host.silence.signs(host.token);
   SilenceVerdict& verdict = verdicts_.emplace_back();
   verdict = {outcome, source, host.pool, host.spec.name, signs.callers.size(), signs.copies};
   if (const LatestAnswer* beside = answerBeside(now, host.token)) {
--- a/source/common/token/silence_judge.h
+++ b/source/common/token/silence_detector.h
@@ -74,10 +74,10 @@
                                    static_cast<size_t>(SilenceOutcome::kCount)>;
 
 /** Not thread safe. */
-class SilenceJudge {
+class SilenceDetector {
  public:
   /** @param hosts borrowed. */
-  explicit SilenceJudge(TokenHosts& hosts) : hosts_(hosts) {}
+  explicit SilenceDetector(TokenHosts& hosts) : hosts_(hosts) {}
 
   /** A host answered. @param sentAt when what it answered was sent first. */
   void onAnswered(TimePoint now, uint32_t token, TimePoint sentAt);
--- a/source/common/token/silence_evidence.h
+++ b/source/common/token/silence_evidence.h
@@ -24,7 +24,7 @@
 constexpr Duration kLeastSilence = std::chrono::milliseconds(500);
 
 /** What a node saw of one host's acknowledgements. */
-struct HostSigns {
+struct HostAckState {
   /** Flow token of the host. */
   uint32_t token = 0;
   /** Its last sign of life; none where there was none. */
@@ -71,7 +71,7 @@
   size_t callers() const { return callers_.size(); }
   uint32_t copies() const { return copies_; }
   const std::optional<TimePoint>& answeredAt() const { return answeredAt_; }
-  HostSigns signs(uint32_t token) const {
+  HostAckState signs(uint32_t token) const {
     return {token, answeredAt_, copies_, callers_, since_, lastCopyAt_};
   }
 
--- a/source/common/token/token_director.cc
+++ b/source/common/token/token_director.cc
@@ -410,7 +410,7 @@
   return load < kFreeSlotsLoad * pool.slots;
 }
 
-void TokenDirector::learnSpeeds(TimePoint now, const std::vector<LearnedSpeed>& speeds) {
+void TokenDirector::applySpeeds(TimePoint now, const std::vector<LearnedSpeed>& speeds) {
   for (const LearnedSpeed& learned : speeds) {
     TokenHost* host = hosts_.find(learned.token);
     if (host != nullptr && learned.percentOfUsual > 0 &&
@@ -448,7 +448,7 @@
   return summary;
 }
 
-void TokenDirector::learn(TimePoint now, const std::vector<HostStanding>& standings) {
+void TokenDirector::applyStandings(TimePoint now, const std::vector<HostStanding>& standings) {
   for (const HostStanding& standing : standings) {
     TokenHost* host = hosts_.find(standing.token);
     const TimePoint at = now - std::chrono::milliseconds(standing.ageMilliseconds);
@@ -490,8 +490,8 @@
   }
 }
 
-std::vector<HostSigns> TokenDirector::takeSigns() {
-  std::vector<HostSigns> signs;
+std::vector<HostAckState> TokenDirector::takeAckStates() {
+  std::vector<HostAckState> signs;
   for (const uint32_t token : std::exchange(changedSigns_, {})) {
     if (TokenHost* host = hosts_.find(token)) {
       host->hasSigns = false;
@@ -501,7 +501,7 @@
   return signs;
 }
 
-void TokenDirector::learnSilent(TimePoint now, const std::vector<SilentHost>& silentHosts) {
+void TokenDirector::applySilentHosts(TimePoint now, const std::vector<SilentHost>& silentHosts) {
   resetFlowsOf(now, silenceJudge_.onZoneSilent(now, silentHosts));
 }
 
--- a/source/common/token/token_director.h
+++ b/source/common/token/token_director.h
@@ -33,7 +33,7 @@
 #include "common/token/opening_watch.h"
 #include "common/token/request_timer.h"
 #include "common/token/response_score.h"
-#include "common/token/silence_judge.h"
+#include "common/token/silence_detector.h"
 #include "common/token/token_hosts.h"
 
 namespace umberhold {
@@ -127,23 +127,23 @@
   /** Every packet that had arrived was handled; see FlowProgress and RequestTimer. */
   void onCaughtUp(TimePoint now);
   /** @return the hosts that became slow or usual since the last call. */
-  std::vector<HostPace> takePaceChanges() { return placement_.takePaceChanges(); }
+  std::vector<HostSlownessChange> takeSlownessChanges() { return placement_.takeSlownessChanges(); }
   /** @return this node's own samples since the last call. */
   std::vector<HostSample> takeSamples() { return std::exchange(samples_, {}); }
   /** What the nodes of the zone together say of hosts. */
-  void learn(TimePoint now, const std::vector<HostStanding>& standings);
+  void applyStandings(TimePoint now, const std::vector<HostStanding>& standings);
   /** The nodes of the zone together find hosts so fast. */
-  void learnSpeeds(TimePoint now, const std::vector<LearnedSpeed>& speeds);
+  void applySpeeds(TimePoint now, const std::vector<LearnedSpeed>& speeds);
   SpeedSummary speeds(TimePoint now) const;
   /** @return the hosts whose speed became low, or is no longer, since the last call. */
   std::vector<SpeedChange> takeSpeedChanges() { return std::exchange(speedChanges_, {}); }
   /** Hosts are silent to all nodes of the zone. */
-  void learnSilent(TimePoint now, const std::vector<SilentHost>& silentHosts);
+  void applySilentHosts(TimePoint now, const std::vector<SilentHost>& silentHosts);
   /** @return which hosts were taken for dead, or nearly so, since the last call. */
   std::vector<SilenceVerdict> takeSilenceVerdicts() { return silenceJudge_.takeVerdicts(); }
   const SilenceCounters& silenceCounters() const { return silenceJudge_.counters(); }
   /** @return what hosts acknowledged or not, of those where that changed since the last call. */
-  std::vector<HostSigns> takeSigns();
+  std::vector<HostAckState> takeAckStates();
 
   /** @return flows of dead hosts whose callers are to get a reset now. */
   std::vector<ResetFlow> takeResets() { return deadHostFlows_.take(); }
@@ -271,7 +271,7 @@
   std::vector<std::string> arrived_;
   FlowProgress progress_;
   RequestTimer timer_;
-  SilenceJudge silenceJudge_{hosts_};
+  SilenceDetector silenceJudge_{hosts_};
   DeadHostFlows deadHostFlows_;
   std::vector<HostSample> samples_;
   std::vector<SpeedChange> speedChanges_;
--- a/source/common/token/token_hosts.h
+++ b/source/common/token/token_hosts.h
@@ -80,7 +80,7 @@
   bool slow = false;
   HostEstimate estimate;
   KnownSpeed speed;
-  /** Its learnt speed is low; see TokenDirector::learnSpeeds. */
+  /** Its learnt speed is low; see TokenDirector::applySpeeds. */
   bool speedIsLow = false;
   SilenceEvidence silence;
   /** It is silent to several nodes or flows: until then it counts as dead, unless it answers. */
--- a/test/common/health/host_health_test.cc
+++ b/test/common/health/host_health_test.cc
@@ -137,16 +137,16 @@
 }
 
 TEST(HostHealth, OnlyTheProbingShardIsBelieved) {
-  health.onRemote(kStart, 2, HostId{2}, false, std::nullopt);
+  health.onRemoteResult(kStart, 2, HostId{2}, false, std::nullopt);
   CHECK(health.isHealthy(kStart, HostId{2}));
-  health.onRemote(kStart, 1, HostId{2}, false, std::nullopt);
+  health.onRemoteResult(kStart, 1, HostId{2}, false, std::nullopt);
   CHECK(!health.isHealthy(kStart, HostId{2}));
-  health.onRemote(kStart, 0, HostId{1}, false, std::nullopt);
+  health.onRemoteResult(kStart, 0, HostId{1}, false, std::nullopt);
   CHECK(health.isHealthy(kStart, HostId{1}));
 }
 
 TEST(HostHealth, WhatASilentOwnerSaidDoesNotLastForEver) {
-  health.onRemote(kStart, 1, HostId{2}, false, std::nullopt);
+  health.onRemoteResult(kStart, 1, HostId{2}, false, std::nullopt);
   CHECK(!health.isHealthy(after(59), HostId{2}));
   CHECK(health.isHealthy(after(61), HostId{2}));
 }
--- a/test/common/health/host_observations_test.cc
+++ b/test/common/health/host_observations_test.cc
@@ -82,7 +82,7 @@
   CHECK_TRUE(zone.merge(now, {1, 1, {{kSlowHost, 1, 501}}, {}}) == ReportOutcome::kInvalid);
   CHECK_TRUE(zone.merge(now, {1, 2, {{kSlowHost, 0, 300}}, {}}) == ReportOutcome::kInvalid);
   HostReport tooLong{1, 3, {}, {}};
-  for (uint32_t token = 0; token <= kMostReportedHosts; ++token) {
+  for (uint32_t token = 0; token <= kMaxReportedHosts; ++token) {
     tooLong.hosts.push_back({token + 1, 1, 100});
   }
   CHECK_TRUE(zone.merge(now, tooLong) == ReportOutcome::kInvalid);
@@ -96,12 +96,12 @@
     }
   }
   const auto standings = zone.standings(now);
-  LONGS_EQUAL(kMostStandings, standings.size());
+  LONGS_EQUAL(kMaxStandings, standings.size());
   LONGS_EQUAL(77, standings[0].token);
 }
 
 TEST(HostObservations, AReportHoldsTheMeansOfABoundedNumberOfHosts) {
-  SampleGatherer gatherer(5);
+  SampleCollector gatherer(5);
   gatherer.add({{kSlowHost, 2.0}, {kSlowHost, 1000.0}, {kUsualHost, 1.0}});
   const HostReport report = gatherer.takeReport(now);
   LONGS_EQUAL(5, report.reporter);
@@ -116,11 +116,11 @@
     many.push_back({token, 1.0});
   }
   gatherer.add(many);
-  LONGS_EQUAL(kMostReportedHosts, gatherer.takeReport(now).hosts.size());
+  LONGS_EQUAL(kMaxReportedHosts, gatherer.takeReport(now).hosts.size());
 }
 
 TEST(HostObservations, AReportHoldsTheWorkOfRequestsThatDidNotWait) {
-  SampleGatherer gatherer(5);
+  SampleCollector gatherer(5);
   gatherer.add({{kSlowHost, 2.0, 1.0}, {kSlowHost, 2.0, 4.0}, {kSlowHost, 9.0, std::nullopt}});
   gatherer.add({{kUsualHost, 1.0, std::nullopt}});
   for (const HostObservation& seen : gatherer.takeReport(now).hosts) {
@@ -135,16 +135,16 @@
     const HostReport report{reporter, 1, {{kSlowHost, 2, 100, 200}}, {}};
     exchange.merge(now, valueOf(encodeHostReport(report)));
   }
-  const auto speeds = exchange.news(now).speeds;
+  const auto speeds = exchange.zoneUpdate(now).speeds;
   LONGS_EQUAL(1, speeds.size());
   LONGS_EQUAL(kSlowHost, speeds[0].token);
   CHECK_TRUE(speeds[0].percentOfUsual < 60);
 }
 
 TEST(HostObservations, SpeedsTakeTheBytesThatStandingsLeave) {
-  LONGS_EQUAL(kMostLearnedSpeeds, mostSpeedsBeside(0));
-  LONGS_EQUAL(12, mostSpeedsBeside(kMostStandings - 10));
-  LONGS_EQUAL(0, mostSpeedsBeside(kMostStandings));
+  LONGS_EQUAL(kMaxLearnedSpeeds, mostSpeedsBeside(0));
+  LONGS_EQUAL(12, mostSpeedsBeside(kMaxStandings - 10));
+  LONGS_EQUAL(0, mostSpeedsBeside(kMaxStandings));
   const auto bytesOf = [](size_t standings, size_t speeds) {
     PeerChanges changes;
     uint64_t number = 0;  // Tokens that can't be compressed.
@@ -158,8 +158,8 @@
   };
   constexpr size_t kStandingBytes = 12;
   constexpr size_t kListHeads = 4;
-  const size_t most = bytesOf(0, 0) + kListHeads + kStandingBytes * kMostStandings;
-  for (size_t standings = 0; standings <= kMostStandings; ++standings) {
+  const size_t most = bytesOf(0, 0) + kListHeads + kStandingBytes * kMaxStandings;
+  for (size_t standings = 0; standings <= kMaxStandings; ++standings) {
     CHECK_TRUE(bytesOf(standings, mostSpeedsBeside(standings)) <= most);
   }
 }
@@ -168,24 +168,24 @@
   ObservationExchange exchange("front-1");
   const auto encoded = encodeHostReport({1, 1, {{kSlowHost, 1, 500}}, {}});
   exchange.merge(now, valueOf(encoded));
-  CHECK_TRUE(exchange.news(now).standings.empty());
+  CHECK_TRUE(exchange.zoneUpdate(now).standings.empty());
   exchange.add(now, {{kSlowHost, 5.0}}, {});
-  const auto news = exchange.takeNews();
+  const auto news = exchange.takeUpdate();
   CHECK_TRUE(news.has_value());
   LONGS_EQUAL(1, news->standings.size());
-  CHECK_FALSE(exchange.takeNews().has_value());
+  CHECK_FALSE(exchange.takeUpdate().has_value());
 }
 
 TEST(HostObservations, RefusesAReportWithTooManySigns) {
   HostReport tooLong{1, 1, {}, {}};
-  tooLong.signs.resize(kMostReportedSigns + 1);
+  tooLong.signs.resize(kMaxReportedSigns + 1);
   CHECK_TRUE(zone.merge(now, tooLong) == ReportOutcome::kInvalid);
 }
 
 TEST(HostObservations, ANodeWhoseCallersGetNoAcknowledgementSaysSoAtOnce) {
   ObservationExchange exchange("front-1");
   int urgent = 0;
-  exchange.setUrgent([&] { ++urgent; });
+  exchange.setUrgentCallback([&] { ++urgent; });
   exchange.add(now, {}, {{kSlowHost, now, 0, {}, {}, {}}});
   LONGS_EQUAL(0, urgent);
   exchange.add(now, {}, {{kSlowHost, now, 1, {11}, now, now}});
@@ -197,9 +197,9 @@
   ObservationExchange exchange("front-1");
   const HostReport other{1, 1, {}, {{kSlowHost, kNeverAnswered, 2, {11}, 600}}};
   exchange.merge(now, valueOf(encodeHostReport(other)));
-  CHECK_TRUE(exchange.news(now).silentHosts.empty());
+  CHECK_TRUE(exchange.zoneUpdate(now).silentHosts.empty());
   exchange.add(now, {}, {{kSlowHost, std::nullopt, 1, {12}, now - milliseconds(300), now}});
-  const auto news = exchange.takeNews();
+  const auto news = exchange.takeUpdate();
   CHECK_TRUE(news.has_value());
   LONGS_EQUAL(1, news->silentHosts.size());
   LONGS_EQUAL(600, news->silentHosts[0].silentMilliseconds);
@@ -210,7 +210,7 @@
   exchange.merge(now, "no report");
   exchange.merge(now, std::string(3000, '\x91'));
   LONGS_EQUAL(2, exchange.counters()[static_cast<size_t>(ReportOutcome::kMalformed)]);
-  CHECK_TRUE(exchange.news(now).standings.empty());
+  CHECK_TRUE(exchange.zoneUpdate(now).standings.empty());
 }
 
 }  // namespace umberhold
--- a/test/common/health/zone_silence_test.cc
+++ b/test/common/health/zone_silence_test.cc
@@ -115,20 +115,20 @@
     zone.merge(now, 1, {{token, kNeverAnswered, 2, {11}, 600}});
     zone.merge(now, 2, {{token, kNeverAnswered, 2, {12}, 600}});
   }
-  LONGS_EQUAL(kMostSilentHosts, zone.silentHosts(now).size());
+  LONGS_EQUAL(kMaxSilentHosts, zone.silentHosts(now).size());
 }
 
 TEST(ZoneSilence, AGathererReportsSilentHostsFirstAndAgainAndAnswersOnce) {
-  SignGatherer gatherer;
-  std::vector<HostSigns> signs;
-  for (uint32_t token = 1; token <= 2 * kMostReportedSigns; ++token) {
+  AckStateCollector gatherer;
+  std::vector<HostAckState> signs;
+  for (uint32_t token = 1; token <= 2 * kMaxReportedSigns; ++token) {
     signs.push_back({token, now, 0, {}, {}, {}});
   }
   signs.push_back({5000, std::nullopt, 2, {11, 12}, now - milliseconds(400), now});
   gatherer.add(signs);
   now += milliseconds(100);
   const auto first = gatherer.take(now);
-  LONGS_EQUAL(kMostReportedSigns, first.size());
+  LONGS_EQUAL(kMaxReportedSigns, first.size());
   LONGS_EQUAL(5000, first[0].token);
   LONGS_EQUAL(500, first[0].silentMilliseconds);
   LONGS_EQUAL(kNeverAnswered, first[0].answeredAgoMilliseconds);
--- a/test/common/token/flow_placement_test.cc
+++ b/test/common/token/flow_placement_test.cc
@@ -191,7 +191,7 @@
   const auto changes = [&] {
     placement.place(now, *hosts.findPool("dispatch"), 0);
     placement.place(now, *hosts.findPool("dispatch"), 0);
-    return placement.takePaceChanges();
+    return placement.takeSlownessChanges();
   };
   CHECK_TRUE(changes().empty());
   answer(2, 5.0);
--- a/test/common/token/host_lives_test.cc
+++ b/test/common/token/host_lives_test.cc
@@ -164,10 +164,10 @@
   startAgain();
   now += milliseconds(200);
   send(9);
-  director.learnSilent(now, {{token, 400}});
+  director.applySilentHosts(now, {{token, 400}});
   LONGS_EQUAL(0, director.takeResets().size());
   now += seconds(1);
-  director.learnSilent(now, {{token, 900}});
+  director.applySilentHosts(now, {{token, 900}});
   LONGS_EQUAL(1, director.takeResets().size());
 }
 
@@ -179,16 +179,16 @@
   service.groups = {{"dispatch", 1}};
   service.repeatable = true;
   director.setService(service);
-  director.learnSilent(now, {{token, 400}});
+  director.applySilentHosts(now, {{token, 400}});
   CHECK_TRUE(std::holds_alternative<RefuseFlow>(send(1, 100)));
   startAgain();
   CHECK_TRUE(std::holds_alternative<ForwardToHost>(send(2, 100)));
 }
 
 TEST(HostLives, TellsTheZoneThatItsEarlierSilenceIsOver) {
-  director.takeSigns();
+  director.takeAckStates();
   startAgain();
-  const auto signs = director.takeSigns();
+  const auto signs = director.takeAckStates();
   LONGS_EQUAL(1, signs.size());
   CHECK_TRUE(signs[0].token == token);
   LONGS_EQUAL(0, signs[0].copies);
@@ -196,15 +196,15 @@
 }
 
 TEST(HostLives, TheSpeedOfTheEarlierLifeIsNotLearntAgain) {
-  director.learnSpeeds(now, {{token, 25, 50}});
+  director.applySpeeds(now, {{token, 25, 50}});
   LONGS_EQUAL(1, director.speeds(now).known);
   now += seconds(1);
   setHosts({makeHost(1, unixNow()), makeHost(2)});
   LONGS_EQUAL(0, director.speeds(now).known);
   // The zone's reader still has it.
-  director.learnSpeeds(now + seconds(1), {{token, 25, 50}});
+  director.applySpeeds(now + seconds(1), {{token, 25, 50}});
   LONGS_EQUAL(0, director.speeds(now + seconds(1)).known);
-  director.learnSpeeds(now + seconds(41), {{token, 25, 50}});
+  director.applySpeeds(now + seconds(41), {{token, 25, 50}});
   LONGS_EQUAL(1, director.speeds(now + seconds(41)).known);
 }
 
--- a/test/common/token/living_hosts_property.cc
+++ b/test/common/token/living_hosts_property.cc
@@ -227,16 +227,16 @@
   /** Each node reports at another moment, and hears what was known then. */
   void share() {
     for (uint32_t index = 0; index < kNodes; ++index) {
-      gatherers_[index].add(nodes_[index]->takeSigns());
+      gatherers_[index].add(nodes_[index]->takeAckStates());
       silence_.merge(now_, index, gatherers_[index].take(now_));
-      nodes_[index]->learnSilent(now_, silence_.silentHosts(now_));
+      nodes_[index]->applySilentHosts(now_, silence_.silentHosts(now_));
     }
   }
 
   RandomSource random_;
   TimePoint now_{seconds(1000)};
   std::vector<std::unique_ptr<TokenDirector>> nodes_;
-  std::map<uint32_t, SignGatherer> gatherers_;
+  std::map<uint32_t, AckStateCollector> gatherers_;
   ZoneSilence silence_;
   std::vector<Flow> flows_;
   std::set<uint32_t> dead_;
--- a/test/common/token/silence_judge_test.cc
+++ b/test/common/token/silence_detector_test.cc
@@ -1,5 +1,5 @@
 /** @file Which silent hosts count as dead, and what the log says of it. */
-#include "common/token/silence_judge.h"
+#include "common/token/silence_detector.h"
 
 #include <string>
 
@@ -15,9 +15,9 @@
 
 }  // namespace
 
-TEST_GROUP(SilenceJudge) {
+TEST_GROUP(SilenceDetector) {
   TokenHosts hosts{seconds(60)};
-  SilenceJudge judge{hosts};
+  SilenceDetector judge{hosts};
   TimePoint now{seconds(1000)};
 
   void setup() override {
@@ -45,7 +45,7 @@
   }
 };
 
-TEST(SilenceJudge, TellsOnceWhyAHostCountsAsDead) {
+TEST(SilenceDetector, TellsOnceWhyAHostCountsAsDead) {
   host(1).silence.onAnswered(now);
   now += milliseconds(100);
   fallSilent(1, milliseconds(700));
@@ -67,7 +67,7 @@
   LONGS_EQUAL(1, judge.counters()[0][0]);
 }
 
-TEST(SilenceJudge, TellsOfHostsThatAreSparedSinceTooManyAreSilent) {
+TEST(SilenceDetector, TellsOfHostsThatAreSparedSinceTooManyAreSilent) {
   now += seconds(1);
   std::vector<SilentHost> silent;
   for (uint64_t number = 1; number <= 3; ++number) {
@@ -82,7 +82,7 @@
 }
 
 /** Guards against resets of living flows: callers send again 200 ms after their data. */
-TEST(SilenceJudge, CopiesOfOnePauseProveNothingHoweverManyCallersSendThem) {
+TEST(SilenceDetector, CopiesOfOnePauseProveNothingHoweverManyCallersSendThem) {
   fallSilent(1, milliseconds(499));
   CHECK_TRUE(judge.onCopy(now, host(1)).empty());
   now += milliseconds(1);
@@ -90,7 +90,7 @@
 }
 
 /** Guards against resets of living flows: in a slow round trip all callers send again. */
-TEST(SilenceJudge, ASilenceCountsOnlyAsFarAsOthersAnsweredWhatWasSentLater) {
+TEST(SilenceDetector, ASilenceCountsOnlyAsFarAsOthersAnsweredWhatWasSentLater) {
   const TimePoint sentAt = now;
   fallSilent(1, milliseconds(900));
   judge.onAnswered(now, flowTokenOf(2), sentAt + milliseconds(499));
@@ -104,7 +104,7 @@
   CHECK_TRUE(judge.takeVerdicts()[0].sinceOvertaking == milliseconds(400));
 }
 
-TEST(SilenceJudge, WhereNoOtherHostAnswersThereIsNothingToCompareWith) {
+TEST(SilenceDetector, WhereNoOtherHostAnswersThereIsNothingToCompareWith) {
   judge.onAnswered(now, flowTokenOf(2), now);
   // Its own answers say nothing of others.
   judge.onAnswered(now, flowTokenOf(1), now);
@@ -114,7 +114,7 @@
   LONGS_EQUAL(1, judge.onCopy(now, host(1)).size());
 }
 
-TEST(SilenceJudge, FewerCallersProveNothing) {
+TEST(SilenceDetector, FewerCallersProveNothing) {
   const TimePoint sentAt = now;
   now += seconds(1);
   host(1).silence.onCopy(now, sentAt, 1);
--- a/test/common/token/silence_evidence_test.cc
+++ b/test/common/token/silence_evidence_test.cc
@@ -21,7 +21,7 @@
   evidence.onCopy(kStart + milliseconds(200), kStart, 1);
   evidence.onCopy(kStart + milliseconds(250), kStart - milliseconds(50), 2);
   evidence.onCopy(kStart + milliseconds(600), kStart, 1);
-  const HostSigns signs = evidence.signs(7);
+  const HostAckState signs = evidence.signs(7);
   LONGS_EQUAL(7, signs.token);
   LONGS_EQUAL(3, signs.copies);
   LONGS_EQUAL(2, signs.callers.size());
--- a/test/common/token/token_director_test.cc
+++ b/test/common/token/token_director_test.cc
@@ -390,9 +390,9 @@
   acknowledge(9, token, 10);
   acknowledge(9, token, 600);
   now += milliseconds(500);
-  director.learnSilent(now, {{token, 600}});
+  director.applySilentHosts(now, {{token, 600}});
   CHECK_FALSE(director.hasResets());
-  director.learnSilent(now, {{token, 400}});
+  director.applySilentHosts(now, {{token, 400}});
   LONGS_EQUAL(1, director.takeResets().size());
   CHECK_EQUAL(1, hostOf(next(10, token)));
   LONGS_EQUAL(0, openMany(20)[1]);
@@ -406,9 +406,9 @@
   acknowledge(9, flowTokenOf(1), 10);
   acknowledge(9, flowTokenOf(1), 600);
   now += milliseconds(500);
-  director.learnSilent(now, {{flowTokenOf(1), 400}, {flowTokenOf(2), 400}});
+  director.applySilentHosts(now, {{flowTokenOf(1), 400}, {flowTokenOf(2), 400}});
   CHECK_FALSE(director.hasResets());
-  director.learnSilent(now, {{flowTokenOf(1), 400}});
+  director.applySilentHosts(now, {{flowTokenOf(1), 400}});
   CHECK_TRUE(director.hasResets());
 }
 
@@ -418,11 +418,11 @@
   data(1, flowTokenOf(1), 7);
   acknowledge(2, flowTokenOf(2), 10);
   acknowledge(2, flowTokenOf(2), 600);
-  const auto signs = director.takeSigns();
+  const auto signs = director.takeAckStates();
   LONGS_EQUAL(2, signs.size());
   LONGS_EQUAL(1, signs[0].copies);
   CHECK_TRUE(signs[1].answeredAt == now);
-  CHECK_TRUE(director.takeSigns().empty());
+  CHECK_TRUE(director.takeAckStates().empty());
 }
 
 TEST(TokenDirector, PlacesFewNewFlowsAtAHostWhoseAnswersComeFarTooLate) {
@@ -443,7 +443,7 @@
     ++placed[hostOf(open(++flows))];
   }
   CHECK_TRUE(placed[1] * 6 < placed[2]);
-  LONGS_EQUAL(1, director.takePaceChanges().size());
+  LONGS_EQUAL(1, director.takeSlownessChanges().size());
 }
 
 TEST(TokenDirector, TimesTheWorkOfHostsWhileTheyHaveFreeSlots) {
@@ -472,7 +472,7 @@
 
 TEST(TokenDirector, JudgesTheTimesOfAHostByItsSpeed) {
   const auto score = [&](uint32_t percent) {
-    director.learnSpeeds(now, {{flowTokenOf(1), percent, 50}});
+    director.applySpeeds(now, {{flowTokenOf(1), percent, 50}});
     for (uint32_t request = 0; request < 40; ++request) {
       open(++flows);
       now += milliseconds(10);
@@ -488,7 +488,7 @@
   DOUBLES_EQUAL(0.5, director.speeds(now).lowest, 1e-9);
   CHECK_TRUE(director.takeSpeedChanges().empty());
   for (const uint32_t percent : {49, 55, 60, 70}) {
-    director.learnSpeeds(now, {{flowTokenOf(1), percent, 50}});
+    director.applySpeeds(now, {{flowTokenOf(1), percent, 50}});
   }
   const auto changes = director.takeSpeedChanges();
   LONGS_EQUAL(2, changes.size());
--- a/test/platform/store/peer_question_test.cc
+++ b/test/platform/store/peer_question_test.cc
@@ -25,9 +25,9 @@
 
 TEST(PeerQuestion, FitsIntoAPathForEveryReport) {
   HostReport report{UINT64_MAX, UINT64_MAX, {}, {}};
-  report.hosts.assign(kMostReportedHosts, {UINT32_MAX, 1000, 500});
-  const std::vector<uint32_t> callers(kMostReportedCallers, UINT32_MAX);
-  report.signs.assign(kMostReportedSigns, {UINT32_MAX, kNeverAnswered, 1000, callers, 60000});
+  report.hosts.assign(kMaxReportedHosts, {UINT32_MAX, 1000, 500});
+  const std::vector<uint32_t> callers(kMaxReportedCallers, UINT32_MAX);
+  report.signs.assign(kMaxReportedSigns, {UINT32_MAX, kNeverAnswered, 1000, callers, 60000});
   const std::string path = pathOf({UINT64_MAX, valueOf(encodeHostReport(report))});
   CHECK_TRUE(path.size() + 200 < kPollHttpHeadBytes);
   CHECK_EQUAL(std::string::npos, path.find_first_of(" ?#%\r\n+="));
--- a/test/platform/store/zone_reader_test.cc
+++ b/test/platform/store/zone_reader_test.cc
@@ -284,7 +284,7 @@
     for (size_t index = 1; index < 4; ++index) {
       nodes[index]->observations().add(steadyNow(), {{kLateHost, 5.0}}, {});
     }
-    const auto news = nodes.back()->observations().takeNews();
+    const auto news = nodes.back()->observations().takeUpdate();
     heard = heard ||
             (news && news->standings.size() == 1 && news->standings.front().token == kLateHost);
     return heard;
@@ -302,7 +302,7 @@
         began, {}, {{kSilentHost, std::nullopt, 2, {index}, began - milliseconds(200), began}});
   }
   const auto isHeard = [&] {
-    const auto news = nodes.back()->observations().takeNews();
+    const auto news = nodes.back()->observations().takeUpdate();
     heard = heard || (news && news->silentHosts.size() == 1 &&
                       news->silentHosts.front().token == kSilentHost);
     return heard;
