--- a/source/common/health/host_health.cc
+++ b/source/common/health/host_health.cc
@@ -12,13 +12,13 @@
 /** Age of a host that was there from the start. */
 constexpr double kWarmAge = 1e9;
 /** Least part of its weight that a cold host gets. */
-constexpr double kColdest = 0.1;
+constexpr double kMinRampFactor = 0.1;
 
 }  // namespace
 
 void HostHealth::setHosts(TimePoint now, const std::vector<ProbedHost>& hosts,
                           uint16_t shardCount) {
-  notePanic(now);
+  updatePanicTime(now);
   std::unordered_map<HostId, State> states;
   order_.clear();
   for (const ProbedHost& host : hosts) {
@@ -60,9 +60,9 @@
 }
 
 std::vector<HostId> HostHealth::dueProbes(TimePoint now) {
-  const double most = std::max(1.0, options_.probesPerSecond);
+  const double maxTokens = std::max(1.0, options_.probesPerSecond);
   const double elapsed = std::max(0.0, Seconds(now - tokensAt_).count());
-  probeTokens_ = std::min(most, probeTokens_ + elapsed * options_.probesPerSecond);
+  probeTokens_ = std::min(maxTokens, probeTokens_ + elapsed * options_.probesPerSecond);
   tokensAt_ = now;
   std::vector<HostId> due;
   for (const HostId host : order_) {
@@ -87,7 +87,7 @@
 
 void HostHealth::becomeHealthy(TimePoint now, State& state) {
   state.healthy = true;
-  if (!panics(now)) {
+  if (!isPanicking(now)) {
     state.warmingSince = now;
   }
 }
@@ -98,7 +98,7 @@
   if (found == states_.end()) {
     return;
   }
-  notePanic(now);
+  updatePanicTime(now);
   State& state = found->second;
   state.remoteAt.reset();
   state.misses = healthy ? 0 : state.misses + 1;
@@ -125,7 +125,7 @@
       ownsIndex(found->second.index) || !found->second.probed) {
     return;
   }
-  notePanic(now);
+  updatePanicTime(now);
   State& state = found->second;
   if (report.has_value()) {
     state.report = report;
@@ -139,43 +139,43 @@
   state.remoteAt = now;
 }
 
-bool HostHealth::believedHealthy(TimePoint now, const State& state) const {
+bool HostHealth::isConsideredHealthy(TimePoint now, const State& state) const {
   if (state.healthy) {
     return true;
   }
-  return state.remoteAt.has_value() && now - *state.remoteAt > options_.remoteLife;
+  return state.remoteAt.has_value() && now - *state.remoteAt > options_.remoteResultLifetime;
 }
 
 bool HostHealth::isHealthy(TimePoint now, HostId host) const {
   const auto found = states_.find(host);
-  return found != states_.end() && believedHealthy(now, found->second);
+  return found != states_.end() && isConsideredHealthy(now, found->second);
 }
 
-bool HostHealth::mostAreUnhealthy(TimePoint now) const {
+bool HostHealth::isMajorityUnhealthy(TimePoint now) const {
   size_t active = 0;
   size_t unhealthy = 0;
   for (const auto& [host, state] : states_) {
     if (state.active) {
       ++active;
-      unhealthy += believedHealthy(now, state) ? 0 : 1;
+      unhealthy += isConsideredHealthy(now, state) ? 0 : 1;
     }
   }
   return 2 * unhealthy > active;
 }
 
-void HostHealth::notePanic(TimePoint now) {
-  if (mostAreUnhealthy(now)) {
+void HostHealth::updatePanicTime(TimePoint now) {
+  if (isMajorityUnhealthy(now)) {
     lastPanic_ = now;
   }
 }
 
-bool HostHealth::panics(TimePoint now) const {
+bool HostHealth::isPanicking(TimePoint now) const {
   const bool held = lastPanic_ && now - *lastPanic_ < options_.panicHold;
-  return held || mostAreUnhealthy(now);
+  return held || isMajorityUnhealthy(now);
 }
 
 bool HostHealth::mayTakeFlows(TimePoint now, HostId host) const {
-  return isHealthy(now, host) || (states_.contains(host) && panics(now));
+  return isHealthy(now, host) || (states_.contains(host) && isPanicking(now));
 }
 
 bool HostHealth::probedHere(HostId host) const {
@@ -199,7 +199,7 @@
 
 double HostHealth::rampFactor(TimePoint now, HostId host) const {
   const double ramp = Seconds(options_.coldRamp).count();
-  return std::clamp(ageSeconds(now, host) / ramp, kColdest, 1.0);
+  return std::clamp(ageSeconds(now, host) / ramp, kMinRampFactor, 1.0);
 }
 
 }  // namespace umberhold
--- a/source/common/health/host_health.h
+++ b/source/common/health/host_health.h
@@ -42,7 +42,7 @@
    */
   Duration panicHold = std::chrono::seconds(15);
   /** What another owner said counts for this long. */
-  Duration remoteLife = std::chrono::seconds(60);
+  Duration remoteResultLifetime = std::chrono::seconds(60);
 };
 
 /** A host as probing sees it. */
@@ -88,7 +88,7 @@
   bool isHealthy(TimePoint now, HostId host) const;
   /** @return whether health is ignored: more than half of the active hosts are unhealthy, or were
    * until less than panicHold ago. */
-  bool panics(TimePoint now) const;
+  bool isPanicking(TimePoint now) const;
   bool probedHere(HostId host) const;
   /** @return the last report, if any. */
   std::optional<LoadReport> report(HostId host) const;
@@ -114,11 +114,11 @@
   };
 
   void becomeHealthy(TimePoint now, State& state);
-  bool mostAreUnhealthy(TimePoint now) const;
+  bool isMajorityUnhealthy(TimePoint now) const;
   /** Call before anything changes that may end a panic. */
-  void notePanic(TimePoint now);
+  void updatePanicTime(TimePoint now);
   bool ownsIndex(size_t index) const;
-  bool believedHealthy(TimePoint now, const State& state) const;
+  bool isConsideredHealthy(TimePoint now, const State& state) const;
 
   HostHealthOptions options_;
   RandomSource random_;
--- a/source/common/health/host_observations.cc
+++ b/source/common/health/host_observations.cc
@@ -13,31 +13,31 @@
 /** Usual answers that every host is taken to have had besides: few reports move it little. */
 constexpr double kPriorSamples = 2.0;
 /** Hosts with a lower score are left out of answers. */
-constexpr double kLateScore = 1.5;
-constexpr size_t kFewestReporters = 2;
+constexpr double kMinLateScore = 1.5;
+constexpr size_t kMinReporters = 2;
 /** In an answer. */
 constexpr size_t kStandingBytes = 12;
 constexpr size_t kSpeedBytes = 10;
 constexpr double kPercent = 100.0;
-constexpr uint32_t kHighestPercent =
-    static_cast<uint32_t>(ResponseScore::kHighestSample * kPercent);
-constexpr uint32_t kHighestWorkPercent = static_cast<uint32_t>(kMostWorkRatio * kPercent);
+constexpr uint32_t kMaxPercent =
+    static_cast<uint32_t>(ResponseScore::kMaxSample * kPercent);
+constexpr uint32_t kMaxWorkPercent = static_cast<uint32_t>(kMaxWorkRatio * kPercent);
 
 bool isValid(const HostObservation& seen) {
-  return seen.requests > 0 && seen.percentOfUsual <= kHighestPercent &&
-         seen.workPercent <= kHighestWorkPercent;
+  return seen.requests > 0 && seen.percentOfUsual <= kMaxPercent &&
+         seen.workPercent <= kMaxWorkPercent;
 }
 
 }  // namespace
 
-size_t mostSpeedsBeside(size_t standings) {
+size_t maxSpeedsBeside(size_t standings) {
   const size_t left = kMaxStandings - std::min(standings, kMaxStandings);
   return std::min(kMaxLearnedSpeeds, left * kStandingBytes / kSpeedBytes);
 }
 
 std::string_view toString(ReportOutcome outcome) {
   switch (outcome) {
-    case ReportOutcome::kTaken:
+    case ReportOutcome::kAccepted:
       return "taken";
     case ReportOutcome::kRepeated:
       return "repeated";
@@ -58,10 +58,10 @@
     }
     Sum& sum = sums_[sample.token];
     ++sum.requests;
-    sum.ratios += std::min(sample.ratio, ResponseScore::kHighestSample);
+    sum.ratios += std::min(sample.ratio, ResponseScore::kMaxSample);
     if (sample.workRatio) {
       ++sum.works;
-      sum.workRatios += std::log(std::clamp(*sample.workRatio, kLeastWorkRatio, kMostWorkRatio));
+      sum.workRatios += std::log(std::clamp(*sample.workRatio, kMinWorkRatio, kMaxWorkRatio));
     }
   }
 }
@@ -82,26 +82,26 @@
 }
 
 ReportOutcome ZoneObservations::merge(TimePoint now, const HostReport& report) {
-  const bool isSane = report.hosts.size() <= kMaxReportedHosts &&
+  const bool isValidReport = report.hosts.size() <= kMaxReportedHosts &&
                       report.signs.size() <= kMaxReportedSigns &&
                       std::all_of(report.hosts.begin(), report.hosts.end(), isValid);
-  if (!isSane) {
+  if (!isValidReport) {
     return ReportOutcome::kInvalid;
   }
-  forgetOld(now);
+  removeExpired(now);
   Reporter& reporter = reporters_[report.reporter];
   if (report.sequence <= reporter.sequence) {
     return ReportOutcome::kRepeated;
   }
   reporter = {report.sequence, now};
   for (const HostObservation& seen : report.hosts) {
-    note(hosts_[seen.token], {report.reporter, now, seen.percentOfUsual / kPercent});
+    record(hosts_[seen.token], {report.reporter, now, seen.percentOfUsual / kPercent});
     speeds_.add(now, report.reporter, seen.token, seen.workPercent, seen.requests);
   }
-  return ReportOutcome::kTaken;
+  return ReportOutcome::kAccepted;
 }
 
-void ZoneObservations::note(Observations& observations, const Observation& observation) {
+void ZoneObservations::record(Observations& observations, const Observation& observation) {
   for (Observation& earlier : observations) {
     if (earlier.reporter == observation.reporter) {
       earlier = observation;
@@ -111,7 +111,7 @@
   observations.push_back(observation);
 }
 
-void ZoneObservations::forgetOld(TimePoint now) {
+void ZoneObservations::removeExpired(TimePoint now) {
   const auto isOld = [now](const auto& entry) { return now - entry.at > kWindow; };
   for (auto& [token, observations] : hosts_) {
     std::erase_if(observations, isOld);
@@ -132,11 +132,11 @@
 }
 
 std::vector<HostStanding> ZoneObservations::standings(TimePoint now) {
-  forgetOld(now);
+  removeExpired(now);
   std::vector<HostStanding> standings;
   for (const auto& [token, observations] : hosts_) {
     const double score = scoreOf(observations);
-    if (observations.size() < kFewestReporters || score < kLateScore) {
+    if (observations.size() < kMinReporters || score < kMinLateScore) {
       continue;
     }
     const auto youngest = std::max_element(
--- a/source/common/health/host_observations.h
+++ b/source/common/health/host_observations.h
@@ -30,7 +30,7 @@
 constexpr size_t kMaxLearnedSpeeds = 60;
 /** @return speeds in an answer beside so many standings: both together take no more bytes than
  * kMaxStandings do. */
-size_t mostSpeedsBeside(size_t standings);
+size_t maxSpeedsBeside(size_t standings);
 
 /** Gathers a node's own samples until its next report. Not thread safe. */
 class SampleCollector {
@@ -56,7 +56,7 @@
 
 /** What became of a report. */
 enum class ReportOutcome : uint8_t {
-  kTaken,
+  kAccepted,
   /** Its sequence number is not above that of the reporter's last one. */
   kRepeated,
   /** More hosts than a report may hold, or figures that no node can have measured. */
@@ -80,7 +80,7 @@
    */
   std::vector<HostStanding> standings(TimePoint now);
   /** @return how fast hosts are, `most` of them at most; see SpeedLearner. */
-  std::vector<LearnedSpeed> speeds(TimePoint now, size_t most) { return speeds_.speeds(now, most); }
+  std::vector<LearnedSpeed> speeds(TimePoint now, size_t maxCount) { return speeds_.speeds(now, maxCount); }
 
  private:
   struct Observation {
@@ -95,8 +95,8 @@
   };
   using Observations = std::vector<Observation>;
 
-  static void note(Observations& observations, const Observation& observation);
-  void forgetOld(TimePoint now);
+  static void record(Observations& observations, const Observation& observation);
+  void removeExpired(TimePoint now);
   /** @return the mean without the highest, with some usual answers added. */
   static double scoreOf(const Observations& observations);
 
--- a/source/common/health/observation_exchange.cc
+++ b/source/common/health/observation_exchange.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /** How long after the last report a node still counts as one that is asked. */
-constexpr Duration kAskedFor = std::chrono::seconds(5);
+constexpr Duration kPeerReportLifetime = std::chrono::seconds(5);
 /** How often a node that is asked adds its own samples, as others do by their polls. */
 constexpr Duration kOwnInterval = std::chrono::seconds(1);
 /** The same while a host leaves data unacknowledged. */
@@ -24,22 +24,22 @@
 }  // namespace
 
 ObservationExchange::ObservationExchange(std::string_view nodeName)
-    : gatherer_(hashBytes(nodeName)) {}
+    : sampleCollector_(hashBytes(nodeName)) {}
 
 void ObservationExchange::add(TimePoint now, const std::vector<HostSample>& samples,
                               const std::vector<HostAckState>& signs) {
   const bool urgent = isUrgent(signs);
-  bool isAsked = false;
+  bool isQueriedByPeers = false;
   {
     const std::lock_guard lock(mutex_);
-    gatherer_.add(samples);
-    signs_.add(signs);
-    isAsked = askedAt_ && now - *askedAt_ <= kAskedFor;
-    if (isAsked && now - mergedOwnAt_ >= (urgent ? kUrgentInterval : kOwnInterval)) {
+    sampleCollector_.add(samples);
+    ackStateCollector_.add(signs);
+    isQueriedByPeers = lastPeerReportAt_ && now - *lastPeerReportAt_ <= kPeerReportLifetime;
+    if (isQueriedByPeers && now - mergedOwnAt_ >= (urgent ? kUrgentInterval : kOwnInterval)) {
       mergeOwn(now);
     }
   }
-  if (urgent && !isAsked && notifyUrgent_) {
+  if (urgent && !isQueriedByPeers && notifyUrgent_) {
     notifyUrgent_();
   }
 }
@@ -47,32 +47,32 @@
 void ObservationExchange::mergeOwn(TimePoint now) {
   mergedOwnAt_ = now;
   mergeReport(now, takeOwnReport(now));
-  news_ = newsNow(now);
+  pendingUpdate_ = currentUpdate(now);
 }
 
 HostReport ObservationExchange::takeOwnReport(TimePoint now) {
-  HostReport report = gatherer_.takeReport(now);
-  report.signs = signs_.take(now);
+  HostReport report = sampleCollector_.takeReport(now);
+  report.signs = ackStateCollector_.take(now);
   return report;
 }
 
 ReportOutcome ObservationExchange::mergeReport(TimePoint now, const HostReport& report) {
   const ReportOutcome outcome = zone_.merge(now, report);
-  if (outcome == ReportOutcome::kTaken) {
+  if (outcome == ReportOutcome::kAccepted) {
     silence_.merge(now, report.reporter, report.signs);
   }
   return outcome;
 }
 
-ZoneUpdate ObservationExchange::newsNow(TimePoint now) {
-  ZoneUpdate news{zone_.standings(now), silence_.silentHosts(now), {}};
-  news.speeds = zone_.speeds(now, mostSpeedsBeside(news.standings.size()));
-  return news;
+ZoneUpdate ObservationExchange::currentUpdate(TimePoint now) {
+  ZoneUpdate update{zone_.standings(now), silence_.silentHosts(now), {}};
+  update.speeds = zone_.speeds(now, maxSpeedsBeside(update.standings.size()));
+  return update;
 }
 
 std::optional<ZoneUpdate> ObservationExchange::takeUpdate() {
   const std::lock_guard lock(mutex_);
-  return std::exchange(news_, std::nullopt);
+  return std::exchange(pendingUpdate_, std::nullopt);
 }
 
 HostReport ObservationExchange::takeReport(TimePoint now) {
@@ -80,15 +80,15 @@
   return takeOwnReport(now);
 }
 
-void ObservationExchange::onPeerUpdate(ZoneUpdate news) {
+void ObservationExchange::onPeerUpdate(ZoneUpdate update) {
   const std::lock_guard lock(mutex_);
-  news_ = std::move(news);
+  pendingUpdate_ = std::move(update);
 }
 
 void ObservationExchange::merge(TimePoint now, std::string_view bytes) {
   const auto report = decodeHostReport(bytes);
   const std::lock_guard lock(mutex_);
-  askedAt_ = now;
+  lastPeerReportAt_ = now;
   const ReportOutcome outcome =
       isOk(report) ? mergeReport(now, valueOf(report)) : ReportOutcome::kMalformed;
   ++counters_[static_cast<size_t>(outcome)];
@@ -96,7 +96,7 @@
 
 ZoneUpdate ObservationExchange::zoneUpdate(TimePoint now) {
   const std::lock_guard lock(mutex_);
-  return newsNow(now);
+  return currentUpdate(now);
 }
 
 ReportCounters ObservationExchange::counters() const {
--- a/source/common/health/observation_exchange.h
+++ b/source/common/health/observation_exchange.h
@@ -50,7 +50,7 @@
   // A node that asks a peer.
   HostReport takeReport(TimePoint now);
   /** The peer's answer to the report. */
-  void onPeerUpdate(ZoneUpdate news);
+  void onPeerUpdate(ZoneUpdate update);
 
   // A node that is asked.
   /** @param bytes a report as encoded by encodeHostReport(). */
@@ -65,17 +65,17 @@
   mutable std::mutex mutex_;
   HostReport takeOwnReport(TimePoint now);
   ReportOutcome mergeReport(TimePoint now, const HostReport& report);
-  ZoneUpdate newsNow(TimePoint now);
+  ZoneUpdate currentUpdate(TimePoint now);
 
-  SampleCollector gatherer_;
-  AckStateCollector signs_;
+  SampleCollector sampleCollector_;
+  AckStateCollector ackStateCollector_;
   ZoneObservations zone_;
   ZoneSilence silence_;
-  std::optional<ZoneUpdate> news_;
+  std::optional<ZoneUpdate> pendingUpdate_;
   std::function<void()> notifyUrgent_;
   ReportCounters counters_{};
   /** When a peer last reported; none where none did. */
-  std::optional<TimePoint> askedAt_;
+  std::optional<TimePoint> lastPeerReportAt_;
   TimePoint mergedOwnAt_{};
 };
 
--- a/source/common/health/zone_silence.cc
+++ b/source/common/health/zone_silence.cc
@@ -8,11 +8,11 @@
 
 /** Copies and reports older than this say nothing of the host as it is now. */
 constexpr Duration kWindow = std::chrono::seconds(3);
-constexpr size_t kFewestReporters = 2;
+constexpr size_t kMinReporters = 2;
 /** One caller alone may have lost its own path. */
-constexpr size_t kFewestCallers = 2;
+constexpr size_t kMinCallers = 2;
 /** Three lost packets in a row without an answer between: at a loss of one in 500, one of 10^8. */
-constexpr uint32_t kFewestCopies = 3;
+constexpr uint32_t kMinCopies = 3;
 /** Times of two nodes are compared by when their reports arrive: a report may be under way for so
  * long, and what was sent less than that after a sign of life does not count. */
 constexpr Duration kReportDelay = std::chrono::milliseconds(100);
@@ -26,15 +26,15 @@
 
 void AckStateCollector::add(const std::vector<HostAckState>& signs) {
   for (const HostAckState& sign : signs) {
-    if (signs_.size() < kMaxReportedSigns || signs_.contains(sign.token) || sign.copies > 0) {
-      signs_[sign.token] = sign;
+    if (pending_.size() < kMaxReportedSigns || pending_.contains(sign.token) || sign.copies > 0) {
+      pending_[sign.token] = sign;
     }
   }
 }
 
 std::vector<HostSign> AckStateCollector::take(TimePoint now) {
   std::vector<HostSign> report;
-  for (const auto& [token, sign] : signs_) {
+  for (const auto& [token, sign] : pending_) {
     HostSign& reported = report.emplace_back();
     reported.token = token;
     reported.answeredAgoMilliseconds =
@@ -48,7 +48,7 @@
     return left.copies > right.copies;
   });
   report.resize(std::min(report.size(), kMaxReportedSigns));
-  std::erase_if(signs_, [now](const auto& named) {
+  std::erase_if(pending_, [now](const auto& named) {
     return named.second.copies == 0 || now - named.second.lastCopyAt > kWindow;
   });
   return report;
@@ -83,14 +83,14 @@
   std::set<uint32_t> callers;
   for (const auto& [reporter, report] : host.reports) {
     // A report tells nothing of what came after it: the host may have answered by then.
-    if (counts(report) && report.at - since >= kLeastSilence) {
+    if (counts(report) && report.at - since >= kMinSilence) {
       ++reporters;
       copies += report.copies;
       callers.insert(report.callers.begin(), report.callers.end());
     }
   }
   const bool isSilent =
-      reporters >= kFewestReporters && callers.size() >= kFewestCallers && copies >= kFewestCopies;
+      reporters >= kMinReporters && callers.size() >= kMinCallers && copies >= kMinCopies;
   return isSilent ? std::optional(since) : std::nullopt;
 }
 
--- a/source/common/health/zone_silence.h
+++ b/source/common/health/zone_silence.h
@@ -35,7 +35,7 @@
   std::vector<HostSign> take(TimePoint now);
 
  private:
-  std::unordered_map<uint32_t, HostAckState> signs_;
+  std::unordered_map<uint32_t, HostAckState> pending_;
 };
 
 /** Merges the signs that a zone's nodes report. Not thread safe. */
@@ -45,7 +45,7 @@
   void merge(TimePoint now, uint64_t reporter, const std::vector<HostSign>& signs);
   /**
    * @return the hosts that left data of several callers unacknowledged at two nodes or more, and
-   * that gave no node a sign of life from when the first of it was sent until kLeastSilence later
+   * that gave no node a sign of life from when the first of it was sent until kMinSilence later
    * or more: one node that is cut off or wrong silences no host.
    */
   std::vector<SilentHost> silentHosts(TimePoint now);
--- a/source/common/speed/known_speed.h
+++ b/source/common/speed/known_speed.h
@@ -9,20 +9,20 @@
 /** Not thread safe. */
 class KnownSpeed {
  public:
-  void learn(TimePoint now, const HostSpeed& speed) {
+  void update(TimePoint now, const HostSpeed& speed) {
     speed_ = speed;
-    at_ = now;
+    updatedAt_ = now;
   }
   /** @return the speed as it was told last; the usual one where that is too long ago. */
-  HostSpeed value(TimePoint now) const { return now - at_ <= kKept ? speed_ : HostSpeed{}; }
+  HostSpeed value(TimePoint now) const { return now - updatedAt_ <= kLifetime ? speed_ : HostSpeed{}; }
 
  private:
   /** Longer than a reader's successor needs to learn, and than a burst of callers in which nothing
    * can be learnt. */
-  static constexpr Duration kKept = std::chrono::seconds(60);
+  static constexpr Duration kLifetime = std::chrono::seconds(60);
 
   HostSpeed speed_;
-  TimePoint at_{};
+  TimePoint updatedAt_{};
 };
 
 }  // namespace umberhold
--- a/source/common/speed/speed_learner.h
+++ b/source/common/speed/speed_learner.h
@@ -18,7 +18,7 @@
 
 namespace umberhold {
 
-/** Not thread safe. Memory: kMostHosts x kMostReporters x 32 bytes at most, 6 MB. */
+/** Not thread safe. Memory: kMaxHosts x kMaxReporters x 32 bytes at most, 6 MB. */
 class SpeedLearner {
  public:
   /**
@@ -29,17 +29,17 @@
   void add(TimePoint now, uint64_t reporter, uint32_t token, double workPercent, uint32_t requests);
   /** @return what is known of hosts, `most` at most: of more, another part at each call, so that
    * those who ask often hear of all of them. */
-  std::vector<LearnedSpeed> speeds(TimePoint now, size_t most);
+  std::vector<LearnedSpeed> speeds(TimePoint now, size_t maxCount);
 
   size_t knownHosts() const { return hosts_.size(); }
 
   /** Nodes whose reports of a host are kept; of more, those that know least give way. */
-  static constexpr size_t kMostReporters = 24;
-  static constexpr size_t kMostHosts = 8192;
+  static constexpr size_t kMaxReporters = 24;
+  static constexpr size_t kMaxHosts = 8192;
 
  private:
   /** What one node measured of one host. */
-  struct Measure {
+  struct Measurement {
     uint64_t reporter = 0;
     TimePoint at{};
     /** Requests, each weighed by its age. */
@@ -47,18 +47,18 @@
     /** Mean of the natural logarithms of their times, as multiples of the usual one. */
     double mean = 0.0;
   };
-  using Measures = std::vector<Measure>;
+  using Measurements = std::vector<Measurement>;
 
-  static double samplesAt(TimePoint now, const Measure& measure);
-  static Measure& placeFor(TimePoint now, Measures& measures, uint64_t reporter);
+  static double samplesAt(TimePoint now, const Measurement& measurement);
+  static Measurement& measurementFor(TimePoint now, Measurements& measurements, uint64_t reporter);
   /** @return what is said of the host; samples 0 where too little is known. */
-  static LearnedSpeed speedOf(TimePoint now, uint32_t token, const Measures& measures);
-  void forgetOld(TimePoint now);
+  static LearnedSpeed speedOf(TimePoint now, uint32_t token, const Measurements& measurements);
+  void removeExpired(TimePoint now);
 
   /** By token; these are spread evenly over all numbers. */
-  std::map<uint32_t, Measures> hosts_;
-  TimePoint forgotAt_{};
-  uint64_t answers_ = 0;
+  std::map<uint32_t, Measurements> hosts_;
+  TimePoint lastExpiryAt_{};
+  uint64_t responseCount_ = 0;
 };
 
 }  // namespace umberhold
--- a/source/common/speed/work_times.cc
+++ b/source/common/speed/work_times.cc
@@ -6,10 +6,10 @@
 namespace umberhold {
 namespace {
 
-constexpr uint32_t kEnoughOpenings = 5;
-constexpr uint32_t kEnoughRequests = 16;
+constexpr uint32_t kMinOpenings = 5;
+constexpr uint32_t kMinRequests = 16;
 /** Milliseconds; shorter times can't be told from the network's. */
-constexpr double kShortestWork = 1.0;
+constexpr double kMinWorkMilliseconds = 1.0;
 
 double millisecondsOf(Duration time) {
   return std::chrono::duration<double, std::milli>(time).count();
@@ -18,11 +18,11 @@
 }  // namespace
 
 void WorkTimes::onOpened(TimePoint now, Duration roundTrip) {
-  network_.add(now, std::log(std::max(millisecondsOf(roundTrip), kShortestWork)));
+  network_.add(now, std::log(std::max(millisecondsOf(roundTrip), kMinWorkMilliseconds)));
 }
 
 void WorkTimes::add(TimePoint now, Duration response) {
-  if (network_.samples() >= kEnoughOpenings) {
+  if (network_.samples() >= kMinOpenings) {
     work_.add(now, std::log(workOf(response)));
   }
 }
@@ -31,7 +31,7 @@
   if (!isKnown()) {
     return std::nullopt;
   }
-  return std::clamp(workOf(response) / std::exp(work_.value()), kLeastWorkRatio, kMostWorkRatio);
+  return std::clamp(workOf(response) / std::exp(work_.value()), kMinWorkRatio, kMaxWorkRatio);
 }
 
 double WorkTimes::expectedRatio(double speed) const {
@@ -44,11 +44,11 @@
 }
 
 bool WorkTimes::isKnown() const {
-  return work_.samples() >= kEnoughRequests;
+  return work_.samples() >= kMinRequests;
 }
 
 double WorkTimes::workOf(Duration response) const {
-  return std::max(millisecondsOf(response) - network(), kShortestWork);
+  return std::max(millisecondsOf(response) - network(), kMinWorkMilliseconds);
 }
 
 double WorkTimes::network() const {
--- a/source/common/speed/work_times.h
+++ b/source/common/speed/work_times.h
@@ -24,7 +24,7 @@
   /** @param response a request's whole time. */
   void add(TimePoint now, Duration response);
   /** @return the time that the host worked, as a multiple of the service's usual one, within
-   * kLeastWorkRatio and kMostWorkRatio; nothing before enough is known. */
+   * kMinWorkRatio and kMaxWorkRatio; nothing before enough is known. */
   std::optional<double> ratioOf(Duration response) const;
   /**
    * @param speed of a host; see HostSpeed.
@@ -47,10 +47,10 @@
 
 /** One request moves what is known of a host by no more: 3 of 100 that take seven times as long
  * shift a mean of logarithms by 0.04 then, not by 0.06, and the longest don't count for more. */
-constexpr double kMostWorkRatio = 4.0;
-constexpr double kLeastWorkRatio = 1.0 / kMostWorkRatio;
+constexpr double kMaxWorkRatio = 4.0;
+constexpr double kMinWorkRatio = 1.0 / kMaxWorkRatio;
 /** What takes a host so much longer than usual tells nothing of its speed beyond that: the wait of
  * an overdue request. */
-constexpr double kOverdueWorkRatio = kMostWorkRatio;
+constexpr double kOverdueWorkRatio = kMaxWorkRatio;
 
 }  // namespace umberhold
--- a/source/common/token/cold_hosts.cc
+++ b/source/common/token/cold_hosts.cc
@@ -7,44 +7,44 @@
 namespace {
 
 /** Parts of what a cold host bears that new flows may take up. */
-constexpr double kOwnZonePart = 0.3;
-constexpr double kOtherZonesPart = 0.05;
-constexpr Duration kSpread = std::chrono::seconds(1);
+constexpr double kOwnZoneFraction = 0.3;
+constexpr double kOtherZonesFraction = 0.05;
+constexpr Duration kSpreadInterval = std::chrono::seconds(1);
 /** A node that knows fewer nodes of its zone reckons with so many: its list may be young. */
-constexpr uint32_t kFewestNodes = 8;
+constexpr uint32_t kMinNodes = 8;
 
 }  // namespace
 
 void ColdAllotment::begin(TimePoint now, Duration remaining, double flows, RandomSource& random) {
   if (isCold(now)) {
-    until_ = std::max(until_, now + remaining);
+    coldUntil_ = std::max(coldUntil_, now + remaining);
     return;
   }
-  until_ = now + remaining;
+  coldUntil_ = now + remaining;
   const double whole = std::floor(flows);
-  left_ = static_cast<uint32_t>(whole) + (random.unit() < flows - whole ? 1 : 0);
-  pace_ = left_ == 0 ? kSpread : kSpread / left_;
-  next_ = now +
-          Duration{static_cast<Duration::rep>(static_cast<double>(pace_.count()) * random.unit())};
+  remainingFlows_ = static_cast<uint32_t>(whole) + (random.unit() < flows - whole ? 1 : 0);
+  flowInterval_ = remainingFlows_ == 0 ? kSpreadInterval : kSpreadInterval / remainingFlows_;
+  nextFlowAt_ = now +
+          Duration{static_cast<Duration::rep>(static_cast<double>(flowInterval_.count()) * random.unit())};
 }
 
 void ColdAllotment::onPlaced(TimePoint now) {
   if (!isCold(now)) {
     return;
   }
-  left_ -= std::min<uint32_t>(left_, 1);
-  next_ = now + pace_;
+  remainingFlows_ -= std::min<uint32_t>(remainingFlows_, 1);
+  nextFlowAt_ = now + flowInterval_;
 }
 
-double coldFlowsOfNode(const ColdHostOptions& options, const ColdLimit& limit,
+double coldFlowsPerNode(const ColdHostOptions& options, const ColdLimit& limit,
                        const SendingNodes& nodes, bool ownZone) {
-  const double bears = limit.requestsPerSecond * options.rateFactor + options.rateAllowance;
-  const double ofZone = std::max(nodes.ofZone, kFewestNodes);
+  const double hostLimit = limit.requestsPerSecond * options.rateFactor + options.rateAllowance;
+  const double nodesInZone = std::max(nodes.nodesInZone, kMinNodes);
   if (ownZone) {
-    return kOwnZonePart * bears / ofZone;
+    return kOwnZoneFraction * hostLimit / nodesInZone;
   }
   const double otherZones = std::max<uint32_t>(nodes.zones, 2) - 1;
-  return kOtherZonesPart * bears / (ofZone * otherZones);
+  return kOtherZonesFraction * hostLimit / (nodesInZone * otherZones);
 }
 
 }  // namespace umberhold
--- a/source/common/token/cold_hosts.h
+++ b/source/common/token/cold_hosts.h
@@ -28,7 +28,7 @@
 /** Nodes that may send to a host, as far as this node knows. */
 struct SendingNodes {
   /** In this node's zone, itself included. */
-  uint32_t ofZone = 1;
+  uint32_t nodesInZone = 1;
   /** Zones that have hosts of the pool. */
   uint32_t zones = 1;
 };
@@ -41,17 +41,17 @@
    * @param flows that this node may give it meanwhile.
    */
   void begin(TimePoint now, Duration remaining, double flows, RandomSource& random);
-  bool isCold(TimePoint now) const { return now < until_; }
+  bool isCold(TimePoint now) const { return now < coldUntil_; }
   /** @return whether the host may get a new flow of this node. */
-  bool mayTake(TimePoint now) const { return !isCold(now) || (left_ > 0 && now >= next_); }
+  bool canTakeFlow(TimePoint now) const { return !isCold(now) || (remainingFlows_ > 0 && now >= nextFlowAt_); }
   void onPlaced(TimePoint now);
 
  private:
-  TimePoint until_{};
-  uint32_t left_ = 0;
+  TimePoint coldUntil_{};
+  uint32_t remainingFlows_ = 0;
   /** The allotment is spread over the first second. */
-  TimePoint next_{};
-  Duration pace_{0};
+  TimePoint nextFlowAt_{};
+  Duration flowInterval_{0};
 };
 
 /**
@@ -60,7 +60,7 @@
  * its own zone, 0.05 for those of others: each flow brings more than one request, and a request may
  * be repeated.
  */
-double coldFlowsOfNode(const ColdHostOptions& options, const ColdLimit& limit,
+double coldFlowsPerNode(const ColdHostOptions& options, const ColdLimit& limit,
                        const SendingNodes& nodes, bool ownZone);
 
 }  // namespace umberhold
--- a/source/common/token/dead_host_flows.cc
+++ b/source/common/token/dead_host_flows.cc
@@ -13,8 +13,8 @@
       RefusalReason::kHostEnded);
 }
 
-void DeadHostFlows::onReborn(TimePoint now, uint32_t token, TimePoint born) {
-  add(recent_.take(now - flowLife_, born - kClockError,
+void DeadHostFlows::onRestarted(TimePoint now, uint32_t token, TimePoint born) {
+  add(recent_.take(now - flowLife_, born - kMaxClockSkew,
                    [&](const RecentFlow& flow) { return flow.token == token; }),
       RefusalReason::kHostEnded);
 }
@@ -27,7 +27,7 @@
   add(recent_.take(now - flowLife_,
                    [&](const RecentFlow& flow) {
                      return tokens.contains(flow.token) &&
-                            (!flow.underWay || isRepeatable(flow.service));
+                            (!flow.requestInFlight || isRepeatable(flow.service));
                    }),
       RefusalReason::kHostSilent);
 }
@@ -40,7 +40,7 @@
 
 std::vector<ResetFlow> DeadHostFlows::take() {
   std::vector<ResetFlow> taken;
-  while (!pending_.empty() && taken.size() < kMostAtOnce) {
+  while (!pending_.empty() && taken.size() < kMaxResetsPerCall) {
     taken.push_back(pending_.front());
     pending_.pop_front();
   }
--- a/source/common/token/dead_host_flows.h
+++ b/source/common/token/dead_host_flows.h
@@ -26,7 +26,7 @@
   void setFlowLife(Duration flowLife) { flowLife_ = flowLife; }
 
   /** @param packet of a flow whose host may live. */
-  void note(TimePoint now, const FlowPacket& packet) { recent_.note(now, packet); }
+  void record(TimePoint now, const FlowPacket& packet) { recent_.record(now, packet); }
   /** Hosts have definitely ended. @param tokens theirs. All their flows are reset. */
   void onEnded(TimePoint now, const std::set<uint32_t>& tokens);
   /**
@@ -34,7 +34,7 @@
    * those seen later went to the new life, which itself answers what it does not hold with a reset.
    * @param born when its new life began, by this node's clock.
    */
-  void onReborn(TimePoint now, uint32_t token, TimePoint born);
+  void onRestarted(TimePoint now, uint32_t token, TimePoint born);
   /**
    * Hosts are silent to several flows. Flows at rest are reset, and those with a request under way
    * that may run twice; a request that may not is left to its host, which may yet answer it.
@@ -42,13 +42,13 @@
    */
   void onSilent(TimePoint now, const std::set<uint32_t>& tokens,
                 const std::function<bool(ServiceId)>& isRepeatable);
-  /** @return flows to be reset now, at most kMostAtOnce. */
+  /** @return flows to be reset now, at most kMaxResetsPerCall. */
   std::vector<ResetFlow> take();
   bool hasPending() const { return !pending_.empty(); }
 
   /** A reset costs a system call, 10 to 20 microseconds of a core (estimated): so many hold packets
    * up by 1 ms at most. */
-  static constexpr size_t kMostAtOnce = 64;
+  static constexpr size_t kMaxResetsPerCall = 64;
 
  private:
   void add(const std::vector<RecentFlow>& flows, RefusalReason reason);
--- a/source/common/token/flow_placement.cc
+++ b/source/common/token/flow_placement.cc
@@ -13,7 +13,7 @@
  */
 constexpr Duration kVanishedGrace = std::chrono::milliseconds(1500);
 /** Below this part of an equal share of the hosts, a zone sends some of its flows elsewhere. */
-constexpr double kFewHosts = 0.9;
+constexpr double kMinShareOfHosts = 0.9;
 /**
  * Multiple of the median beyond which a host counts as slow. Well hosts stay below 2 (work times
  * with a spread of 0.5, samples weighed by a quarter).
@@ -34,14 +34,14 @@
 
 TokenHost* FlowPlacement::place(TimePoint now, const TokenPool& pool, uint32_t avoided) {
   collect(now, pool, avoided);
-  weighTimes(now);
+  applyResponseTimes(now);
   evidence_.candidates = static_cast<uint32_t>(candidates_.size());
-  evidence_.leavesZone = random_.unit() > ownZonePart(now, pool);
+  evidence_.leavesZone = random_.unit() > ownZoneFraction(now, pool);
   const Candidate* chosen = best();
   if (chosen == nullptr) {
     return nullptr;
   }
-  noteEvidence(now, pool, *chosen);
+  recordEvidence(now, pool, *chosen);
   return chosen->host;
 }
 
@@ -49,7 +49,7 @@
   collect(now, pool, 0);
   double slots = 0.0;
   for (const Candidate& candidate : candidates_) {
-    slots += candidate.isPoor() ? 0 : candidate.host->spec.slots;
+    slots += candidate.isImpaired() ? 0 : candidate.host->spec.slots;
   }
   return slots;
 }
@@ -57,7 +57,7 @@
 void FlowPlacement::collect(TimePoint now, const TokenPool& pool, uint32_t avoided) {
   candidates_.clear();
   for (TokenHost* host : pool.hosts) {
-    if (!mayTakeFlows(now, *host) || isEvacuated(*host) || !host->cold.mayTake(now)) {
+    if (!mayTakeFlows(now, *host) || isEvacuated(*host) || !host->cold.canTakeFlow(now)) {
       continue;
     }
     Candidate& candidate = candidates_.emplace_back();
@@ -73,7 +73,7 @@
   }
 }
 
-void FlowPlacement::weighTimes(TimePoint now) {
+void FlowPlacement::applyResponseTimes(TimePoint now) {
   times_.clear();
   for (Candidate& candidate : candidates_) {
     candidate.slowness = candidate.host->estimate.responseScore(now);
@@ -82,7 +82,7 @@
   const double median = medianTime();
   for (Candidate& candidate : candidates_) {
     candidate.slowness /= median;
-    notePace(candidate);
+    recordSlownessChange(candidate);
     if (candidate.slowness > options_.weighedRatio) {
       const double excess = candidate.slowness / options_.weighedRatio;
       candidate.load *= excess * excess;
@@ -90,12 +90,12 @@
   }
 }
 
-void FlowPlacement::notePace(const Candidate& candidate) {
+void FlowPlacement::recordSlownessChange(const Candidate& candidate) {
   TokenHost& host = *candidate.host;
   const bool slow = candidate.slowness > kSlowHost;
   if (slow != host.slow) {
     host.slow = slow;
-    paceChanges_.push_back({host.pool, host.spec.name, slow, candidate.slowness});
+    slownessChanges_.push_back({host.pool, host.spec.name, slow, candidate.slowness});
   }
 }
 
@@ -126,11 +126,11 @@
   return best;
 }
 
-double FlowPlacement::ownZonePart(TimePoint now, const TokenPool& pool) const {
+double FlowPlacement::ownZoneFraction(TimePoint now, const TokenPool& pool) const {
   std::map<std::string_view, double> weights;
   double total = 0.0;
   for (const Candidate& candidate : candidates_) {
-    if (!candidate.isPoor()) {
+    if (!candidate.isImpaired()) {
       weights[candidate.host->spec.zone] += candidate.weight();
       total += candidate.weight();
     }
@@ -139,40 +139,40 @@
   if (own == weights.end()) {
     return 1.0;  // There is nothing to leave.
   }
-  const double ofEqualShare = own->second * static_cast<double>(weights.size()) / total;
+  const double shareRatio = own->second * static_cast<double>(weights.size()) / total;
   std::vector<std::string_view> others;
   for (const auto& [zone, weight] : weights) {
     if (zone != zone_) {
       others.push_back(zone);
     }
   }
-  return (ofEqualShare < kFewHosts ? ofEqualShare : 1.0) * partByTimes(now, pool, others) *
-         partByLoad(now, pool);
+  return (shareRatio < kMinShareOfHosts ? shareRatio : 1.0) * fractionByResponseTime(now, pool, others) *
+         fractionByLoad(now, pool);
 }
 
-double FlowPlacement::partByLoad(TimePoint now, const TokenPool& pool) const {
+double FlowPlacement::fractionByLoad(TimePoint now, const TokenPool& pool) const {
   double slots = 0.0;
-  double room = 0.0;
-  double ownRoom = 0.0;
+  double capacity = 0.0;
+  double ownCapacity = 0.0;
   for (const Candidate& candidate : candidates_) {
-    if (!candidate.isPoor()) {
+    if (!candidate.isImpaired()) {
       slots += candidate.host->spec.slots;
-      room += candidate.room();
-      ownRoom += candidate.host->spec.zone == zone_ ? candidate.room() : 0;
+      capacity += candidate.capacity();
+      ownCapacity += candidate.host->spec.zone == zone_ ? candidate.capacity() : 0;
     }
   }
-  const double ownPart = room == 0.0 ? 0.0 : ownRoom / room;
-  const double ownSlots = slots * ownPart;
-  const double load = pool.underWay.value(now) * zoneNodes_;
-  const double bearable = options_.fullZoneLoad * ownSlots;
-  if (ownSlots == 0.0 || load <= bearable) {
+  const double ownFraction = capacity == 0.0 ? 0.0 : ownCapacity / capacity;
+  const double ownSlots = slots * ownFraction;
+  const double load = pool.requestsInFlight.value(now) * zoneNodes_;
+  const double limit = options_.fullZoneLoad * ownSlots;
+  if (ownSlots == 0.0 || load <= limit) {
     return 1.0;
   }
-  const double preferred = bearable / load;
-  return preferred + (1.0 - preferred) * ownPart;
+  const double preferred = limit / load;
+  return preferred + (1.0 - preferred) * ownFraction;
 }
 
-double FlowPlacement::partByTimes(TimePoint now, const TokenPool& pool,
+double FlowPlacement::fractionByResponseTime(TimePoint now, const TokenPool& pool,
                                   const std::vector<std::string_view>& otherZones) const {
   if (otherZones.empty()) {
     return 1.0;
@@ -182,12 +182,12 @@
     others += pool.zoneScore(now, zone);
   }
   others /= static_cast<double>(otherZones.size());
-  const double bearable = options_.zoneLeavesRatio * others;
-  const double part = bearable / std::max(bearable, pool.zoneScore(now, zone_));
-  return part * part;
+  const double limit = options_.zoneLeavesRatio * others;
+  const double fraction = limit / std::max(limit, pool.zoneScore(now, zone_));
+  return fraction * fraction;
 }
 
-void FlowPlacement::noteEvidence(TimePoint now, const TokenPool& pool, const Candidate& chosen) {
+void FlowPlacement::recordEvidence(TimePoint now, const TokenPool& pool, const Candidate& chosen) {
   const TokenHost& host = *chosen.host;
   evidence_.ownZone = host.spec.zone == zone_;
   evidence_.silent = chosen.silent;
--- a/source/common/token/flow_placement.h
+++ b/source/common/token/flow_placement.h
@@ -56,7 +56,7 @@
   /** Fed by who sees what hosts answer. */
   SilentZones& silentZones() { return silentZones_; }
   /** @return the hosts that became slow or usual since the last call. */
-  std::vector<HostSlownessChange> takeSlownessChanges() { return std::exchange(paceChanges_, {}); }
+  std::vector<HostSlownessChange> takeSlownessChanges() { return std::exchange(slownessChanges_, {}); }
   /** @return what decided the last placement; fields that a pool doesn't know are left alone. */
   PlacementEvidence& evidence() { return evidence_; }
 
@@ -78,9 +78,9 @@
 
     double weight() const { return host->spec.weight * speed; }
     /** Requests that it works on at once, in those of a host of usual speed. */
-    double room() const { return host->spec.slots * speed; }
+    double capacity() const { return host->spec.slots * speed; }
     /** @return whether its zone should not count on it. */
-    bool isPoor() const { return silent || avoided || host->slow || vanished; }
+    bool isImpaired() const { return silent || avoided || host->slow || vanished; }
     /** @return the order of preference, lower first. @param leavesZone hosts of the own zone come
      * after others. */
     double rank(bool leavesZone) const;
@@ -89,8 +89,8 @@
   /** Fills candidates_. */
   void collect(TimePoint now, const TokenPool& pool, uint32_t avoided);
   /** Scales the load of candidates that answer late. */
-  void weighTimes(TimePoint now);
-  void notePace(const Candidate& candidate);
+  void applyResponseTimes(TimePoint now);
+  void recordSlownessChange(const Candidate& candidate);
   /** @return the median of the times in times_, the lower one of an even number; 1 where none is.
    */
   double medianTime();
@@ -99,17 +99,17 @@
    * clearly less than an equal share of the pool's good hosts, or where they answer later than
    * those of other zones. Zones are taken to have equal traffic.
    */
-  double ownZonePart(TimePoint now, const TokenPool& pool) const;
+  double ownZoneFraction(TimePoint now, const TokenPool& pool) const;
   /**
    * @return part that stays by the load of the zone's own slots. What does not stay is spread over
    * all hosts, so that zones which are full alike exchange flows and lose nothing.
    */
-  double partByLoad(TimePoint now, const TokenPool& pool) const;
-  double partByTimes(TimePoint now, const TokenPool& pool,
+  double fractionByLoad(TimePoint now, const TokenPool& pool) const;
+  double fractionByResponseTime(TimePoint now, const TokenPool& pool,
                      const std::vector<std::string_view>& otherZones) const;
   /** @return the candidate with the lowest rank, by lot among equals. */
   const Candidate* best();
-  void noteEvidence(TimePoint now, const TokenPool& pool, const Candidate& chosen);
+  void recordEvidence(TimePoint now, const TokenPool& pool, const Candidate& chosen);
 
   bool isEvacuated(const TokenHost& host) const {
     return evacuated_.zones.contains(host.spec.zone);
@@ -125,7 +125,7 @@
   /** Kept between calls for its memory. */
   std::vector<Candidate> candidates_;
   std::vector<double> times_;
-  std::vector<HostSlownessChange> paceChanges_;
+  std::vector<HostSlownessChange> slownessChanges_;
 };
 
 }  // namespace umberhold
--- a/source/common/token/flow_progress.cc
+++ b/source/common/token/flow_progress.cc
@@ -9,18 +9,18 @@
  * Callers send data again after at least this long; packets of one flow within it are parts of one
  * request, of which the first stands for all.
  */
-constexpr Duration kShortestRepeat = std::chrono::milliseconds(150);
+constexpr Duration kMinRepeatInterval = std::chrono::milliseconds(150);
 
 }  // namespace
 
 PacketProgress FlowProgress::begin(TimePoint now, const FlowPacket& packet, Entry& entry) const {
   const uint32_t copies = packet.dataBytes > 0 ? 1 : 0;
   entry = {packet.hash, packet.token, packet.sequence, packet.acknowledged, copies,
-           now,         now,          caughtUp_};
+           now,         now,          drainCount_};
   return {copies, now, false, std::nullopt};
 }
 
-PacketProgress FlowProgress::note(TimePoint now, const FlowPacket& packet) {
+PacketProgress FlowProgress::record(TimePoint now, const FlowPacket& packet) {
   Entry& entry = entries_[packet.hash.value % entries_.size()];
   if (entry.flow != packet.hash || entry.token != packet.token) {
     return begin(now, packet, entry);
@@ -37,16 +37,16 @@
     return {0, entry.firstAt, false, std::nullopt};
   }
   if (entry.copies == 0 ||
-      (packet.sequence != entry.sequence && now - entry.lastAt >= kShortestRepeat)) {
+      (packet.sequence != entry.sequence && now - entry.lastAt >= kMinRepeatInterval)) {
     return begin(now, packet, entry);
   }
   if (packet.sequence != entry.sequence) {
     return {1, entry.firstAt, false, std::nullopt};
   }
-  if (now - entry.lastAt >= kShortestRepeat && entry.caughtUp != caughtUp_) {
+  if (now - entry.lastAt >= kMinRepeatInterval && entry.drainCount != drainCount_) {
     ++entry.copies;
     entry.lastAt = now;
-    entry.caughtUp = caughtUp_;
+    entry.drainCount = drainCount_;
     return {entry.copies, entry.firstAt, false, std::nullopt};
   }
   return {1, entry.firstAt, false, std::nullopt};
--- a/source/common/token/flow_progress.h
+++ b/source/common/token/flow_progress.h
@@ -35,12 +35,12 @@
 class FlowProgress {
  public:
   /** @param packet a later packet of a flow, in a format that tells sequence numbers. */
-  PacketProgress note(TimePoint now, const FlowPacket& packet);
+  PacketProgress record(TimePoint now, const FlowPacket& packet);
   /**
    * Every packet that had arrived was handled. A copy counts only if this happened after the one
    * before it: a node that is behind sees copies of data that its host would have acknowledged.
    */
-  void onCaughtUp() { ++caughtUp_; }
+  void onCaughtUp() { ++drainCount_; }
 
  private:
   struct Entry {
@@ -51,15 +51,15 @@
     uint32_t copies = 0;
     TimePoint firstAt{};
     TimePoint lastAt{};
-    /** caughtUp_ when the last copy passed. */
-    uint64_t caughtUp = 0;
+    /** drainCount_ when the last copy passed. */
+    uint64_t drainCount = 0;
   };
 
   PacketProgress begin(TimePoint now, const FlowPacket& packet, Entry& entry) const;
 
   static constexpr size_t kEntries = 1024;
   std::array<Entry, kEntries> entries_{};
-  uint64_t caughtUp_ = 0;
+  uint64_t drainCount_ = 0;
 };
 
 }  // namespace umberhold
--- a/source/common/token/group_shares.cc
+++ b/source/common/token/group_shares.cc
@@ -10,21 +10,21 @@
     shares += group.share;
   }
   for (const HostGroup& group : groups) {
-    const double part =
+    const double fraction =
         shares == 0 ? 0.0 : static_cast<double>(group.share) / static_cast<double>(shares);
-    groups_.push_back({part, random.unit()});
+    groups_.push_back({fraction, random.unit()});
     pools_.push_back(group.pool);
   }
 }
 
 const std::string* GroupShares::next() const {
   const std::string* pool = nullptr;
-  double most = 0.0;
+  double highestCredit = 0.0;
   for (size_t index = 0; index < groups_.size(); ++index) {
     const Group& group = groups_[index];
-    if (group.part > 0.0 && (pool == nullptr || group.owed + group.part > most)) {
+    if (group.fraction > 0.0 && (pool == nullptr || group.credit + group.fraction > highestCredit)) {
       pool = &pools_[index];
-      most = group.owed + group.part;
+      highestCredit = group.credit + group.fraction;
     }
   }
   return pool;
@@ -32,7 +32,7 @@
 
 std::optional<size_t> GroupShares::indexOf(const std::string& pool) const {
   for (size_t index = 0; index < pools_.size(); ++index) {
-    if (pools_[index] == pool && groups_[index].part > 0.0) {
+    if (pools_[index] == pool && groups_[index].fraction > 0.0) {
       return index;
     }
   }
@@ -42,13 +42,13 @@
 std::vector<GroupShares::Turn> GroupShares::begin() {
   std::vector<Turn> turns;
   for (size_t index = 0; index < groups_.size(); ++index) {
-    groups_[index].owed += groups_[index].part;
-    if (groups_[index].part > 0.0) {
+    groups_[index].credit += groups_[index].fraction;
+    if (groups_[index].fraction > 0.0) {
       turns.push_back({index, pools_[index]});
     }
   }
   std::stable_sort(turns.begin(), turns.end(), [this](const Turn& left, const Turn& right) {
-    return groups_[left.index].owed > groups_[right.index].owed;
+    return groups_[left.index].credit > groups_[right.index].credit;
   });
   return turns;
 }
--- a/source/common/token/group_shares.h
+++ b/source/common/token/group_shares.h
@@ -35,17 +35,17 @@
   /** A new flow is left to the group whose turn it is, whether or not it gets a host. */
   void takeTurn() { onPlaced(begin().front()); }
   /** The flow went to a group. */
-  void onPlaced(const Turn& turn) { groups_.at(turn.index).owed -= 1.0; }
+  void onPlaced(const Turn& turn) { groups_.at(turn.index).credit -= 1.0; }
   const std::vector<std::string>& pools() const { return pools_; }
   /** @return part of the new flows of the group at that place of pools(), 0 to 1. */
-  double partOf(size_t index) const { return groups_.at(index).part; }
+  double fractionOf(size_t index) const { return groups_.at(index).fraction; }
 
  private:
   struct Group {
     /** Part of the new flows. */
-    double part = 0.0;
+    double fraction = 0.0;
     /** Flows owed to the group, in units of one flow. */
-    double owed = 0.0;
+    double credit = 0.0;
   };
 
   std::vector<Group> groups_;
--- a/source/common/token/host_estimate.h
+++ b/source/common/token/host_estimate.h
@@ -23,11 +23,11 @@
     if (unanswered_ < kSilentAfter) {
       return;
     }
-    const bool triedInVain = silentUntil_ != TimePoint{} && now >= silentUntil_;
-    if (triedInVain) {
-      silentTime_ = std::min(silentTime_ * 2, kLongestSilentTime);
+    const bool retryFailed = silentUntil_ != TimePoint{} && now >= silentUntil_;
+    if (retryFailed) {
+      silentDuration_ = std::min(silentDuration_ * 2, kMaxSilentDuration);
     }
-    silentUntil_ = now + silentTime_;
+    silentUntil_ = now + silentDuration_;
   }
   /** Others find the host silent as well. */
   void onReportedSilent(TimePoint now) {
@@ -41,7 +41,7 @@
     unanswered_ = 0;
     answeredAt_ = now;
     silentUntil_ = TimePoint{};
-    silentTime_ = kFirstSilentTime;
+    silentDuration_ = kInitialSilentDuration;
   }
 
   /** A request ended, or waits beyond all measure. @param ratio its time as a multiple of the
@@ -57,8 +57,8 @@
    */
   double responseScore(TimePoint now) const {
     const double own = responses_.value(now);
-    const double known = std::min(1.0, responses_.samples(now) / kEnoughSamples);
-    return known * own + (1.0 - known) * std::max(own, shared_.value(now));
+    const double confidence = std::min(1.0, responses_.samples(now) / kFullConfidenceSamples);
+    return confidence * own + (1.0 - confidence) * std::max(own, shared_.value(now));
   }
   /** @return packets of late, each weighed by its age. */
   double load(TimePoint now) const { return load_ * decay(now); }
@@ -80,8 +80,8 @@
   static constexpr uint32_t kSilentAfter = 2;
   static constexpr uint32_t kDeadAfter = 3;
   /** How long a silent host is passed over; doubles with each try in vain. */
-  static constexpr Duration kFirstSilentTime = std::chrono::seconds(3);
-  static constexpr Duration kLongestSilentTime = std::chrono::seconds(12);
+  static constexpr Duration kInitialSilentDuration = std::chrono::seconds(3);
+  static constexpr Duration kMaxSilentDuration = std::chrono::seconds(12);
 
   double decay(TimePoint now) const {
     const auto age = std::max(now - at_, Duration{0});
@@ -93,17 +93,17 @@
   }
 
   /** Weight of a new sample: two of the worst are needed to take a host for slow. */
-  static constexpr double kSamplePart = 0.25;
+  static constexpr double kSampleWeight = 0.25;
   /** Own samples of late beyond which others aren't heard. */
-  static constexpr double kEnoughSamples = 3.0;
+  static constexpr double kFullConfidenceSamples = 3.0;
 
   double load_ = 0.0;
   TimePoint at_{};
   uint32_t unanswered_ = 0;
   TimePoint answeredAt_{};
   TimePoint silentUntil_{};
-  Duration silentTime_ = kFirstSilentTime;
-  ResponseScore responses_{kSamplePart};
+  Duration silentDuration_ = kInitialSilentDuration;
+  ResponseScore responses_{kSampleWeight};
   ResponseScore shared_{1.0};
 };
 
--- a/source/common/token/host_life.h
+++ b/source/common/token/host_life.h
@@ -25,27 +25,27 @@
 
 /** Clocks of machines of one platform differ by less than this. Resets and what counts of the past
  * are on the safe side of it: the usual error of a time service is some milliseconds. */
-constexpr Duration kClockError = std::chrono::milliseconds(250);
+constexpr Duration kMaxClockSkew = std::chrono::milliseconds(250);
 
 /** Which of two lives under one id an entry tells of. */
-enum class HostLife : uint8_t {
+enum class HostGeneration : uint8_t {
   /** The one that is known; also where one of the two does not tell its birth. */
   kSame,
   kNewer,
   kOlder,
 };
 
-inline HostLife lifeOf(const HostSpec& known, const HostSpec& told) {
+inline HostGeneration compareGenerations(const HostSpec& known, const HostSpec& told) {
   if (known.bornMilliseconds == 0 || told.bornMilliseconds == 0 ||
       known.bornMilliseconds == told.bornMilliseconds) {
-    return HostLife::kSame;
+    return HostGeneration::kSame;
   }
-  return told.bornMilliseconds > known.bornMilliseconds ? HostLife::kNewer : HostLife::kOlder;
+  return told.bornMilliseconds > known.bornMilliseconds ? HostGeneration::kNewer : HostGeneration::kOlder;
 }
 
 /** @return when the host was born by the steady clock; nothing where it does not tell, the wall
  * clock is not known, or it would be in the future: then the two clocks can't be compared. */
-inline std::optional<TimePoint> birthOf(const HostSpec& host, const WallClock& clock) {
+inline std::optional<TimePoint> startTimeOf(const HostSpec& host, const WallClock& clock) {
   /** More than any clock since its boot; keeps the arithmetic in range. */
   constexpr uint64_t kLongestAge = 1000ULL * 60 * 60 * 24 * 365;
   const uint64_t born = host.bornMilliseconds;
--- a/source/common/token/opening_watch.cc
+++ b/source/common/token/opening_watch.cc
@@ -6,7 +6,7 @@
 /** Callers repeat an opening packet within this time. */
 constexpr Duration kRepeatWindow = std::chrono::seconds(2);
 /** Several round trips, and less than the 200 ms after which callers repeat an opening. */
-constexpr Duration kFollowPatience = std::chrono::milliseconds(150);
+constexpr Duration kFollowTimeout = std::chrono::milliseconds(150);
 
 }  // namespace
 
@@ -52,7 +52,7 @@
 
 std::vector<uint32_t> OpeningWatch::onCaughtUp(TimePoint now) {
   std::vector<uint32_t> unanswered;
-  while (!due_.empty() && now - due_.front().at >= kFollowPatience) {
+  while (!due_.empty() && now - due_.front().at >= kFollowTimeout) {
     const Due due = due_.front();
     due_.pop_front();
     Entry& entry = entryOf(due.flow);
--- a/source/common/token/recent_flows.cc
+++ b/source/common/token/recent_flows.cc
@@ -23,7 +23,7 @@
   return entries_.back();
 }
 
-void RecentFlows::note(TimePoint now, const FlowPacket& packet) {
+void RecentFlows::record(TimePoint now, const FlowPacket& packet) {
   if (packet.phase != PacketPhase::kContinuing) {
     const auto known = byHash_.find(packet.hash);
     if (known != byHash_.end()) {
@@ -36,9 +36,9 @@
     entry.flow = {packet.key, packet.service, packet.token, packet.acknowledged, false};
   } else if (isAfter(packet.acknowledged, entry.flow.acknowledged)) {
     entry.flow.acknowledged = packet.acknowledged;
-    entry.flow.underWay = false;
+    entry.flow.requestInFlight = false;
   }
-  entry.flow.underWay = entry.flow.underWay || packet.dataBytes > 0;
+  entry.flow.requestInFlight = entry.flow.requestInFlight || packet.dataBytes > 0;
   entry.at = now;
 }
 
--- a/source/common/token/recent_flows.h
+++ b/source/common/token/recent_flows.h
@@ -30,7 +30,7 @@
   /** What its caller acknowledged last, as far as this node saw. */
   uint32_t acknowledged = 0;
   /** The caller sent data and has acknowledged nothing new since. */
-  bool underWay = false;
+  bool requestInFlight = false;
 };
 
 /**
@@ -41,7 +41,7 @@
  public:
   /** @param packet in a format that tells sequence numbers. An opening begins another flow with the
    * same addresses: what was known of the last one is forgotten. */
-  void note(TimePoint now, const FlowPacket& packet);
+  void record(TimePoint now, const FlowPacket& packet);
   /** @return the flows that were seen since `oldest` and for which `isWanted` holds; they are
    * forgotten. */
   template <class Predicate>
--- a/source/common/token/request_timer.h
+++ b/source/common/token/request_timer.h
@@ -46,8 +46,8 @@
    * those of which a part or a later request passed another node, and those that were handled in
    * one go with their answer (this node is behind).
    */
-  std::optional<Duration> note(TimePoint now, const FlowPacket& packet,
-                               std::optional<Duration> patience);
+  std::optional<Duration> record(TimePoint now, const FlowPacket& packet,
+                               std::optional<Duration> overdueAfter);
   /** The host has started again: its requests under way are lost, and their times tell nothing. */
   void forgetHost(uint32_t token);
   /** Every packet that had arrived was handled. @return requests that became overdue; each once. */
@@ -62,11 +62,11 @@
     /** Sequence number after the request's data, as far as it passed here. */
     uint32_t endSequence = 0;
     uint32_t acknowledged = 0;
-    bool underWay = false;
-    bool repeated = false;
+    bool requestInFlight = false;
+    bool retransmitted = false;
     TimePoint beganAt{};
-    /** caughtUp_ when it began. */
-    uint64_t caughtUp = 0;
+    /** drainCount_ when it began. */
+    uint64_t drainCount = 0;
   };
   /** Where to look once the patience of a request has ended. */
   struct Due {
@@ -78,13 +78,13 @@
   };
   static constexpr size_t kEntries = 1024;
 
-  void begin(TimePoint now, const FlowPacket& packet, std::optional<Duration> patience,
+  void begin(TimePoint now, const FlowPacket& packet, std::optional<Duration> overdueAfter,
              size_t index);
   std::optional<Duration> end(TimePoint now, const FlowPacket& packet, Entry& entry) const;
 
   std::array<Entry, kEntries> entries_{};
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-  uint64_t caughtUp_ = 0;
+  uint64_t drainCount_ = 0;
 };
 
 }  // namespace umberhold
--- a/source/common/token/silence_detector.cc
+++ b/source/common/token/silence_detector.cc
@@ -8,16 +8,16 @@
 /** Callers of this node alone whose data a host leaves unacknowledged, without a sign of life
  * since, before it counts as dead. Where nodes share what they see, two nodes are needed and three
  * copies: see ZoneSilence. */
-constexpr size_t kCallersOfDeadHost = 3;
+constexpr size_t kMinCallersOfDeadHost = 3;
 /** How long a host counts as dead by one piece of news. */
-constexpr Duration kDeadTime = std::chrono::seconds(3);
+constexpr Duration kDeadDuration = std::chrono::seconds(3);
 /** Of a pool's hosts no more than this part counts as dead by silence: where more seem so, it is
  * this node, or its zone, that is cut off. */
-constexpr double kMostDeadPart = 0.5;
+constexpr double kMaxDeadFraction = 0.5;
 /** Answers that are older say nothing of the path as it is now. */
-constexpr Duration kComparable = std::chrono::seconds(2);
+constexpr Duration kAnswerLifetime = std::chrono::seconds(2);
 /** Verdicts that are kept for the log; nobody takes them where there is none. */
-constexpr size_t kMostVerdicts = 256;
+constexpr size_t kMaxVerdicts = 256;
 
 }  // namespace
 
@@ -31,7 +31,7 @@
 
 void SilenceDetector::onAnswered(TimePoint now, uint32_t token, TimePoint sentAt) {
   if (token != latest_.token) {
-    other_ = latest_;
+    previous_ = latest_;
     latest_ = {token, sentAt, now};
   } else {
     latest_.sentAt = std::max(latest_.sentAt, sentAt);
@@ -39,40 +39,40 @@
   }
 }
 
-const SilenceDetector::LatestAnswer* SilenceDetector::answerBeside(TimePoint now, uint32_t token) const {
-  const LatestAnswer& beside = latest_.token == token ? other_ : latest_;
-  return beside.token != 0 && now - beside.at <= kComparable ? &beside : nullptr;
+const SilenceDetector::LatestAnswer* SilenceDetector::latestAnswerOfOther(TimePoint now, uint32_t token) const {
+  const LatestAnswer& other = latest_.token == token ? previous_ : latest_;
+  return other.token != 0 && now - other.at <= kAnswerLifetime ? &other : nullptr;
 }
 
 bool SilenceDetector::isOvertaken(TimePoint now, uint32_t token, TimePoint since) const {
-  const LatestAnswer* beside = answerBeside(now, token);
-  return beside == nullptr || beside->sentAt >= since + kLeastSilence;
+  const LatestAnswer* other = latestAnswerOfOther(now, token);
+  return other == nullptr || other->sentAt >= since + kMinSilence;
 }
 
 std::set<uint32_t> SilenceDetector::onCopy(TimePoint now, const TokenHost& host) {
   const Duration silence = host.silence.silentFor(now);
-  if (host.silence.callers() < kCallersOfDeadHost || silence < kLeastSilence ||
+  if (host.silence.callers() < kMinCallersOfDeadHost || silence < kMinSilence ||
       !isOvertaken(now, host.token, now - silence)) {
     return {};
   }
-  return judge(now, {host.token}, SilenceSource::kNode);
+  return decide(now, {host.token}, SilenceSource::kNode);
 }
 
 std::set<uint32_t> SilenceDetector::onZoneSilent(TimePoint now,
                                               const std::vector<SilentHost>& silentHosts) {
   std::set<uint32_t> silent;
-  for (const SilentHost& named : silentHosts) {
-    const TokenHost* host = hosts_.find(named.token);
-    const TimePoint since = now - std::chrono::milliseconds(named.silentMilliseconds);
-    if (host != nullptr && host->livedAt(since) && isOvertaken(now, named.token, since) &&
+  for (const SilentHost& reported : silentHosts) {
+    const TokenHost* host = hosts_.find(reported.token);
+    const TimePoint since = now - std::chrono::milliseconds(reported.silentMilliseconds);
+    if (host != nullptr && host->isCurrentGenerationAt(since) && isOvertaken(now, reported.token, since) &&
         host->silence.answeredAt().value_or(TimePoint{}) < since) {
-      silent.insert(named.token);
+      silent.insert(reported.token);
     }
   }
-  return judge(now, silent, SilenceSource::kZone);
+  return decide(now, silent, SilenceSource::kZone);
 }
 
-std::set<uint32_t> SilenceDetector::judge(TimePoint now, const std::set<uint32_t>& tokens,
+std::set<uint32_t> SilenceDetector::decide(TimePoint now, const std::set<uint32_t>& tokens,
                                        SilenceSource source) {
   std::set<uint32_t> dead;
   for (const uint32_t token : tokens) {
@@ -81,19 +81,19 @@
     if (pool == nullptr) {
       continue;
     }
-    if (!leavesEnough(now, *pool, tokens)) {
-      note(now, *host, *pool, SilenceOutcome::kSpared, source);
+    if (!leavesEnoughHosts(now, *pool, tokens)) {
+      record(now, *host, *pool, SilenceOutcome::kSpared, source);
       continue;
     }
-    note(now, *host, *pool, SilenceOutcome::kDead, source);
+    record(now, *host, *pool, SilenceOutcome::kDead, source);
     host->estimate.onReportedSilent(now);
-    host->deadUntil = now + kDeadTime;
+    host->deadUntil = now + kDeadDuration;
     dead.insert(token);
   }
   return dead;
 }
 
-bool SilenceDetector::leavesEnough(TimePoint now, const TokenPool& pool,
+bool SilenceDetector::leavesEnoughHosts(TimePoint now, const TokenPool& pool,
                                 const std::set<uint32_t>& tokens) const {
   size_t active = 0;
   size_t dead = 0;
@@ -103,27 +103,27 @@
       dead += host->isDead(now) || tokens.contains(host->token) ? 1 : 0;
     }
   }
-  return static_cast<double>(dead) <= kMostDeadPart * static_cast<double>(active);
+  return static_cast<double>(dead) <= kMaxDeadFraction * static_cast<double>(active);
 }
 
-void SilenceDetector::note(TimePoint now, const TokenHost& host, const TokenPool& pool,
+void SilenceDetector::record(TimePoint now, const TokenHost& host, const TokenPool& pool,
                         SilenceOutcome outcome, SilenceSource source) {
-  std::erase_if(standing_, [now](const auto& entry) { return now >= entry.second.until; });
-  const auto known = standing_.find(host.token);
-  const bool stands = known != standing_.end() && known->second.outcome == outcome;
-  standing_[host.token] = {outcome, now + kDeadTime};
-  if (stands) {
+  std::erase_if(activeVerdicts_, [now](const auto& entry) { return now >= entry.second.until; });
+  const auto known = activeVerdicts_.find(host.token);
+  const bool isRepeated = known != activeVerdicts_.end() && known->second.outcome == outcome;
+  activeVerdicts_[host.token] = {outcome, now + kDeadDuration};
+  if (isRepeated) {
     return;
   }
   ++counters_[static_cast<size_t>(outcome)][static_cast<size_t>(source)];
-  if (verdicts_.size() >= kMostVerdicts) {
+  if (verdicts_.size() >= kMaxVerdicts) {
     return;
   }
   const HostAckState signs = host.silence.signs(host.token);
   SilenceVerdict& verdict = verdicts_.emplace_back();
   verdict = {outcome, source, host.pool, host.spec.name, signs.callers.size(), signs.copies};
-  if (const LatestAnswer* beside = answerBeside(now, host.token)) {
-    verdict.sinceOvertaking = now - beside->sentAt;
+  if (const LatestAnswer* other = latestAnswerOfOther(now, host.token)) {
+    verdict.sinceOvertaking = now - other->sentAt;
   }
   verdict.silentFor = host.silence.silentFor(now);
   if (signs.copies > 0) {
--- a/source/common/token/silence_detector.h
+++ b/source/common/token/silence_detector.h
@@ -53,7 +53,7 @@
   SilenceSource source = SilenceSource::kNode;
   std::string pool;
   std::string host;
-  /** Of this node's callers, at most SilenceEvidence::kMostCallers, and copies of their data. */
+  /** Of this node's callers, at most SilenceEvidence::kMaxCallers, and copies of their data. */
   size_t callers = 0;
   uint32_t copies = 0;
   /** Since the first data that the host left unacknowledged was sent. */
@@ -86,7 +86,7 @@
    * differences; so where the node, the path or all hosts are slow, a copy alone proves nothing.
    * The idea is that of RACK in TCP (RFC 8985).
    * @param since when the first data was sent that the host left unacknowledged.
-   * @return whether another host answered what was sent kLeastSilence later. True where none
+   * @return whether another host answered what was sent kMinSilence later. True where none
    * answered anything of late: there is nothing to compare with.
    */
   bool isOvertaken(TimePoint now, uint32_t token, TimePoint since) const;
@@ -100,10 +100,10 @@
   const SilenceCounters& counters() const { return counters_; }
 
  private:
-  std::set<uint32_t> judge(TimePoint now, const std::set<uint32_t>& tokens, SilenceSource source);
+  std::set<uint32_t> decide(TimePoint now, const std::set<uint32_t>& tokens, SilenceSource source);
   /** @return whether at most half of the pool's hosts would be dead with these. */
-  bool leavesEnough(TimePoint now, const TokenPool& pool, const std::set<uint32_t>& tokens) const;
-  void note(TimePoint now, const TokenHost& host, const TokenPool& pool, SilenceOutcome outcome,
+  bool leavesEnoughHosts(TimePoint now, const TokenPool& pool, const std::set<uint32_t>& tokens) const;
+  void record(TimePoint now, const TokenHost& host, const TokenPool& pool, SilenceOutcome outcome,
             SilenceSource source);
 
   struct LatestAnswer {
@@ -115,9 +115,9 @@
     TimePoint at{};
   };
   /** @return the latest answer of another host; nullptr where none came of late. */
-  const LatestAnswer* answerBeside(TimePoint now, uint32_t token) const;
+  const LatestAnswer* latestAnswerOfOther(TimePoint now, uint32_t token) const;
 
-  struct Standing {
+  struct ActiveVerdict {
     SilenceOutcome outcome = SilenceOutcome::kDead;
     TimePoint until{};
   };
@@ -125,9 +125,9 @@
   TokenHosts& hosts_;
   /** The host that answered last, and the last one beside it. */
   LatestAnswer latest_;
-  LatestAnswer other_;
+  LatestAnswer previous_;
   /** By flow token: the verdicts that were noted and are not over yet. */
-  std::unordered_map<uint32_t, Standing> standing_;
+  std::unordered_map<uint32_t, ActiveVerdict> activeVerdicts_;
   std::vector<SilenceVerdict> verdicts_;
   SilenceCounters counters_{};
 };
--- a/source/common/token/silence_evidence.h
+++ b/source/common/token/silence_evidence.h
@@ -21,7 +21,7 @@
 /** A host that is silent for less is not dead, whoever says so: callers send again after 200 ms, so
  * that one pause of a host, or one slow round trip, brings a copy of each that waits. They do so
  * once more after 600 ms. */
-constexpr Duration kLeastSilence = std::chrono::milliseconds(500);
+constexpr Duration kMinSilence = std::chrono::milliseconds(500);
 
 /** What a node saw of one host's acknowledgements. */
 struct HostAckState {
@@ -31,7 +31,7 @@
   std::optional<TimePoint> answeredAt;
   /** Copies of data that callers sent since then. */
   uint32_t copies = 0;
-  /** Addresses of the callers, each once; at most SilenceEvidence::kMostCallers. */
+  /** Addresses of the callers, each once; at most SilenceEvidence::kMaxCallers. */
   std::vector<uint32_t> callers;
   /** When the first of that data was sent for the first time. */
   TimePoint since{};
@@ -43,7 +43,7 @@
 class SilenceEvidence {
  public:
   /** Callers that are distinguished. */
-  static constexpr size_t kMostCallers = 3;
+  static constexpr size_t kMaxCallers = 3;
 
   /** A caller sent data again. @param sentAt when it sent it for the first time. @param caller its
    * address. */
@@ -55,7 +55,7 @@
     ++copies_;
     lastCopyAt_ = now;
     const bool isKnown = std::find(callers_.begin(), callers_.end(), caller) != callers_.end();
-    if (!isKnown && callers_.size() < kMostCallers) {
+    if (!isKnown && callers_.size() < kMaxCallers) {
       callers_.push_back(caller);
     }
   }
--- a/source/common/token/silent_zones.cc
+++ b/source/common/token/silent_zones.cc
@@ -7,14 +7,14 @@
 void SilentZones::onUnanswered(TimePoint now, const std::string& pool, const std::string& zone,
                                uint32_t host) {
   Zone& silent = pools_[pool][zone];
-  if (silent.hosts.size() < kHosts && now - silent.firstAt > kWindow) {
+  if (silent.hosts.size() < kMinSilentHosts && now - silent.firstSilentAt > kWindow) {
     silent.hosts.clear();
-    silent.firstAt = now;
+    silent.firstSilentAt = now;
   }
   silent.hosts.insert(host);
-  if (silent.hosts.size() >= kHosts && now >= silent.silentUntil) {
-    silent.silentUntil = now + silent.nextTime;
-    silent.nextTime = std::min(silent.nextTime * 2, kLongestTime);
+  if (silent.hosts.size() >= kMinSilentHosts && now >= silent.silentUntil) {
+    silent.silentUntil = now + silent.nextDuration;
+    silent.nextDuration = std::min(silent.nextDuration * 2, kMaxDuration);
   }
 }
 
--- a/source/common/token/silent_zones.h
+++ b/source/common/token/silent_zones.h
@@ -31,19 +31,19 @@
  private:
   /** Different hosts without a sign of life in between, after which the zone counts as silent. One
    * of four hosts down gives three in a row in one of 64 cases, and costs little then. */
-  static constexpr size_t kHosts = 3;
+  static constexpr size_t kMinSilentHosts = 3;
   /** All of them within this time. */
   static constexpr Duration kWindow = std::chrono::seconds(2);
   /** How long a zone is passed over before it is tried again; doubles with each try in vain. */
-  static constexpr Duration kFirstTime = std::chrono::milliseconds(500);
-  static constexpr Duration kLongestTime = std::chrono::seconds(2);
+  static constexpr Duration kInitialDuration = std::chrono::milliseconds(500);
+  static constexpr Duration kMaxDuration = std::chrono::seconds(2);
 
   struct Zone {
     /** Tokens of hosts that left something unanswered since the zone's last sign of life. */
     std::set<uint32_t> hosts;
-    TimePoint firstAt{};
+    TimePoint firstSilentAt{};
     TimePoint silentUntil{};
-    Duration nextTime = kFirstTime;
+    Duration nextDuration = kInitialDuration;
   };
 
   std::map<std::string, std::map<std::string, Zone, std::less<>>, std::less<>> pools_;
--- a/source/common/token/token_director.cc
+++ b/source/common/token/token_director.cc
@@ -13,17 +13,17 @@
 constexpr unsigned kAddressShift = 24;
 constexpr unsigned kPortShift = 8;
 /** A flow is refused no sooner than at this copy of a packet; see HostEstimate::isDeadSince. */
-constexpr uint32_t kCopiesOfSilentHost = 3;
+constexpr uint32_t kMinCopiesOfSilentHost = 3;
 constexpr double kPercent = 100.0;
 /** Speeds name a host by its token alone, and the zone's measures of an earlier life outlast it: 24
  * nodes with 6 samples each, halving every 8 s, fade within 37 s (by arithmetic). */
-constexpr Duration kSpeedsOfEarlierLife = std::chrono::seconds(40);
+constexpr Duration kSpeedRetention = std::chrono::seconds(40);
 /** Samples that are kept for others; nobody takes them where the node tells nobody. */
-constexpr size_t kMostSamples = 1024;
+constexpr size_t kMaxSamples = 1024;
 /** A request that waits so many times longer than usual counts as the worst sample. */
-constexpr double kOverdueRatio = ResponseScore::kHighestSample;
+constexpr double kOverdueRatio = ResponseScore::kMaxSample;
 /** A low speed is no longer low from here on: figures differ by a fifth without a cause. */
-constexpr double kSlowSpeedEnds = 0.65;
+constexpr double kSlowSpeedExit = 0.65;
 /** Requests under way for each slot of a pool up to which its hosts' times tell of their speed: in
  * a fuller pool most requests wait for a slot (M/M/2). */
 constexpr double kFreeSlotsLoad = 0.7;
@@ -48,10 +48,10 @@
 std::vector<HostChange> TokenDirector::setPool(TimePoint now, const HostPool& pool,
                                                uint64_t version) {
   std::vector<HostChange> changes = hosts_.setPool(now, pool, version);
-  noteChanges(now, changes);
+  handleChanges(now, changes);
   const TokenPool& entry = *hosts_.findPool(pool.name);
   for (TokenHost* host : entry.hosts) {
-    if (std::exchange(host->hasColdNews, false) &&
+    if (std::exchange(host->hasNewColdTime, false) &&
         beginCold(now, entry, *host, std::chrono::milliseconds(host->spec.coldMilliseconds))) {
       changes.push_back({HostChangeKind::kCold, pool.name, host->spec});
     }
@@ -63,11 +63,11 @@
                                                   uint64_t version) {
   std::vector<HostChange> changes = hosts_.removePool(now, name, version);
   admission_.removePool(name);
-  noteChanges(now, changes);
+  handleChanges(now, changes);
   return changes;
 }
 
-void TokenDirector::noteChanges(TimePoint now, const std::vector<HostChange>& changes) {
+void TokenDirector::handleChanges(TimePoint now, const std::vector<HostChange>& changes) {
   std::set<uint32_t> ended;
   std::set<uint32_t> added;
   for (const HostChange& change : changes) {
@@ -75,25 +75,25 @@
       ended.insert(flowTokenOf(change.host.incarnation));
     } else if (change.kind == HostChangeKind::kAdded) {
       added.insert(flowTokenOf(change.host.incarnation));
-    } else if (change.kind == HostChangeKind::kReborn) {
-      noteReborn(now, flowTokenOf(change.host.incarnation), change.bornAt);
+    } else if (change.kind == HostChangeKind::kRestarted) {
+      handleRestart(now, flowTokenOf(change.host.incarnation), change.startedAt);
     }
   }
   deadHostFlows_.onEnded(now, ended);
-  for (std::string& bytes : awaiting_.takeOf(now, added)) {
-    arrived_.push_back(std::move(bytes));
+  for (std::string& bytes : heldForHost_.takeOf(now, added)) {
+    released_.push_back(std::move(bytes));
   }
 }
 
-void TokenDirector::noteReborn(TimePoint now, uint32_t token, std::optional<TimePoint> bornAt) {
+void TokenDirector::handleRestart(TimePoint now, uint32_t token, std::optional<TimePoint> startedAt) {
   openings_.forgetHost(token);
   timer_.forgetHost(token);
-  if (bornAt) {
-    deadHostFlows_.onReborn(now, token, *bornAt);
+  if (startedAt) {
+    deadHostFlows_.onRestarted(now, token, *startedAt);
   }
   if (TokenHost* host = hosts_.find(token)) {
     // Others learn that what was said of its silence is over.
-    noteSign(*host);
+    queueAckState(*host);
   }
 }
 
@@ -122,7 +122,7 @@
   }
   const SendingNodes nodes{zoneNodes_, static_cast<uint32_t>(zones.size())};
   const bool ownZone = host.spec.zone == zone_;
-  host.cold.begin(now, remaining, coldFlowsOfNode(coldHosts_, pool.cold, nodes, ownZone), random_);
+  host.cold.begin(now, remaining, coldFlowsPerNode(coldHosts_, pool.cold, nodes, ownZone), random_);
   return !wasCold;
 }
 
@@ -161,20 +161,20 @@
 
 FlowDecision TokenDirector::decide(TimePoint now, const FlowPacket& packet,
                                    std::string_view bytes) {
-  return packet.phase == PacketPhase::kOpening ? open(now, packet, bytes)
-                                               : follow(now, packet, bytes);
+  return packet.phase == PacketPhase::kOpening ? openFlow(now, packet, bytes)
+                                               : continueFlow(now, packet, bytes);
 }
 
-FlowDecision TokenDirector::open(TimePoint now, const FlowPacket& packet, std::string_view bytes) {
+FlowDecision TokenDirector::openFlow(TimePoint now, const FlowPacket& packet, std::string_view bytes) {
   const auto service = services_.find(packet.service);
   if (service == services_.end()) {
     return DropPacket{DropReason::kUnknownService};
   }
-  deadHostFlows_.note(now, packet);
-  const uint32_t avoided = noteRepeat(now, packet);
+  deadHostFlows_.record(now, packet);
+  const uint32_t avoided = recordRepeat(now, packet);
   // A copy of an opening that was placed seeks another host: it has waited enough.
   const QueuedOpening queued =
-      avoided == 0 ? queue(now, service->second, packet, bytes) : QueuedOpening{};
+      avoided == 0 ? enqueue(now, service->second, packet, bytes) : QueuedOpening{};
   if (queued.turn == OpeningTurn::kWait) {
     return HoldPacket{HoldReason::kHostsBusy};
   }
@@ -184,7 +184,7 @@
   TokenHost* host = queued.pool.empty() ? place(now, service->second, avoided)
                                         : placeAt(now, service->second, queued);
   if (host == nullptr) {
-    return awaitsPool(service->second) ? FlowDecision(DropPacket{DropReason::kNoHost})
+    return isMissingPool(service->second) ? FlowDecision(DropPacket{DropReason::kNoHost})
                                        : FlowDecision(RefuseFlow{});
   }
   host->estimate.onOpening(now);
@@ -196,7 +196,7 @@
   return decision;
 }
 
-TokenDirector::QueuedOpening TokenDirector::queue(TimePoint now, ServiceEntry& service,
+TokenDirector::QueuedOpening TokenDirector::enqueue(TimePoint now, ServiceEntry& service,
                                                   const FlowPacket& packet,
                                                   std::string_view bytes) {
   if (admission_.isWaiting(packet.hash)) {
@@ -205,13 +205,13 @@
                     bytes);
     return {OpeningTurn::kWait, {}, {}};
   }
-  const std::string* waited = waitedFor(service, packet);
+  const std::string* waited = poolWaitedFor(service, packet);
   const std::string* due = waited == nullptr ? service.groups.next() : waited;
   const TokenPool* pool = due == nullptr ? nullptr : hosts_.findPool(*due);
   if (pool == nullptr) {
     return {};
   }
-  const auto size = [&] { return sizeOf(now, *pool); };
+  const auto size = [&] { return poolSizeOf(now, *pool); };
   // By reference: a copy of the function would be allocated for each opening.
   const OpeningTurn turn =
       admission_.turnOf(now, *due, service.needs(), packet.hash, std::cref(size));
@@ -232,11 +232,11 @@
   return {turn, {}, {}};
 }
 
-PoolSize TokenDirector::sizeOf(TimePoint now, const TokenPool& pool) {
+PoolSize TokenDirector::poolSizeOf(TimePoint now, const TokenPool& pool) {
   return {placement_.usableSlots(now, pool), sendingNodes(pool)};
 }
 
-const std::string* TokenDirector::waitedFor(const ServiceEntry& service,
+const std::string* TokenDirector::poolWaitedFor(const ServiceEntry& service,
                                             const FlowPacket& packet) const {
   const std::string* pool = admission_.poolOf(packet.hash);
   const auto index = pool == nullptr ? std::nullopt : service.groups.indexOf(*pool);
@@ -253,20 +253,20 @@
   size_t dueIndex = 0;
   for (size_t index = 0; index < pools.size(); ++index) {
     dueIndex = pools[index] == due ? index : dueIndex;
-    parts.push_back({service.groups.partOf(index), useOf(now, pools[index])});
+    parts.push_back({service.groups.fractionOf(index), poolUseOf(now, pools[index])});
   }
   const auto chosen = service.overflow.choose(parts, dueIndex);
   return chosen ? &pools[*chosen] : nullptr;
 }
 
-PartUse TokenDirector::useOf(TimePoint now, const std::string& pool) {
+PartUse TokenDirector::poolUseOf(TimePoint now, const std::string& pool) {
   const TokenPool* entry = hosts_.findPool(pool);
-  const PoolSize size = entry == nullptr ? PoolSize{} : sizeOf(now, *entry);
+  const PoolSize size = entry == nullptr ? PoolSize{} : poolSizeOf(now, *entry);
   if (size.slots == 0.0) {
     return {};
   }
   const OpeningUse openings = admission_.openingsAt(now, pool, size);
-  return {true, openings.openings, openings.limit, entry->underWay.value(now),
+  return {true, openings.openings, openings.limit, entry->requestsInFlight.value(now),
           size.slots / std::max(size.sendingNodes, 1U)};
 }
 
@@ -275,59 +275,59 @@
 }
 
 std::vector<std::string> TokenDirector::takeReleased(TimePoint now) {
-  std::vector<std::string> released = std::exchange(arrived_, {});
+  std::vector<std::string> released = std::exchange(released_, {});
   for (std::string& bytes : admission_.take(now)) {
     released.push_back(std::move(bytes));
   }
   return released;
 }
 
-FlowDecision TokenDirector::awaitHost(TimePoint now, const FlowPacket& packet,
+FlowDecision TokenDirector::holdForHost(TimePoint now, const FlowPacket& packet,
                                       std::string_view bytes) {
   if (packet.token == 0 || packet.phase == PacketPhase::kReset) {
     return DropPacket{DropReason::kHostGone};
   }
-  awaiting_.hold(now, packet, bytes);
+  heldForHost_.hold(now, packet, bytes);
   return HoldPacket{HoldReason::kHostUnknown};
 }
 
-FlowDecision TokenDirector::follow(TimePoint now, const FlowPacket& packet,
+FlowDecision TokenDirector::continueFlow(TimePoint now, const FlowPacket& packet,
                                    std::string_view bytes) {
   TokenHost* host = hosts_.find(packet.token);
   if (host == nullptr) {
     // Another host would take the packet for one of a flow that it doesn't hold.
-    return awaitHost(now, packet, bytes);
+    return holdForHost(now, packet, bytes);
   }
   if (host->ended) {
     return packet.phase == PacketPhase::kReset
                ? FlowDecision(DropPacket{DropReason::kHostGone})
                : FlowDecision(RefuseFlow{RefusalReason::kHostEnded});
   }
-  noteRoundTrip(now, packet);
+  recordRoundTrip(now, packet);
   if (openings_.onFollowed(packet.hash, packet.token)) {
-    noteAnswered(now, *host);
+    recordAnswered(now, *host);
   }
-  deadHostFlows_.note(now, packet);
-  const bool opened = noteOpened(now, packet);
-  noteResponse(now, packet, *host, opened);
-  const bool isLost = noteProgress(now, packet, *host);
-  const bool isSentInVain =
+  deadHostFlows_.record(now, packet);
+  const bool opened = recordOpened(now, packet);
+  recordResponse(now, packet, *host, opened);
+  const bool isLost = recordProgress(now, packet, *host);
+  const bool isToDeadHost =
       packet.dataBytes > 0 && host->isDead(now) && isRepeatable(packet.service);
-  if (isLost || isSentInVain) {
+  if (isLost || isToDeadHost) {
     return RefuseFlow{RefusalReason::kHostSilent};
   }
   host->estimate.onPacket(now);
   return forward(*host);
 }
 
-bool TokenDirector::noteOpened(TimePoint now, const FlowPacket& packet) {
+bool TokenDirector::recordOpened(TimePoint now, const FlowPacket& packet) {
   const auto service = services_.find(packet.service);
   return admission_.onFollowed(
       now, packet,
       service == services_.end() ? std::nullopt : service->second.usualTime.timeOf(kOverdueRatio));
 }
 
-void TokenDirector::noteRoundTrip(TimePoint now, const FlowPacket& packet) {
+void TokenDirector::recordRoundTrip(TimePoint now, const FlowPacket& packet) {
   const auto roundTrip = openings_.sinceOpening(now, packet.hash, packet.token);
   if (roundTrip) {
     silenceJudge_.onAnswered(now, packet.token, now - *roundTrip);
@@ -338,18 +338,18 @@
   }
 }
 
-void TokenDirector::noteResponse(TimePoint now, const FlowPacket& packet, TokenHost& host,
+void TokenDirector::recordResponse(TimePoint now, const FlowPacket& packet, TokenHost& host,
                                  bool opened) {
   const auto service = services_.find(packet.service);
   if (service == services_.end()) {
     return;
   }
   UsualResponseTime& usualTime = service->second.usualTime;
-  const auto response = timer_.note(now, packet, usualTime.timeOf(kOverdueRatio));
+  const auto response = timer_.record(now, packet, usualTime.timeOf(kOverdueRatio));
   if (!response) {
     return;
   }
-  noteUnderWay(now, service->second, host, *response, opened);
+  recordRequestEnd(now, service->second, host, *response, opened);
   WorkTimes& workTimes = service->second.workTimes;
   const auto ratio = usualTime.ratioOf(*response);
   const auto workRatio = workTimes.ratioOf(*response);
@@ -357,14 +357,14 @@
   workTimes.add(now, *response);
   if (ratio) {
     const double speed = placement_.speedOf(now, host);
-    noteSample(now, host, {host.token, *ratio / workTimes.expectedRatio(speed), workRatio});
+    recordSample(now, host, {host.token, *ratio / workTimes.expectedRatio(speed), workRatio});
   }
 }
 
-void TokenDirector::noteUnderWay(TimePoint now, const ServiceEntry& service, const TokenHost& host,
+void TokenDirector::recordRequestEnd(TimePoint now, const ServiceEntry& service, const TokenHost& host,
                                  Duration took, bool opened) {
   if (TokenPool* pool = hosts_.findPool(host.pool)) {
-    pool->underWay.onEnded(now, took);
+    pool->requestsInFlight.onEnded(now, took);
     const Duration usual = service.usualTime.timeOf(1.0).value_or(Duration{0});
     admission_.onEnded(now, host.pool, service.needs(), {service.priority, took, usual, opened});
   }
@@ -374,7 +374,7 @@
   progress_.onCaughtUp();
   for (const uint32_t token : openings_.onCaughtUp(now)) {
     if (TokenHost* host = hosts_.find(token)) {
-      noteUnanswered(now, *host);
+      recordUnanswered(now, *host);
     }
   }
   for (const OverdueRequest& request : timer_.onCaughtUp(now)) {
@@ -382,31 +382,31 @@
     TokenHost* host = hosts_.find(request.token);
     if (service != services_.end() && host != nullptr) {
       service->second.usualTime.add(now, request.waited);
-      noteUnderWay(now, service->second, *host, request.waited, false);
-      noteSample(now, *host, {host->token, kOverdueRatio, kOverdueWorkRatio});
+      recordRequestEnd(now, service->second, *host, request.waited, false);
+      recordSample(now, *host, {host->token, kOverdueRatio, kOverdueWorkRatio});
     }
   }
 }
 
-void TokenDirector::noteSample(TimePoint now, TokenHost& host, const HostSample& sample) {
+void TokenDirector::recordSample(TimePoint now, TokenHost& host, const HostSample& sample) {
   TokenPool* pool = hosts_.findPool(host.pool);
   if (pool == nullptr) {
     return;
   }
   host.estimate.onResponse(now, sample.ratio);
-  if (samples_.size() < kMostSamples) {
+  if (samples_.size() < kMaxSamples) {
     HostSample& kept = samples_.emplace_back(sample);
     if (!placement_.learnsSpeeds() || !hasFreeSlots(now, *pool)) {
       kept.workRatio.reset();
     }
   }
   if (!host.slow) {
-    pool->zones.try_emplace(host.spec.zone, kZoneSamplePart).first->second.add(now, sample.ratio);
+    pool->zones.try_emplace(host.spec.zone, kZoneSampleWeight).first->second.add(now, sample.ratio);
   }
 }
 
 bool TokenDirector::hasFreeSlots(TimePoint now, const TokenPool& pool) const {
-  const double load = pool.underWay.value(now) * zoneNodes_ * pool.zoneCount;
+  const double load = pool.requestsInFlight.value(now) * zoneNodes_ * pool.zoneCount;
   return load < kFreeSlotsLoad * pool.slots;
 }
 
@@ -414,18 +414,18 @@
   for (const LearnedSpeed& learned : speeds) {
     TokenHost* host = hosts_.find(learned.token);
     if (host != nullptr && learned.percentOfUsual > 0 &&
-        host->livedAt(now - kSpeedsOfEarlierLife)) {
-      const double told = learned.percentOfUsual / kPercent;
-      const HostSpeed speed{std::clamp(told, kLeastWorkRatio, kMostWorkRatio),
+        host->isCurrentGenerationAt(now - kSpeedRetention)) {
+      const double reported = learned.percentOfUsual / kPercent;
+      const HostSpeed speed{std::clamp(reported, kMinWorkRatio, kMaxWorkRatio),
                             static_cast<double>(learned.samples)};
-      host->speed.learn(now, speed);
-      noteSpeed(*host, speed.speed);
+      host->speed.update(now, speed);
+      updateLowSpeed(*host, speed.speed);
     }
   }
 }
 
-void TokenDirector::noteSpeed(TokenHost& host, double speed) {
-  const bool low = speed < (host.speedIsLow ? kSlowSpeedEnds : kSlowSpeed);
+void TokenDirector::updateLowSpeed(TokenHost& host, double speed) {
+  const bool low = speed < (host.speedIsLow ? kSlowSpeedExit : kSlowSpeed);
   if (low != host.speedIsLow) {
     host.speedIsLow = low;
     speedChanges_.push_back({host.pool, host.spec.name, low, speed});
@@ -452,16 +452,16 @@
   for (const HostStanding& standing : standings) {
     TokenHost* host = hosts_.find(standing.token);
     const TimePoint at = now - std::chrono::milliseconds(standing.ageMilliseconds);
-    if (host != nullptr && host->livedAt(at)) {
+    if (host != nullptr && host->isCurrentGenerationAt(at)) {
       host->estimate.onShared(at, standing.percentOfUsual / kPercent);
     }
   }
 }
 
-bool TokenDirector::noteProgress(TimePoint now, const FlowPacket& packet, TokenHost& host) {
-  const PacketProgress progress = progress_.note(now, packet);
+bool TokenDirector::recordProgress(TimePoint now, const FlowPacket& packet, TokenHost& host) {
+  const PacketProgress progress = progress_.record(now, packet);
   if (progress.answered) {
-    noteAnswered(now, host);
+    recordAnswered(now, host);
   }
   if (progress.answeredSentAt) {
     silenceJudge_.onAnswered(now, host.token, *progress.answeredSentAt);
@@ -469,11 +469,11 @@
   if (progress.copies < 2) {
     return false;
   }
-  noteUnanswered(now, host);
+  recordUnanswered(now, host);
   host.silence.onCopy(now, progress.firstAt, packet.key.caller.address);
-  noteSign(host);
+  queueAckState(host);
   resetFlowsOf(now, silenceJudge_.onCopy(now, host));
-  return progress.copies >= kCopiesOfSilentHost && host.estimate.isDeadSince(progress.firstAt) &&
+  return progress.copies >= kMinCopiesOfSilentHost && host.estimate.isDeadSince(progress.firstAt) &&
          silenceJudge_.isOvertaken(now, host.token, progress.firstAt) &&
          isRepeatable(packet.service);
 }
@@ -483,18 +483,18 @@
   return found != services_.end() && found->second.repeatable;
 }
 
-void TokenDirector::noteSign(TokenHost& host) {
-  if (!host.hasSigns && changedSigns_.size() < kMostSamples) {
-    host.hasSigns = true;
-    changedSigns_.push_back(host.token);
+void TokenDirector::queueAckState(TokenHost& host) {
+  if (!host.isAckStatePending && pendingAckStates_.size() < kMaxSamples) {
+    host.isAckStatePending = true;
+    pendingAckStates_.push_back(host.token);
   }
 }
 
 std::vector<HostAckState> TokenDirector::takeAckStates() {
   std::vector<HostAckState> signs;
-  for (const uint32_t token : std::exchange(changedSigns_, {})) {
+  for (const uint32_t token : std::exchange(pendingAckStates_, {})) {
     if (TokenHost* host = hosts_.find(token)) {
-      host->hasSigns = false;
+      host->isAckStatePending = false;
       signs.push_back(host->silence.signs(token));
     }
   }
@@ -509,25 +509,25 @@
   deadHostFlows_.onSilent(now, tokens, [this](ServiceId service) { return isRepeatable(service); });
 }
 
-uint32_t TokenDirector::noteRepeat(TimePoint now, const FlowPacket& packet) {
+uint32_t TokenDirector::recordRepeat(TimePoint now, const FlowPacket& packet) {
   const EarlierOpening earlier = openings_.earlierOf(now, packet.hash);
   TokenHost* host = earlier.token == 0 ? nullptr : hosts_.find(earlier.token);
   if (host != nullptr && !earlier.counted) {
-    noteUnanswered(now, *host);
+    recordUnanswered(now, *host);
   }
   return earlier.token;
 }
 
-void TokenDirector::noteUnanswered(TimePoint now, TokenHost& host) {
+void TokenDirector::recordUnanswered(TimePoint now, TokenHost& host) {
   host.estimate.onUnanswered(now);
   placement_.silentZones().onUnanswered(now, host.pool, host.spec.zone, host.token);
 }
 
-void TokenDirector::noteAnswered(TimePoint now, TokenHost& host) {
+void TokenDirector::recordAnswered(TimePoint now, TokenHost& host) {
   host.estimate.onAnswered(now);
   host.silence.onAnswered(now);
   host.deadUntil = TimePoint{};
-  noteSign(host);
+  queueAckState(host);
   SilentZones& silent = placement_.silentZones();
   if (!silent.isEmpty()) {
     silent.onAnswered(host.pool, host.spec.zone);
@@ -540,7 +540,7 @@
     TokenHost* host = pool == nullptr ? nullptr : placement_.place(now, *pool, avoided);
     if (host != nullptr) {
       service.groups.onPlaced(turn);
-      noteEvidence(service, avoided);
+      recordEvidence(service, avoided);
       return host;
     }
   }
@@ -553,12 +553,12 @@
   if (host == nullptr) {
     return place(now, service, 0);
   }
-  noteEvidence(service, 0);
+  recordEvidence(service, 0);
   placement_.evidence().overflowFrom = queued.overflowFrom;
   return host;
 }
 
-void TokenDirector::noteEvidence(const ServiceEntry& service, uint32_t avoided) {
+void TokenDirector::recordEvidence(const ServiceEntry& service, uint32_t avoided) {
   PlacementEvidence& evidence = placement_.evidence();
   const TokenHost* avoidedHost = hosts_.find(avoided);
   evidence.service = service.name;
@@ -571,7 +571,7 @@
       host.id, host.spec.endpoint, host.spec.incarnation, host.token, {host.spec.name, host.pool}};
 }
 
-bool TokenDirector::awaitsPool(const ServiceEntry& service) const {
+bool TokenDirector::isMissingPool(const ServiceEntry& service) const {
   const std::vector<std::string>& pools = service.groups.pools();
   return std::any_of(pools.begin(), pools.end(),
                      [&](const std::string& pool) { return hosts_.findPool(pool) == nullptr; });
--- a/source/common/token/token_director.h
+++ b/source/common/token/token_director.h
@@ -184,12 +184,12 @@
   };
   /** Flows of hosts that a change showed to have ended are to be reset, and packets that waited for
    * hosts that it brought may go on. */
-  void noteChanges(TimePoint now, const std::vector<HostChange>& changes);
-  /** The host started again under its token. @param bornAt by this node's clock, where known. */
-  void noteReborn(TimePoint now, uint32_t token, std::optional<TimePoint> bornAt);
+  void handleChanges(TimePoint now, const std::vector<HostChange>& changes);
+  /** The host started again under its token. @param startedAt by this node's clock, where known. */
+  void handleRestart(TimePoint now, uint32_t token, std::optional<TimePoint> startedAt);
   /** @param remaining how much longer the host is cold. @return whether it was not cold before. */
   bool beginCold(TimePoint now, const TokenPool& pool, TokenHost& host, Duration remaining);
-  FlowDecision open(TimePoint now, const FlowPacket& packet, std::string_view bytes);
+  FlowDecision openFlow(TimePoint now, const FlowPacket& packet, std::string_view bytes);
   /** What becomes of an opening. */
   struct QueuedOpening {
     OpeningTurn turn = OpeningTurn::kPlace;
@@ -200,57 +200,57 @@
     std::string_view overflowFrom;
   };
   /** @return what becomes of an opening; where it is to wait, the queue has it now. */
-  QueuedOpening queue(TimePoint now, ServiceEntry& service, const FlowPacket& packet,
+  QueuedOpening enqueue(TimePoint now, ServiceEntry& service, const FlowPacket& packet,
                       std::string_view bytes);
   /** @return the pool that an opening waits for or has waited for, if its service still names it;
    * nullptr for others. */
-  const std::string* waitedFor(const ServiceEntry& service, const FlowPacket& packet) const;
+  const std::string* poolWaitedFor(const ServiceEntry& service, const FlowPacket& packet) const;
   /** The pool that is due has no room. @return the one that takes the flow instead; nullptr: none.
    */
   const std::string* overflowPool(TimePoint now, ServiceEntry& service, const std::string& due);
-  PoolSize sizeOf(TimePoint now, const TokenPool& pool);
+  PoolSize poolSizeOf(TimePoint now, const TokenPool& pool);
   /** @return what this node has at the pool, against what it may have there. */
-  PartUse useOf(TimePoint now, const std::string& pool);
+  PartUse poolUseOf(TimePoint now, const std::string& pool);
   /** @return nodes that send flows to the pool: zones are taken to have as many as this one. */
   uint32_t sendingNodes(const TokenPool& pool) const;
-  FlowDecision follow(TimePoint now, const FlowPacket& packet, std::string_view bytes);
+  FlowDecision continueFlow(TimePoint now, const FlowPacket& packet, std::string_view bytes);
   /** The packet's token names no host that this node knows. It waits for the host: after an outage
    * of the store, hosts that live are without an entry for up to 2 s. */
-  FlowDecision awaitHost(TimePoint now, const FlowPacket& packet, std::string_view bytes);
+  FlowDecision holdForHost(TimePoint now, const FlowPacket& packet, std::string_view bytes);
   /** Notes what the packet tells of its host. @return whether the flow is to be refused, since its
    * host is silent and its caller may repeat the request. */
-  bool noteProgress(TimePoint now, const FlowPacket& packet, TokenHost& host);
+  bool recordProgress(TimePoint now, const FlowPacket& packet, TokenHost& host);
   /** The caller continues a flow that may have been opened a moment ago. @return whether it was. */
-  bool noteOpened(TimePoint now, const FlowPacket& packet);
+  bool recordOpened(TimePoint now, const FlowPacket& packet);
   /** The packet may be the first one after its flow's opening. */
-  void noteRoundTrip(TimePoint now, const FlowPacket& packet);
+  void recordRoundTrip(TimePoint now, const FlowPacket& packet);
   /** Learns from the packet how long the host took for its request. @param opened it is
    * the first of its flow. */
-  void noteResponse(TimePoint now, const FlowPacket& packet, TokenHost& host, bool opened);
+  void recordResponse(TimePoint now, const FlowPacket& packet, TokenHost& host, bool opened);
   /** A request ended, or waits beyond all measure. */
-  void noteUnderWay(TimePoint now, const ServiceEntry& service, const TokenHost& host,
+  void recordRequestEnd(TimePoint now, const ServiceEntry& service, const TokenHost& host,
                     Duration took, bool opened);
-  void noteSample(TimePoint now, TokenHost& host, const HostSample& sample);
-  void noteSpeed(TokenHost& host, double speed);
+  void recordSample(TimePoint now, TokenHost& host, const HostSample& sample);
+  void updateLowSpeed(TokenHost& host, double speed);
   /** @return whether requests of the pool hardly wait for slots; false where slots aren't known. */
   bool hasFreeSlots(TimePoint now, const TokenPool& pool) const;
-  void noteSign(TokenHost& host);
+  void queueAckState(TokenHost& host);
   /** @param tokens of hosts that count as dead. */
   void resetFlowsOf(TimePoint now, const std::set<uint32_t>& tokens);
   bool isRepeatable(ServiceId service) const;
   /** The host left a caller without an answer, or gave one. */
-  void noteUnanswered(TimePoint now, TokenHost& host);
-  void noteAnswered(TimePoint now, TokenHost& host);
+  void recordUnanswered(TimePoint now, TokenHost& host);
+  void recordAnswered(TimePoint now, TokenHost& host);
   /** @return the token of the host that left an earlier copy of this opening packet unanswered; 0
    * for none. */
-  uint32_t noteRepeat(TimePoint now, const FlowPacket& packet);
+  uint32_t recordRepeat(TimePoint now, const FlowPacket& packet);
   TokenHost* place(TimePoint now, ServiceEntry& service, uint32_t avoided);
   /** Places a flow whose turn was taken before, at its pool where that has a host. */
   TokenHost* placeAt(TimePoint now, ServiceEntry& service, const QueuedOpening& queued);
-  void noteEvidence(const ServiceEntry& service, uint32_t avoided);
+  void recordEvidence(const ServiceEntry& service, uint32_t avoided);
   static ForwardToHost forward(const TokenHost& host);
   /** Whether some group's pool has not arrived yet. */
-  bool awaitsPool(const ServiceEntry& service) const;
+  bool isMissingPool(const ServiceEntry& service) const;
 
   RandomSource& random_;
   const std::string zone_;
@@ -266,9 +266,9 @@
   OpeningWatch openings_;
   Admission admission_;
   /** By hosts that this node does not know yet. */
-  HeldPackets awaiting_;
+  HeldPackets heldForHost_;
   /** Their hosts are there now. */
-  std::vector<std::string> arrived_;
+  std::vector<std::string> released_;
   FlowProgress progress_;
   RequestTimer timer_;
   SilenceDetector silenceJudge_{hosts_};
@@ -276,7 +276,7 @@
   std::vector<HostSample> samples_;
   std::vector<SpeedChange> speedChanges_;
   /** Tokens of the hosts whose signs changed; each once. */
-  std::vector<uint32_t> changedSigns_;
+  std::vector<uint32_t> pendingAckStates_;
 };
 
 }  // namespace umberhold
--- a/source/common/token/token_hosts.cc
+++ b/source/common/token/token_hosts.cc
@@ -27,7 +27,7 @@
       return "cold";
     case HostChangeKind::kEnded:
       return "ended";
-    case HostChangeKind::kReborn:
+    case HostChangeKind::kRestarted:
       return "reborn";
   }
   return "unknown";
@@ -50,11 +50,11 @@
   entry.version = version;
   entry.appliedAt = now;
   for (const HostSpec& spec : pool.hosts) {
-    admit(now, pool.name, spec, changes);
+    addOrUpdate(now, pool.name, spec, changes);
   }
   markLeft(now, pool, changes);
-  settleEnded(changes);
-  forgetOld(now);
+  markEnded(changes);
+  removeExpired(now);
   indexByPool();
   return changes;
 }
@@ -66,7 +66,7 @@
   return changes;
 }
 
-void TokenHosts::admit(TimePoint now, const std::string& pool, const HostSpec& spec,
+void TokenHosts::addOrUpdate(TimePoint now, const std::string& pool, const HostSpec& spec,
                        std::vector<HostChange>& changes) {
   const uint32_t token = flowTokenOf(spec.incarnation);
   const auto [place, added] = hosts_.try_emplace(token);
@@ -74,13 +74,13 @@
   if (!added && host.spec.incarnation != spec.incarnation) {
     return;  // Two incarnations with one token can't be distinguished: the first one keeps it.
   }
-  const HostLife life = added ? HostLife::kSame : lifeOf(host.spec, spec);
-  if (life == HostLife::kOlder) {
+  const HostGeneration life = added ? HostGeneration::kSame : compareGenerations(host.spec, spec);
+  if (life == HostGeneration::kOlder) {
     return;  // A list that is older than what is known.
   }
-  if (life == HostLife::kNewer) {
-    beginLife(now, host, spec);
-    changes.push_back({HostChangeKind::kReborn, pool, spec, birthOf(spec, clock_)});
+  if (life == HostGeneration::kNewer) {
+    beginGeneration(now, host, spec);
+    changes.push_back({HostChangeKind::kRestarted, pool, spec, startTimeOf(spec, clock_)});
   }
   const bool drains = spec.state == HostState::kDraining;
   if (added || !host.listed) {
@@ -88,42 +88,42 @@
   } else if (drains != (host.spec.state == HostState::kDraining)) {
     changes.push_back({drains ? HostChangeKind::kDraining : HostChangeKind::kActive, pool, spec});
   }
-  const bool isNewLife = added || life == HostLife::kNewer;
-  const uint32_t coldBefore = isNewLife ? 0 : host.spec.coldMilliseconds;
-  host.hasColdNews = spec.coldMilliseconds != 0 && spec.coldMilliseconds != coldBefore;
+  const bool isNewLife = added || life == HostGeneration::kNewer;
+  const uint32_t previousCold = isNewLife ? 0 : host.spec.coldMilliseconds;
+  host.hasNewColdTime = spec.coldMilliseconds != 0 && spec.coldMilliseconds != previousCold;
   host.token = token;
-  const uint64_t bornBefore = host.spec.bornMilliseconds;
+  const uint64_t previousBorn = host.spec.bornMilliseconds;
   host.spec = spec;
   if (spec.bornMilliseconds == 0) {
-    host.spec.bornMilliseconds = bornBefore;
+    host.spec.bornMilliseconds = previousBorn;
   }
   host.id = hostIdOf(serviceIdOf(pool), spec.name);
   host.pool = pool;
   host.listed = true;
   host.leftAt = now;
   if (added) {
-    host.livesSince = birthOf(spec, clock_);
+    host.evidenceValidFrom = startTimeOf(spec, clock_);
   }
   if (isNewLife) {
     host.firstSeen = now;
   }
 }
 
-void TokenHosts::beginLife(TimePoint now, TokenHost& host, const HostSpec& spec) const {
-  const TimePoint since = std::min(now, birthOf(spec, clock_).value_or(now));
-  TokenHost fresh;
-  fresh.token = host.token;
-  fresh.spec = host.spec;
-  fresh.id = host.id;
-  fresh.pool = host.pool;
-  fresh.listed = host.listed;
-  fresh.leftAt = host.leftAt;
+void TokenHosts::beginGeneration(TimePoint now, TokenHost& host, const HostSpec& spec) const {
+  const TimePoint since = std::min(now, startTimeOf(spec, clock_).value_or(now));
+  TokenHost restarted;
+  restarted.token = host.token;
+  restarted.spec = host.spec;
+  restarted.id = host.id;
+  restarted.pool = host.pool;
+  restarted.listed = host.listed;
+  restarted.leftAt = host.leftAt;
   // Still in the list of hosts whose signs are to be taken.
-  fresh.hasSigns = host.hasSigns;
-  fresh.livesSince = since;
-  fresh.estimate.onAnswered(since);
-  fresh.silence.onAnswered(since);
-  host = std::move(fresh);
+  restarted.isAckStatePending = host.isAckStatePending;
+  restarted.evidenceValidFrom = since;
+  restarted.estimate.onAnswered(since);
+  restarted.silence.onAnswered(since);
+  host = std::move(restarted);
 }
 
 void TokenHosts::markLeft(TimePoint now, const HostPool& pool, std::vector<HostChange>& changes) {
@@ -140,7 +140,7 @@
   }
 }
 
-void TokenHosts::settleEnded(std::vector<HostChange>& changes) {
+void TokenHosts::markEnded(std::vector<HostChange>& changes) {
   std::unordered_map<Endpoint, TimePoint> newest;
   for (const auto& [token, host] : hosts_) {
     if (host.isActive()) {
@@ -158,7 +158,7 @@
   }
 }
 
-void TokenHosts::forgetOld(TimePoint now) {
+void TokenHosts::removeExpired(TimePoint now) {
   std::erase_if(hosts_, [this, now](const auto& named) {
     return !named.second.listed && now - named.second.leftAt > flowLife_;
   });
--- a/source/common/token/token_hosts.h
+++ b/source/common/token/token_hosts.h
@@ -45,7 +45,7 @@
   /** It left, and a host that appeared later has its endpoint. */
   kEnded,
   /** It started again under its id: it holds no flow of its earlier life. */
-  kReborn,
+  kRestarted,
 };
 
 /** @return the snake_case name of a kind. */
@@ -57,7 +57,7 @@
   std::string pool;
   HostSpec host;
   /** When it was born, where it is reborn and that is known. */
-  std::optional<TimePoint> bornAt{};
+  std::optional<TimePoint> startedAt{};
 };
 
 /** A host, listed or not. */
@@ -73,7 +73,7 @@
   /** When a pool first listed it; hosts of one list have one instant. */
   TimePoint firstSeen{};
   /** What others saw before this says nothing of its present life; unset: no such time is known. */
-  std::optional<TimePoint> livesSince{};
+  std::optional<TimePoint> evidenceValidFrom{};
   /** It left, and a host that appeared later has its endpoint: this incarnation has ended. */
   bool ended = false;
   /** It answered far later than its pool's median at the pool's last placement. */
@@ -86,19 +86,19 @@
   /** It is silent to several nodes or flows: until then it counts as dead, unless it answers. */
   TimePoint deadUntil{};
   /** Its signs changed since they were last taken. */
-  bool hasSigns = false;
+  bool isAckStatePending = false;
   ColdAllotment cold;
   /** It said again how long it is cold. */
-  bool hasColdNews = false;
+  bool hasNewColdTime = false;
 
   /** @return whether news as of that time is of the host's present life. */
-  bool livedAt(TimePoint time) const { return !livesSince || time >= *livesSince; }
+  bool isCurrentGenerationAt(TimePoint time) const { return !evidenceValidFrom || time >= *evidenceValidFrom; }
   bool isDead(TimePoint now) const { return now < deadUntil; }
   bool isActive() const { return listed && spec.state == HostState::kActive; }
 };
 
 /** Weight of a new sample in a zone's score, which many hosts feed. */
-constexpr double kZoneSamplePart = 0.125;
+constexpr double kZoneSampleWeight = 0.125;
 
 /** A pool's hosts. */
 struct TokenPool {
@@ -111,7 +111,7 @@
   /** Answers of late by zone, of the hosts that aren't slow themselves. */
   std::map<std::string, ResponseScore, std::less<>> zones;
   /** Of this node's callers, at all hosts of the pool. */
-  RequestsUnderWay underWay;
+  RequestsUnderWay requestsInFlight;
   /** Version of the catalogue that the pool is from, and when this node applied it. */
   uint64_t version = 0;
   TimePoint appliedAt{};
@@ -154,16 +154,16 @@
   size_t coldCount(TimePoint now) const;
 
  private:
-  void admit(TimePoint now, const std::string& pool, const HostSpec& spec,
+  void addOrUpdate(TimePoint now, const std::string& pool, const HostSpec& spec,
              std::vector<HostChange>& changes);
   /** The host started again: nothing of its earlier life counts for this one. */
-  void beginLife(TimePoint now, TokenHost& host, const HostSpec& spec) const;
+  void beginGeneration(TimePoint now, TokenHost& host, const HostSpec& spec) const;
   /** Marks those that the new list lacks. */
   void markLeft(TimePoint now, const HostPool& pool, std::vector<HostChange>& changes);
   /** Finds the hosts that have ended: a later one has their endpoint. Of two hosts in one list
    * neither counts as later. */
-  void settleEnded(std::vector<HostChange>& changes);
-  void forgetOld(TimePoint now);
+  void markEnded(std::vector<HostChange>& changes);
+  void removeExpired(TimePoint now);
   /** Rebuilds the pools' lists of hosts, and what is counted of them. */
   void indexByPool();
 
--- a/test/common/health/host_health_test.cc
+++ b/test/common/health/host_health_test.cc
@@ -60,7 +60,7 @@
   miss(3, 3);
   CHECK(!health.mayTakeFlows(kStart, HostId{1}));
   miss(4, 3);
-  CHECK(health.panics(kStart));
+  CHECK(health.isPanicking(kStart));
   CHECK(health.mayTakeFlows(kStart, HostId{1}));
   CHECK(!health.isHealthy(kStart, HostId{1}));
 }
--- a/test/common/health/host_observations_test.cc
+++ b/test/common/health/host_observations_test.cc
@@ -71,11 +71,11 @@
 TEST(HostObservations, TakesAReportOnceAndNoOlderOne) {
   const HostReport first = report(1, kSlowHost, 500);
   const HostReport second = report(1, kSlowHost, 100);
-  CHECK_TRUE(zone.merge(now, second) == ReportOutcome::kTaken);
+  CHECK_TRUE(zone.merge(now, second) == ReportOutcome::kAccepted);
   CHECK_TRUE(zone.merge(now, second) == ReportOutcome::kRepeated);
   CHECK_TRUE(zone.merge(now, first) == ReportOutcome::kRepeated);
   now += seconds(4);  // A node that was replaced may count from an earlier number again.
-  CHECK_TRUE(zone.merge(now, first) == ReportOutcome::kTaken);
+  CHECK_TRUE(zone.merge(now, first) == ReportOutcome::kAccepted);
 }
 
 TEST(HostObservations, RefusesFiguresThatNoNodeCanHaveMeasured) {
@@ -86,7 +86,7 @@
     tooLong.hosts.push_back({token + 1, 1, 100});
   }
   CHECK_TRUE(zone.merge(now, tooLong) == ReportOutcome::kInvalid);
-  CHECK_TRUE(merge(1, kSlowHost, 500) == ReportOutcome::kTaken);
+  CHECK_TRUE(merge(1, kSlowHost, 500) == ReportOutcome::kAccepted);
 }
 
 TEST(HostObservations, NamesTheLatestFirstAndABoundedNumber) {
@@ -142,9 +142,9 @@
 }
 
 TEST(HostObservations, SpeedsTakeTheBytesThatStandingsLeave) {
-  LONGS_EQUAL(kMaxLearnedSpeeds, mostSpeedsBeside(0));
-  LONGS_EQUAL(12, mostSpeedsBeside(kMaxStandings - 10));
-  LONGS_EQUAL(0, mostSpeedsBeside(kMaxStandings));
+  LONGS_EQUAL(kMaxLearnedSpeeds, maxSpeedsBeside(0));
+  LONGS_EQUAL(12, maxSpeedsBeside(kMaxStandings - 10));
+  LONGS_EQUAL(0, maxSpeedsBeside(kMaxStandings));
   const auto bytesOf = [](size_t standings, size_t speeds) {
     PeerChanges changes;
     uint64_t number = 0;  // Tokens that can't be compressed.
@@ -160,7 +160,7 @@
   constexpr size_t kListHeads = 4;
   const size_t most = bytesOf(0, 0) + kListHeads + kStandingBytes * kMaxStandings;
   for (size_t standings = 0; standings <= kMaxStandings; ++standings) {
-    CHECK_TRUE(bytesOf(standings, mostSpeedsBeside(standings)) <= most);
+    CHECK_TRUE(bytesOf(standings, maxSpeedsBeside(standings)) <= most);
   }
 }
 
--- a/test/common/speed/speed_learner_property.cc
+++ b/test/common/speed/speed_learner_property.cc
@@ -54,12 +54,12 @@
 TEST(SpeedLearnerProperty, MemoryIsBoundedWhateverIsReported) {
   SpeedLearner learner;
   TimePoint now{seconds(1000)};
-  for (uint32_t token = 1; token <= 2 * SpeedLearner::kMostHosts; ++token) {
+  for (uint32_t token = 1; token <= 2 * SpeedLearner::kMaxHosts; ++token) {
     for (uint64_t node = 1; node <= 3; ++node) {
       learner.add(now, node, token, 100, 6);
     }
   }
-  CHECK_TRUE(learner.knownHosts() <= SpeedLearner::kMostHosts);
+  CHECK_TRUE(learner.knownHosts() <= SpeedLearner::kMaxHosts);
 }
 
 }  // namespace umberhold
--- a/test/common/speed/work_times_test.cc
+++ b/test/common/speed/work_times_test.cc
@@ -45,8 +45,8 @@
 TEST(WorkTimes, OneRequestCountsNoMoreThanFourTimesTheUsual) {
   open(milliseconds(10));
   respond(milliseconds(40));
-  DOUBLES_EQUAL(kMostWorkRatio, times.ratioOf(seconds(9)).value(), 1e-9);
-  DOUBLES_EQUAL(kLeastWorkRatio, times.ratioOf(milliseconds(2)).value(), 1e-9);
+  DOUBLES_EQUAL(kMaxWorkRatio, times.ratioOf(seconds(9)).value(), 1e-9);
+  DOUBLES_EQUAL(kMinWorkRatio, times.ratioOf(milliseconds(2)).value(), 1e-9);
 }
 
 TEST(WorkTimes, AHostThatIsAlwaysSlowIsExpectedToAnswerLate) {
--- a/test/common/token/cold_hosts_test.cc
+++ b/test/common/token/cold_hosts_test.cc
@@ -21,7 +21,7 @@
     allotment.begin(now, seconds(2), flows, random);
     int count = 0;
     for (TimePoint at = now; at < now + seconds(2); at += milliseconds(10)) {
-      if (allotment.mayTake(at)) {
+      if (allotment.canTakeFlow(at)) {
         allotment.onPlaced(at);
         ++count;
       }
@@ -33,8 +33,8 @@
 /** 74 nodes in three zones, whatever the lots: the host bears 8 x 1.5 + 5 requests in a second. */
 TEST(ColdHosts, AllNodesTogetherStayBelowWhatAHostBears) {
   const SendingNodes nodes{25, 3};
-  const double own = coldFlowsOfNode(options, limit, nodes, true);
-  const double other = coldFlowsOfNode(options, limit, nodes, false);
+  const double own = coldFlowsPerNode(options, limit, nodes, true);
+  const double other = coldFlowsPerNode(options, limit, nodes, false);
   int most = 0;
   int sum = 0;
   constexpr int kHosts = 500;
@@ -58,7 +58,7 @@
   allotment.begin(now, seconds(2), 4.0, random);
   int inFirstQuarter = 0;
   for (TimePoint at = now; at < now + milliseconds(250); at += milliseconds(1)) {
-    if (allotment.mayTake(at)) {
+    if (allotment.canTakeFlow(at)) {
       allotment.onPlaced(at);
       ++inFirstQuarter;
     }
@@ -68,19 +68,19 @@
 
 TEST(ColdHosts, AreUsualOnceTheirTimeIsOver) {
   ColdAllotment allotment;
-  CHECK_TRUE(allotment.mayTake(now));
+  CHECK_TRUE(allotment.canTakeFlow(now));
   allotment.begin(now, seconds(2), 0.0, random);
-  CHECK_FALSE(allotment.mayTake(now + milliseconds(1999)));
-  CHECK_TRUE(allotment.mayTake(now + seconds(2)));
+  CHECK_FALSE(allotment.canTakeFlow(now + milliseconds(1999)));
+  CHECK_TRUE(allotment.canTakeFlow(now + seconds(2)));
   // News of the same cold time gives no second allotment, and may only prolong it.
   allotment.begin(now, seconds(2), 1.0, random);
   allotment.onPlaced(now + seconds(1));
   allotment.begin(now + seconds(1), milliseconds(1200), 1.0, random);
-  CHECK_FALSE(allotment.mayTake(now + milliseconds(2150)));
-  CHECK_TRUE(allotment.mayTake(now + milliseconds(2200)));
+  CHECK_FALSE(allotment.canTakeFlow(now + milliseconds(2150)));
+  CHECK_TRUE(allotment.canTakeFlow(now + milliseconds(2200)));
 }
 
 TEST(ColdHosts, ANodeThatKnowsNobodyReckonsWithOthers) {
-  DOUBLES_EQUAL(0.3 * 17 / 8, coldFlowsOfNode(options, limit, {1, 1}, true), 1e-9);
-  CHECK_TRUE(coldFlowsOfNode(options, limit, {1, 1}, false) <= 0.05 * 17 / 8);
+  DOUBLES_EQUAL(0.3 * 17 / 8, coldFlowsPerNode(options, limit, {1, 1}, true), 1e-9);
+  CHECK_TRUE(coldFlowsPerNode(options, limit, {1, 1}, false) <= 0.05 * 17 / 8);
 }
--- a/test/common/token/dead_host_flows_test.cc
+++ b/test/common/token/dead_host_flows_test.cc
@@ -29,7 +29,7 @@
     made.phase = PacketPhase::kContinuing;
     made.token = token;
     made.dataBytes = dataBytes;
-    flows.note(now, made);
+    flows.record(now, made);
   }
   void fallSilent() {
     flows.onSilent(now, {kHost},
@@ -76,9 +76,9 @@
     send(caller, "once", 0);
   }
   fallSilent();
-  LONGS_EQUAL(DeadHostFlows::kMostAtOnce, flows.take().size());
+  LONGS_EQUAL(DeadHostFlows::kMaxResetsPerCall, flows.take().size());
   CHECK_TRUE(flows.hasPending());
-  LONGS_EQUAL(1000 - DeadHostFlows::kMostAtOnce, takeAll());
+  LONGS_EQUAL(1000 - DeadHostFlows::kMaxResetsPerCall, takeAll());
 }
 
 TEST(DeadHostFlows, AFlowThatIsOlderThanFlowsLiveIsAnotherOneByNow) {
--- a/test/common/token/flow_placement_test.cc
+++ b/test/common/token/flow_placement_test.cc
@@ -47,7 +47,7 @@
   }
   void scoreZone(const std::string& zone, double ratio) {
     ResponseScore& score =
-        hosts.findPool("dispatch")->zones.try_emplace(zone, kZoneSamplePart).first->second;
+        hosts.findPool("dispatch")->zones.try_emplace(zone, kZoneSampleWeight).first->second;
     for (int index = 0; index < 50; ++index) {
       score.add(now, ratio);
     }
@@ -81,11 +81,11 @@
   for (uint64_t number = 1; number <= 20; ++number) {
     host(number).spec.slots = 2;
   }
-  RequestsUnderWay& underWay = hosts.findPool("dispatch")->underWay;
+  RequestsUnderWay& requestsInFlight = hosts.findPool("dispatch")->requestsInFlight;
   const auto ownPart = [&](double requestsPerSlot) {
-    underWay = RequestsUnderWay{};
+    requestsInFlight = RequestsUnderWay{};
     // Of this node's share of 20 slots.
-    underWay.onEnded(now, std::chrono::duration_cast<Duration>(
+    requestsInFlight.onEnded(now, std::chrono::duration_cast<Duration>(
                               std::chrono::duration<double>(2.0 * requestsPerSlot)));
     FlowPlacement placement("bole", options, random);
     placement.setZoneNodes(10);
@@ -105,16 +105,16 @@
 
 TEST(FlowPlacement, AHostThatDoesNotSayItsSlotsIsNeverFull) {
   setHosts(2, 2);
-  hosts.findPool("dispatch")->underWay.onEnded(now, seconds(100));
+  hosts.findPool("dispatch")->requestsInFlight.onEnded(now, seconds(100));
   auto placed = place(100);
   LONGS_EQUAL(100, placed[1] + placed[2]);
 }
 
 TEST(FlowPlacement, GivesAHostFlowsByItsSpeed) {
   setHosts(3, 0);
-  host(1).speed.learn(now, {1.8, 20});
-  host(2).speed.learn(now, {0.6, 20});
-  host(3).speed.learn(now, {0.6, 20});
+  host(1).speed.update(now, {1.8, 20});
+  host(2).speed.update(now, {0.6, 20});
+  host(3).speed.update(now, {0.6, 20});
   auto placed = place(1000);
   DOUBLES_EQUAL(600, placed[1], 10);
   DOUBLES_EQUAL(200, placed[2], 10);
@@ -122,7 +122,7 @@
 
 TEST(FlowPlacement, AHostOfUnknownSpeedCountsAsUsual) {
   setHosts(3, 0);
-  host(1).speed.learn(now, {2.0, 20});
+  host(1).speed.update(now, {2.0, 20});
   auto placed = place(1000);
   DOUBLES_EQUAL(500, placed[1], 10);
   DOUBLES_EQUAL(250, placed[3], 10);
@@ -134,7 +134,7 @@
 TEST(FlowPlacement, SpeedsAreTheOperatorsChoice) {
   options.learnsSpeeds = false;
   setHosts(3, 0);
-  host(1).speed.learn(now, {2.0, 20});
+  host(1).speed.update(now, {2.0, 20});
   LONGS_EQUAL(300, place(900)[1]);
 }
 
@@ -143,7 +143,7 @@
 TEST(FlowPlacement, HostsThatLeaveAreReplacedByTheirWorkNotByTheirNumber) {
   setHosts(4, 4);
   for (uint64_t number = 1; number <= 8; ++number) {
-    host(number).speed.learn(now, {number <= 2 ? 1.5 : 0.5, 20});
+    host(number).speed.update(now, {number <= 2 ? 1.5 : 0.5, 20});
   }
   // The own zone does 4 of 6 parts; the rest of its callers stay, since it has more than its share.
   auto placed = place(1000);
@@ -162,10 +162,10 @@
   setHosts(9, 0);
   const auto speedOf = [](uint64_t number) { return number % 3 == 0 ? 1.7 : 0.7; };
   for (uint64_t number = 1; number <= 9; ++number) {
-    host(number).speed.learn(now, {speedOf(number), 20});
+    host(number).speed.update(now, {speedOf(number), 20});
     host(number).spec.slots = 2;
   }
-  hosts.findPool("dispatch")->underWay.onEnded(now, seconds(40));  // Twice its slots.
+  hosts.findPool("dispatch")->requestsInFlight.onEnded(now, seconds(40));  // Twice its slots.
   place(900);
   std::vector<HostSpec> listed;
   for (uint64_t number = 4; number <= 9; ++number) {
--- a/test/common/token/flow_progress_test.cc
+++ b/test/common/token/flow_progress_test.cc
@@ -28,8 +28,8 @@
     return made;
   }
   /** The node keeps up: each packet is handled as it arrives. */
-  PacketProgress note(uint32_t sequence, uint32_t acknowledged, uint32_t bytes = 100) {
-    const PacketProgress noted = progress.note(now, packet(sequence, acknowledged, bytes));
+  PacketProgress record(uint32_t sequence, uint32_t acknowledged, uint32_t bytes = 100) {
+    const PacketProgress noted = progress.record(now, packet(sequence, acknowledged, bytes));
     progress.onCaughtUp();
     return noted;
   }
@@ -37,11 +37,11 @@
 
 TEST(FlowProgress, CountsTheCopiesOfOnePacket) {
   const TimePoint first = now;
-  LONGS_EQUAL(1, note(10, 1).copies);
+  LONGS_EQUAL(1, record(10, 1).copies);
   now += milliseconds(200);
-  LONGS_EQUAL(2, note(10, 1).copies);
+  LONGS_EQUAL(2, record(10, 1).copies);
   now += milliseconds(400);
-  const PacketProgress third = note(10, 1);
+  const PacketProgress third = record(10, 1);
   LONGS_EQUAL(3, third.copies);
   CHECK_TRUE(third.firstAt == first);
   CHECK_FALSE(third.answered);
@@ -49,59 +49,59 @@
 
 TEST(FlowProgress, PartsOfOneRequestAreNoCopies) {
   for (uint32_t part = 0; part < 5; ++part) {
-    LONGS_EQUAL(1, note(10 + part * 100, 1).copies);
+    LONGS_EQUAL(1, record(10 + part * 100, 1).copies);
   }
   now += milliseconds(200);
-  LONGS_EQUAL(2, note(10, 1).copies);
-  LONGS_EQUAL(1, note(110, 1).copies);
+  LONGS_EQUAL(2, record(10, 1).copies);
+  LONGS_EQUAL(1, record(110, 1).copies);
 }
 
 TEST(FlowProgress, TheNextRequestBeginsAnew) {
-  note(10, 1);
+  record(10, 1);
   now += milliseconds(500);
-  LONGS_EQUAL(1, note(110, 1).copies);
+  LONGS_EQUAL(1, record(110, 1).copies);
   now += milliseconds(200);
-  LONGS_EQUAL(2, note(110, 1).copies);
+  LONGS_EQUAL(2, record(110, 1).copies);
 }
 
 TEST(FlowProgress, ACallerThatAcknowledgesMoreHadAnAnswer) {
-  note(10, 1);
-  CHECK_TRUE(note(10, 700, 0).answered);
-  CHECK_FALSE(note(10, 700, 0).answered);
+  record(10, 1);
+  CHECK_TRUE(record(10, 700, 0).answered);
+  CHECK_FALSE(record(10, 700, 0).answered);
   // Also where the numbers wrap around.
-  note(10, 0xFFFFFFF0U);
+  record(10, 0xFFFFFFF0U);
   FlowProgress other;
-  other.note(now, packet(10, 0xFFFFFFF0U, 100));
-  CHECK_TRUE(other.note(now, packet(10, 16, 0)).answered);
+  other.record(now, packet(10, 0xFFFFFFF0U, 100));
+  CHECK_TRUE(other.record(now, packet(10, 16, 0)).answered);
 }
 
 TEST(FlowProgress, ANodeThatIsBehindCountsNoCopies) {
-  progress.note(now, packet(10, 1, 100));
+  progress.record(now, packet(10, 1, 100));
   now += milliseconds(200);
-  LONGS_EQUAL(1, progress.note(now, packet(10, 1, 100)).copies);
+  LONGS_EQUAL(1, progress.record(now, packet(10, 1, 100)).copies);
   now += milliseconds(400);
-  LONGS_EQUAL(1, progress.note(now, packet(10, 1, 100)).copies);
+  LONGS_EQUAL(1, progress.record(now, packet(10, 1, 100)).copies);
   progress.onCaughtUp();
   now += milliseconds(800);
-  LONGS_EQUAL(2, progress.note(now, packet(10, 1, 100)).copies);
+  LONGS_EQUAL(2, progress.record(now, packet(10, 1, 100)).copies);
 }
 
 TEST(FlowProgress, TellsWhenDataThatIsAnsweredWasSentFirst) {
   const TimePoint first = now;
-  note(10, 1);
+  record(10, 1);
   now += milliseconds(200);
-  note(10, 1);
+  record(10, 1);
   now += milliseconds(150);
-  CHECK_TRUE(note(110, 700, 0).answeredSentAt == first);
-  CHECK_FALSE(note(110, 1400, 0).answeredSentAt.has_value());
+  CHECK_TRUE(record(110, 700, 0).answeredSentAt == first);
+  CHECK_FALSE(record(110, 1400, 0).answeredSentAt.has_value());
 }
 
 TEST(FlowProgress, AnotherHostOfTheFlowBeginsAnew) {
-  note(10, 1);
+  record(10, 1);
   now += milliseconds(200);
   FlowPacket moved = packet(10, 1, 100);
   moved.token = kToken + 1;
-  LONGS_EQUAL(1, progress.note(now, moved).copies);
+  LONGS_EQUAL(1, progress.record(now, moved).copies);
 }
 
 }  // namespace umberhold
--- a/test/common/token/group_shares_test.cc
+++ b/test/common/token/group_shares_test.cc
@@ -61,7 +61,7 @@
   CHECK_TRUE(shares.indexOf("old") == 1U);
   CHECK_FALSE(shares.indexOf("new").has_value());
   CHECK_FALSE(shares.indexOf("other").has_value());
-  DOUBLES_EQUAL(1.0, shares.partOf(1), 1e-9);
+  DOUBLES_EQUAL(1.0, shares.fractionOf(1), 1e-9);
 }
 
 TEST(GroupShares, AGroupThatCouldNotBeServedIsOwedItsFlowsLater) {
--- a/test/common/token/host_lives_test.cc
+++ b/test/common/token/host_lives_test.cc
@@ -86,7 +86,7 @@
   send(4);
   send(2, 100);
   const auto changes = setHosts({makeHost(1, born), makeHost(2)});
-  CHECK_TRUE(has(changes, HostChangeKind::kReborn));
+  CHECK_TRUE(has(changes, HostChangeKind::kRestarted));
   const auto resets = director.takeResets();
   LONGS_EQUAL(1, resets.size());
   LONGS_EQUAL(1, resets[0].key.caller.address);
@@ -97,7 +97,7 @@
 
 TEST(HostLives, FlowsSeenWithinTheErrorOfClocksAreLeftToTheHost) {
   send(1);
-  now += kClockError / 2;
+  now += kMaxClockSkew / 2;
   setHosts({makeHost(1, unixNow()), makeHost(2)});
   LONGS_EQUAL(0, director.takeResets().size());
 }
@@ -105,18 +105,18 @@
 TEST(HostLives, ABirthInTheFutureTellsLivesApartButResetsNothing) {
   send(1);
   now += seconds(1);
-  CHECK_TRUE(has(setHosts({makeHost(1, unixNow() + 5000), makeHost(2)}), HostChangeKind::kReborn));
+  CHECK_TRUE(has(setHosts({makeHost(1, unixNow() + 5000), makeHost(2)}), HostChangeKind::kRestarted));
   LONGS_EQUAL(0, director.takeResets().size());
 }
 
 TEST(HostLives, ABirthThatIsNotToldIsNoOtherLife) {
   send(1);
   now += seconds(1);
-  CHECK_FALSE(has(setHosts({makeHost(1, 0), makeHost(2)}), HostChangeKind::kReborn));
-  CHECK_FALSE(has(setHosts({makeHost(1), makeHost(2)}), HostChangeKind::kReborn));
+  CHECK_FALSE(has(setHosts({makeHost(1, 0), makeHost(2)}), HostChangeKind::kRestarted));
+  CHECK_FALSE(has(setHosts({makeHost(1), makeHost(2)}), HostChangeKind::kRestarted));
   LONGS_EQUAL(0, director.takeResets().size());
   // The known birth was kept meanwhile.
-  CHECK_TRUE(has(startAgain(), HostChangeKind::kReborn));
+  CHECK_TRUE(has(startAgain(), HostChangeKind::kRestarted));
 }
 
 TEST(HostLives, AnOlderLifeAfterTheNewerChangesNothing) {
@@ -145,7 +145,7 @@
   CHECK_TRUE(has(setHosts({makeHost(2)}), HostChangeKind::kLeft));
   const auto changes = startAgain();
   CHECK_TRUE(has(changes, HostChangeKind::kAdded));
-  CHECK_TRUE(has(changes, HostChangeKind::kReborn));
+  CHECK_TRUE(has(changes, HostChangeKind::kRestarted));
   LONGS_EQUAL(1, director.takeResets().size());
 }
 
@@ -213,8 +213,8 @@
   hosts.setWallClock({now, unixNow()});
   hosts.setPool(now, {"dispatch", {makeHost(1, unixNow() - 300)}}, 1);
   const TokenHost* host = hosts.find(token);
-  CHECK_FALSE(host->livedAt(now - milliseconds(301)));
-  CHECK_TRUE(host->livedAt(now - milliseconds(300)));
+  CHECK_FALSE(host->isCurrentGenerationAt(now - milliseconds(301)));
+  CHECK_TRUE(host->isCurrentGenerationAt(now - milliseconds(300)));
 }
 
 }  // namespace umberhold
--- a/test/common/token/recent_flows_test.cc
+++ b/test/common/token/recent_flows_test.cc
@@ -32,7 +32,7 @@
     FlowPacket made = packet(PacketPhase::kContinuing, caller, token);
     made.dataBytes = dataBytes;
     made.acknowledged = acknowledged;
-    flows.note(now, made);
+    flows.record(now, made);
   }
   std::vector<RecentFlow> takeOf(uint32_t token) {
     return flows.take(TimePoint{}, [token](const RecentFlow& flow) { return flow.token == token; });
@@ -58,21 +58,21 @@
   send(3, kHost, 100, 10);
   send(3, kHost, 0, 600);
   for (const RecentFlow& flow : takeOf(kHost)) {
-    CHECK_EQUAL(flow.key.caller.address != 3, flow.underWay);
+    CHECK_EQUAL(flow.key.caller.address != 3, flow.requestInFlight);
   }
 }
 
 TEST(RecentFlows, ANextRequestThatAcknowledgesTheLastAnswerIsUnderWay) {
   send(1, kHost, 100, 10);
   send(1, kHost, 100, 600);
-  CHECK_TRUE(takeOf(kHost)[0].underWay);
+  CHECK_TRUE(takeOf(kHost)[0].requestInFlight);
 }
 
 TEST(RecentFlows, AnOpeningOrAnEndForgetsTheFlow) {
   for (const PacketPhase phase :
        {PacketPhase::kOpening, PacketPhase::kClosing, PacketPhase::kReset}) {
     send(1, kHost, 100, 10);
-    flows.note(now, packet(phase, 1, 0));
+    flows.record(now, packet(phase, 1, 0));
     CHECK_TRUE(takeOf(kHost).empty());
   }
 }
--- a/test/common/token/request_timer_property.cc
+++ b/test/common/token/request_timer_property.cc
@@ -70,7 +70,7 @@
     FlowPacket sent = packet_;
     sent.dataBytes = bytes;
     sent.acknowledged = acknowledged;
-    const auto told = timer_.note(now, sent, milliseconds(500));
+    const auto told = timer_.record(now, sent, milliseconds(500));
     timer_.onCaughtUp(now);
     return told;
   }
--- a/test/common/token/response_score_test.cc
+++ b/test/common/token/response_score_test.cc
@@ -18,7 +18,7 @@
   ResponseScore score{kPart};
   UsualResponseTime usual;
 
-  void learn(int count, Duration response) {
+  void update(int count, Duration response) {
     for (int index = 0; index < count; ++index) {
       now += milliseconds(20);
       usual.add(now, response);
@@ -60,24 +60,24 @@
 
 TEST(ResponseScore, TheUsualTimeIsTheMedianAndOneFifthOfSlowHostsHardlyMovesIt) {
   for (int index = 0; index < 200; ++index) {
-    learn(1, index % 5 == 0 ? milliseconds(400) : milliseconds(50));
+    update(1, index % 5 == 0 ? milliseconds(400) : milliseconds(50));
   }
   DOUBLES_EQUAL(1.0, usual.ratioOf(milliseconds(50)).value(), 0.15);
 }
 
 TEST(ResponseScore, ABurstOfSomeSecondsHardlyMovesTheUsualTime) {
-  learn(100, milliseconds(50));
-  learn(200, milliseconds(150));  // 4 s
+  update(100, milliseconds(50));
+  update(200, milliseconds(150));  // 4 s
   CHECK_TRUE(usual.ratioOf(milliseconds(150)).value() > 1.8);
-  learn(2000, milliseconds(150));  // 40 s
+  update(2000, milliseconds(150));  // 40 s
   DOUBLES_EQUAL(1.0, usual.ratioOf(milliseconds(150)).value(), 0.1);
 }
 
 TEST(ResponseScore, NothingIsJudgedBeforeEnoughIsKnown) {
-  learn(4, milliseconds(50));
+  update(4, milliseconds(50));
   CHECK_FALSE(usual.ratioOf(milliseconds(500)).has_value());
   CHECK_FALSE(usual.timeOf(5.0).has_value());
-  learn(1, milliseconds(50));
+  update(1, milliseconds(50));
   CHECK_TRUE(usual.ratioOf(milliseconds(500)).has_value());
   CHECK_TRUE(usual.timeOf(5.0).value() > milliseconds(250));
 }
--- a/test/common/token/silence_evidence_test.cc
+++ b/test/common/token/silence_evidence_test.cc
@@ -48,7 +48,7 @@
   for (uint32_t caller = 1; caller <= 1000; ++caller) {
     evidence.onCopy(kStart, kStart, caller);
   }
-  LONGS_EQUAL(SilenceEvidence::kMostCallers, evidence.callers());
+  LONGS_EQUAL(SilenceEvidence::kMaxCallers, evidence.callers());
   LONGS_EQUAL(1000, evidence.signs(7).copies);
 }
 
