--- a/source/common/health/host_health.cc
+++ b/source/common/health/host_health.cc
@@ -9,9 +9,9 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** Age of a host that was there from the start. */
+/** Age reported for a host that was present at start-up. */
 constexpr double kWarmAge = 1e9;
-/** Least part of its weight that a cold host gets. */
+/** Minimum fraction of its weight that a cold host receives. */
 constexpr double kMinRampFactor = 0.1;
 
 }  // namespace
@@ -119,7 +119,7 @@
 }
 
 void HostHealth::onRemoteResult(TimePoint now, uint16_t fromShard, HostId host, bool healthy,
-                          std::optional<LoadReport> report) {
+                                std::optional<LoadReport> report) {
   const auto found = states_.find(host);
   if (found == states_.end() || found->second.index % shardCount_ != fromShard ||
       ownsIndex(found->second.index) || !found->second.probed) {
--- a/source/common/health/host_health.h
+++ b/source/common/health/host_health.h
@@ -1,14 +1,14 @@
 /**
- * @file Which hosts are healthy: schedules this owner's probes and takes in what it and other
- * owners found.
+ * @file Host health: schedules the probes of this shard owner and merges its results with those of
+ * other owners.
  *
- * Shard i probes the hosts with index % shardCount == i; the others learn the result from
- * LoadShare. A host is unhealthy after 3 misses in a row and healthy after 2 answers in a row. If
- * more than half of the active hosts would be out, health is ignored (panic threshold): reports
- * that are wrong for many hosts at once must not take the service down. It stays ignored for a
- * while longer, as the hosts' recovery becomes known host by host: those heard of late would be
- * taken out just then. A host that comes back while health is ignored was never out, so that it is
- * not warmed up.
+ * Shard i probes the hosts with index % shardCount == i; the other shards receive the results
+ * through LoadShare. A host becomes unhealthy after 3 consecutive failures and healthy after 2
+ * consecutive successes. If more than half of the active hosts are unhealthy, health is ignored
+ * (panic threshold), so that false reports for many hosts at once do not take the service down.
+ * Panic mode lasts for an additional hold time, because the recovery of the hosts becomes known one
+ * host at a time; without it, the hosts reported last would be excluded. A host that recovers in
+ * panic mode was never excluded, so it does not go through slow start.
  */
 #pragma once
 
@@ -23,43 +23,48 @@
 
 namespace umberhold {
 
-/** Settings of probing. */
+/** Options of health probing. */
 struct HostHealthOptions {
   Duration interval = std::chrono::seconds(5);
-  /** Interval after a miss, and while an unhealthy host comes back. */
+  /** Interval after a failure, and while an unhealthy host recovers. */
   Duration intervalAfterMiss = std::chrono::seconds(1);
-  /** Intervals vary by up to this part, so that probes of many owners don't gather. */
+  /**
+   * Intervals vary by up to this fraction, so that the probes of many owners do not synchronize.
+   */
   double jitter = 0.1;
   uint32_t missesToUnhealthy = 3;
   uint32_t answersToHealthy = 2;
-  /** Most probes that are due in one second; the others wait. */
+  /** Maximum number of probes per second; further probes are delayed. */
   double probesPerSecond = 20.0;
-  /** A host that appears or comes back takes its full part of new flows only after this time. */
+  /**
+   * Slow start: a host that appears or recovers receives its full share of new flows only after
+   * this time.
+   */
   Duration coldRamp = std::chrono::seconds(30);
   /**
-   * Health stays ignored for this long after the unhealthy hosts were last too many. Longer than an
-   * owner needs to hear of a recovery: two probes and the interval of LoadShare.
+   * How long panic mode lasts after the panic threshold was last exceeded. It exceeds the time
+   * until an owner learns of a recovery: two probes and the interval of LoadShare.
    */
   Duration panicHold = std::chrono::seconds(15);
-  /** What another owner said counts for this long. */
+  /** How long a result of another owner remains valid. */
   Duration remoteResultLifetime = std::chrono::seconds(60);
 };
 
-/** A host as probing sees it. */
+/** A host as the prober sees it. */
 struct ProbedHost {
   HostId host;
-  /** False where the host has no probe endpoint: always healthy. */
+  /** False if the host has no probe endpoint and therefore always counts as healthy. */
   bool probed = true;
   /** Not draining. */
   bool active = true;
 };
 
-/** What a report says, with its age. */
+/** A load report and its time. */
 struct LoadReport {
   /** Load in percent of the host's capacity. */
   uint32_t loadPercent = 0;
   TimePoint at;
-  /** Flows on the host when the report came. */
+  /** Number of flows on the host when the report arrived. */
   double flowsAtReport = 0.0;
 };
 
@@ -68,33 +73,40 @@
  public:
   HostHealth(HostHealthOptions options, uint64_t seed) : options_(options), random_(seed) {}
 
-  /** Takes the service's hosts in order. Hosts of the first call count as warm, later ones as cold.
+  /**
+   * Sets the hosts of the service, in order. Hosts of the first call count as warm, hosts added
+   * later as cold.
    */
   void setHosts(TimePoint now, const std::vector<ProbedHost>& hosts, uint16_t shardCount);
-  /** Says which shards this node owns; their hosts are probed here. */
+  /** Sets the shards that this node owns; their hosts are probed here. */
   void setOwnedShards(const std::vector<uint16_t>& shards);
 
-  /** @return hosts to probe now; each is rescheduled at once, whether it answers or not. */
+  /** @return the hosts to probe now. Each is rescheduled at once, whether or not it answers. */
   std::vector<HostId> dueProbes(TimePoint now);
-  /** Takes a result of this node's probe. */
+  /** Records the result of a probe by this node. */
   void onProbe(TimePoint now, HostId host, bool healthy, std::optional<LoadReport> report);
-  /** Takes what the owner of a shard found; ignored where that owner doesn't probe the host. */
+  /** Records the result of the owner of a shard; ignored if that owner does not probe the host. */
   void onRemoteResult(TimePoint now, uint16_t fromShard, HostId host, bool healthy,
-                std::optional<LoadReport> report);
+                      std::optional<LoadReport> report);
 
-  /** @return whether the host may get new flows as far as health goes; panic threshold applied. */
+  /** @return whether the host's health allows new flows, with the panic threshold applied. */
   bool mayTakeFlows(TimePoint now, HostId host) const;
-  /** @return what the probes say, panic threshold not applied; unknown hosts are unhealthy. */
+  /** @return the probe result, without the panic threshold; unknown hosts are unhealthy. */
   bool isHealthy(TimePoint now, HostId host) const;
-  /** @return whether health is ignored: more than half of the active hosts are unhealthy, or were
-   * until less than panicHold ago. */
+  /**
+   * @return whether health is ignored because more than half of the active hosts are unhealthy, or
+   * were less than panicHold ago.
+   */
   bool isPanicking(TimePoint now) const;
   bool probedHere(HostId host) const;
-  /** @return the last report, if any. */
+  /** @return the last load report, if any. */
   std::optional<LoadReport> report(HostId host) const;
-  /** @return seconds since the host was first seen healthy, or came back; large for a warm host. */
+  /**
+   * @return seconds since the host was first seen healthy or recovered; a large value for a warm
+   * host.
+   */
   double ageSeconds(TimePoint now, HostId host) const;
-  /** @return part of its weight that a host gets while it is cold, above 0 to 1. */
+  /** @return the fraction of its weight that a cold host receives, above 0 and up to 1. */
   double rampFactor(TimePoint now, HostId host) const;
 
  private:
@@ -106,16 +118,16 @@
     uint32_t misses = 0;
     uint32_t answers = 0;
     TimePoint nextProbe;
-    /** Empty for a warm host. */
+    /** Unset for a warm host. */
     std::optional<TimePoint> warmingSince;
-    /** Set where another owner's word counts. */
+    /** Set if the state comes from another owner. */
     std::optional<TimePoint> remoteAt;
     std::optional<LoadReport> report;
   };
 
   void becomeHealthy(TimePoint now, State& state);
   bool isMajorityUnhealthy(TimePoint now) const;
-  /** Call before anything changes that may end a panic. */
+  /** Must be called before any change that may end panic mode. */
   void updatePanicTime(TimePoint now);
   bool ownsIndex(size_t index) const;
   bool isConsideredHealthy(TimePoint now, const State& state) const;
@@ -127,7 +139,7 @@
   std::vector<bool> ownedShards_;
   uint16_t shardCount_ = 1;
   bool first_ = true;
-  /** When the unhealthy hosts were last seen to be too many. */
+  /** When the panic threshold was last seen exceeded. */
   std::optional<TimePoint> lastPanic_;
   double probeTokens_ = 0.0;
   TimePoint tokensAt_{};
--- a/source/common/health/host_observations.cc
+++ b/source/common/health/host_observations.cc
@@ -8,19 +8,21 @@
 namespace umberhold {
 namespace {
 
-/** Reports older than this say nothing: three polls where the bound is 5 s. */
+/** Maximum age of a report: three poll intervals if the change bound is 5 s. */
 constexpr Duration kWindow = std::chrono::seconds(3);
-/** Usual answers that every host is taken to have had besides: few reports move it little. */
+/**
+ * Number of usual response times added to each host's samples, so that a few reports have little
+ * effect.
+ */
 constexpr double kPriorSamples = 2.0;
-/** Hosts with a lower score are left out of answers. */
+/** Hosts with a lower score are omitted from responses. */
 constexpr double kMinLateScore = 1.5;
 constexpr size_t kMinReporters = 2;
-/** In an answer. */
+/** Encoded size in a response. */
 constexpr size_t kStandingBytes = 12;
 constexpr size_t kSpeedBytes = 10;
 constexpr double kPercent = 100.0;
-constexpr uint32_t kMaxPercent =
-    static_cast<uint32_t>(ResponseScore::kMaxSample * kPercent);
+constexpr uint32_t kMaxPercent = static_cast<uint32_t>(ResponseScore::kMaxSample * kPercent);
 constexpr uint32_t kMaxWorkPercent = static_cast<uint32_t>(kMaxWorkRatio * kPercent);
 
 bool isValid(const HostObservation& seen) {
@@ -83,8 +85,8 @@
 
 ReportOutcome ZoneObservations::merge(TimePoint now, const HostReport& report) {
   const bool isValidReport = report.hosts.size() <= kMaxReportedHosts &&
-                      report.signs.size() <= kMaxReportedSigns &&
-                      std::all_of(report.hosts.begin(), report.hosts.end(), isValid);
+                             report.signs.size() <= kMaxReportedSigns &&
+                             std::all_of(report.hosts.begin(), report.hosts.end(), isValid);
   if (!isValidReport) {
     return ReportOutcome::kInvalid;
   }
--- a/source/common/health/host_observations.h
+++ b/source/common/health/host_observations.h
@@ -1,9 +1,10 @@
 /**
- * @file What the nodes of a zone see of hosts, put together.
+ * @file Aggregates what the nodes of a zone observe of hosts.
  *
- * A node of a large fleet sees each host too rarely to judge it. So each tells the node that reads
- * the store for its zone what it saw, and hears which hosts answer late by the sum of all
- * (docs/decisions/0021). Decision logic without I/O.
+ * A node of a large fleet sends too few requests to each host to evaluate it alone. Therefore each
+ * node reports its observations to the node that reads the store for its zone, and receives the
+ * list of hosts with high response times according to all reports (docs/decisions/0021). Decision
+ * logic without I/O.
  */
 #pragma once
 
@@ -21,24 +22,30 @@
 
 namespace umberhold {
 
-/** Hosts in one report, 13 bytes each; of more, those that were seen last are left out. Both bounds
- * together keep polls of 0.6 s below 2.7 KB/s. */
+/**
+ * Maximum number of hosts in one report, 13 bytes each; hosts seen later are omitted. Together with
+ * kMaxStandings, this limit keeps polls every 0.6 s below 2.7 KB/s.
+ */
 constexpr size_t kMaxReportedHosts = 48;
-/** Hosts in one answer, 12 bytes each, the latest first. */
+/** Maximum number of hosts in one response, 12 bytes each, highest response times first. */
 constexpr size_t kMaxStandings = 80;
-/** Speeds in one answer, 10 bytes each. */
+/** Maximum number of speeds in one response, 10 bytes each. */
 constexpr size_t kMaxLearnedSpeeds = 60;
-/** @return speeds in an answer beside so many standings: both together take no more bytes than
- * kMaxStandings do. */
+/**
+ * @return the number of speeds that fit into a response with this many standings: both together
+ * take no more bytes than kMaxStandings standings.
+ */
 size_t maxSpeedsBeside(size_t standings);
 
-/** Gathers a node's own samples until its next report. Not thread safe. */
+/** Collects the samples of this node until its next report. Not thread safe. */
 class SampleCollector {
  public:
   explicit SampleCollector(uint64_t reporter) : reporter_(reporter) {}
 
   void add(const std::vector<HostSample>& samples);
-  /** @param now gives the sequence number. @return what was gathered since the last report. */
+  /**
+   * @param now determines the sequence number. @return the samples collected since the last report.
+   */
   HostReport takeReport(TimePoint now);
 
  private:
@@ -46,7 +53,7 @@
     uint32_t requests = 0;
     double ratios = 0.0;
     uint32_t works = 0;
-    /** Natural logarithms. */
+    /** Sum of natural logarithms. */
     double workRatios = 0.0;
   };
 
@@ -54,14 +61,14 @@
   std::unordered_map<uint32_t, Sum> sums_;
 };
 
-/** What became of a report. */
+/** Result of processing a report. */
 enum class ReportOutcome : uint8_t {
   kAccepted,
-  /** Its sequence number is not above that of the reporter's last one. */
+  /** The sequence number does not exceed that of the reporter's last report. */
   kRepeated,
-  /** More hosts than a report may hold, or figures that no node can have measured. */
+  /** More hosts than a report may contain, or values out of range. */
   kInvalid,
-  /** The bytes are no report. */
+  /** The bytes cannot be decoded as a report. */
   kMalformed,
   kCount,
 };
@@ -74,19 +81,21 @@
  public:
   ReportOutcome merge(TimePoint now, const HostReport& report);
   /**
-   * @return the hosts that answer late by the reports of two nodes or more, latest first. Each node
-   * counts once for a host, whatever its number of samples, and the highest is left out: a faulty
-   * node ejects no host alone.
+   * @return the hosts with high response times according to at least two nodes, highest first. Each
+   * node counts once per host, whatever its number of samples, and the highest value is discarded,
+   * so that a single faulty node cannot eject a host.
    */
   std::vector<HostStanding> standings(TimePoint now);
-  /** @return how fast hosts are, `most` of them at most; see SpeedLearner. */
-  std::vector<LearnedSpeed> speeds(TimePoint now, size_t maxCount) { return speeds_.speeds(now, maxCount); }
+  /** @return the estimated speeds of at most `maxCount` hosts; see SpeedLearner. */
+  std::vector<LearnedSpeed> speeds(TimePoint now, size_t maxCount) {
+    return speeds_.speeds(now, maxCount);
+  }
 
  private:
   struct Observation {
     uint64_t reporter = 0;
     TimePoint at{};
-    /** A multiple of the usual time. */
+    /** Multiple of the usual response time. */
     double ratio = 1.0;
   };
   struct Reporter {
@@ -97,7 +106,7 @@
 
   static void record(Observations& observations, const Observation& observation);
   void removeExpired(TimePoint now);
-  /** @return the mean without the highest, with some usual answers added. */
+  /** @return the mean without the highest value, including the prior samples. */
   static double scoreOf(const Observations& observations);
 
   std::unordered_map<uint32_t, Observations> hosts_;
--- a/source/common/health/observation_exchange.cc
+++ b/source/common/health/observation_exchange.cc
@@ -9,16 +9,16 @@
 namespace umberhold {
 namespace {
 
-/** How long after the last report a node still counts as one that is asked. */
+/** How long a peer's last report marks this node as the one that its peers query. */
 constexpr Duration kPeerReportLifetime = std::chrono::seconds(5);
-/** How often a node that is asked adds its own samples, as others do by their polls. */
+/** How often a queried node merges its own samples, corresponding to the polls of other nodes. */
 constexpr Duration kOwnInterval = std::chrono::seconds(1);
 /** The same while a host leaves data unacknowledged. */
 constexpr Duration kUrgentInterval = std::chrono::milliseconds(100);
 
-bool isUrgent(const std::vector<HostAckState>& signs) {
-  return std::any_of(signs.begin(), signs.end(),
-                     [](const HostAckState& sign) { return sign.copies > 0; });
+bool isUrgent(const std::vector<HostAckState>& states) {
+  return std::any_of(states.begin(), states.end(),
+                     [](const HostAckState& state) { return state.copies > 0; });
 }
 
 }  // namespace
@@ -27,13 +27,13 @@
     : sampleCollector_(hashBytes(nodeName)) {}
 
 void ObservationExchange::add(TimePoint now, const std::vector<HostSample>& samples,
-                              const std::vector<HostAckState>& signs) {
-  const bool urgent = isUrgent(signs);
+                              const std::vector<HostAckState>& states) {
+  const bool urgent = isUrgent(states);
   bool isQueriedByPeers = false;
   {
     const std::lock_guard lock(mutex_);
     sampleCollector_.add(samples);
-    ackStateCollector_.add(signs);
+    ackStateCollector_.add(states);
     isQueriedByPeers = lastPeerReportAt_ && now - *lastPeerReportAt_ <= kPeerReportLifetime;
     if (isQueriedByPeers && now - mergedOwnAt_ >= (urgent ? kUrgentInterval : kOwnInterval)) {
       mergeOwn(now);
--- a/source/common/health/observation_exchange.h
+++ b/source/common/health/observation_exchange.h
@@ -1,5 +1,5 @@
 /**
- * @file Hands observations of hosts between the thread that handles packets and the one that asks
+ * @file Passes host observations between the packet thread and the thread that exchanges them with
  * peers.
  */
 #pragma once
@@ -18,48 +18,50 @@
 
 namespace umberhold {
 
-/** Reports that this node was sent, by outcome. */
+/** Number of reports received by this node, by outcome. */
 using ReportCounters = std::array<uint64_t, static_cast<size_t>(ReportOutcome::kCount)>;
 
-/** What a zone's nodes together say of hosts. */
+/** Aggregated host state of a zone. */
 struct ZoneUpdate {
-  /** Hosts that answer late. */
+  /** Hosts with high response times. */
   std::vector<HostStanding> standings;
-  /** Hosts that are silent to all. */
+  /** Hosts that are silent to all nodes. */
   std::vector<SilentHost> silentHosts;
-  /** Hosts whose speed is known; of many, a part of them. */
+  /** Hosts with a known speed; only some of them if there are many. */
   std::vector<LearnedSpeed> speeds;
 };
 
-/** Thread safe; no call blocks for longer than another one takes. */
+/** Thread safe; each call holds the lock only briefly. */
 class ObservationExchange {
  public:
-  /** @param nodeName tells the nodes of a zone apart. */
+  /** @param nodeName identifies this node within its zone. */
   explicit ObservationExchange(std::string_view nodeName);
 
-  // The packets' thread.
-  /** This node's own samples and signs. */
+  // Called on the packet thread.
+  /** Adds the samples and acknowledgement states of this node. */
   void add(TimePoint now, const std::vector<HostSample>& samples,
-           const std::vector<HostAckState>& signs);
-  /** @return what the zone's nodes together say, where that is newer than at the last call. */
+           const std::vector<HostAckState>& states);
+  /** @return the aggregated state of the zone if it was updated since the last call. */
   std::optional<ZoneUpdate> takeUpdate();
-  /** @param notify called on the packets' thread when there is something that others should hear
-   * of at once: a host left data unacknowledged. Set it before the first add(). */
+  /**
+   * @param notify called on the packet thread if there is an observation that peers should receive
+   * at once: a host left data unacknowledged. Must be set before the first add().
+   */
   void setUrgentCallback(std::function<void()> notify) { notifyUrgent_ = std::move(notify); }
 
-  // A node that asks a peer.
+  // Called on a node that queries a peer.
   HostReport takeReport(TimePoint now);
-  /** The peer's answer to the report. */
+  /** Applies the peer's response to the report. */
   void onPeerUpdate(ZoneUpdate update);
 
-  // A node that is asked.
+  // Called on a node that is queried by peers.
   /** @param bytes a report as encoded by encodeHostReport(). */
   void merge(TimePoint now, std::string_view bytes);
   ZoneUpdate zoneUpdate(TimePoint now);
   ReportCounters counters() const;
 
  private:
-  /** Adds this node's own samples to those of the nodes that ask it. */
+  /** Merges this node's own samples with those of the nodes that query it. */
   void mergeOwn(TimePoint now);
 
   mutable std::mutex mutex_;
@@ -74,7 +76,7 @@
   std::optional<ZoneUpdate> pendingUpdate_;
   std::function<void()> notifyUrgent_;
   ReportCounters counters_{};
-  /** When a peer last reported; none where none did. */
+  /** When a peer last reported; unset if none has. */
   std::optional<TimePoint> lastPeerReportAt_;
   TimePoint mergedOwnAt_{};
 };
--- a/source/common/health/probe_result.h
+++ b/source/common/health/probe_result.h
@@ -1,4 +1,4 @@
-/** @file The answer of a host to a probe of its health and load. */
+/** @file Result of probing the health and load of a host. */
 #pragma once
 
 #include <cstdint>
@@ -7,15 +7,15 @@
 
 namespace umberhold {
 
-/** What a probe of a host found. */
+/** Result of one probe. */
 struct ProbeResult {
   ServiceId service;
   HostId host;
-  /** No answer, or an answer that was not 200. */
+  /** False if there was no answer or its status was not 200. */
   bool healthy = false;
-  /** Whether the load below was reported. */
+  /** Whether loadPercent is set. */
   bool hasLoad = false;
-  /** Load in percent of the host's capacity, as the host reports it. */
+  /** Load in percent of the host's capacity, as reported by the host. */
   uint32_t loadPercent = 0;
 };
 
--- a/source/common/health/zone_silence.cc
+++ b/source/common/health/zone_silence.cc
@@ -6,15 +6,20 @@
 namespace umberhold {
 namespace {
 
-/** Copies and reports older than this say nothing of the host as it is now. */
+/** Older retransmissions and reports are no evidence about the current state of the host. */
 constexpr Duration kWindow = std::chrono::seconds(3);
 constexpr size_t kMinReporters = 2;
-/** One caller alone may have lost its own path. */
+/** A single caller may have lost its own path. */
 constexpr size_t kMinCallers = 2;
-/** Three lost packets in a row without an answer between: at a loss of one in 500, one of 10^8. */
+/**
+ * Three lost packets in a row without an answer in between: with a loss rate of 1 in 500, the
+ * probability is about 1 in 10^8.
+ */
 constexpr uint32_t kMinCopies = 3;
-/** Times of two nodes are compared by when their reports arrive: a report may be under way for so
- * long, and what was sent less than that after a sign of life does not count. */
+/**
+ * Times of two nodes are aligned by the arrival of their reports. A report may take this long, so
+ * data that was sent less than this time after an acknowledgement does not count.
+ */
 constexpr Duration kReportDelay = std::chrono::milliseconds(100);
 
 uint32_t millisecondsSince(TimePoint then, TimePoint now) {
@@ -24,25 +29,25 @@
 
 }  // namespace
 
-void AckStateCollector::add(const std::vector<HostAckState>& signs) {
-  for (const HostAckState& sign : signs) {
-    if (pending_.size() < kMaxReportedSigns || pending_.contains(sign.token) || sign.copies > 0) {
-      pending_[sign.token] = sign;
+void AckStateCollector::add(const std::vector<HostAckState>& states) {
+  for (const HostAckState& state : states) {
+    if (pending_.size() < kMaxReportedSigns || pending_.contains(state.token) || state.copies > 0) {
+      pending_[state.token] = state;
     }
   }
 }
 
 std::vector<HostSign> AckStateCollector::take(TimePoint now) {
   std::vector<HostSign> report;
-  for (const auto& [token, sign] : pending_) {
+  for (const auto& [token, state] : pending_) {
     HostSign& reported = report.emplace_back();
     reported.token = token;
     reported.answeredAgoMilliseconds =
-        sign.answeredAt ? millisecondsSince(*sign.answeredAt, now) : kNeverAnswered;
-    reported.copies = sign.copies;
-    reported.callers = sign.callers;
+        state.answeredAt ? millisecondsSince(*state.answeredAt, now) : kNeverAnswered;
+    reported.copies = state.copies;
+    reported.callers = state.callers;
     reported.callers.resize(std::min(reported.callers.size(), kMaxReportedCallers));
-    reported.silentMilliseconds = sign.copies == 0 ? 0 : millisecondsSince(sign.since, now);
+    reported.silentMilliseconds = state.copies == 0 ? 0 : millisecondsSince(state.since, now);
   }
   std::stable_sort(report.begin(), report.end(), [](const HostSign& left, const HostSign& right) {
     return left.copies > right.copies;
@@ -82,7 +87,7 @@
   uint32_t copies = 0;
   std::set<uint32_t> callers;
   for (const auto& [reporter, report] : host.reports) {
-    // A report tells nothing of what came after it: the host may have answered by then.
+    // A report is no evidence about the time after it was sent; the host may have answered since.
     if (counts(report) && report.at - since >= kMinSilence) {
       ++reporters;
       copies += report.copies;
--- a/source/common/health/zone_silence.h
+++ b/source/common/health/zone_silence.h
@@ -1,9 +1,9 @@
 /**
- * @file Which hosts are silent to all nodes of a zone.
+ * @file Detects hosts that are silent to all nodes of a zone.
  *
- * A node of a large fleet sends too few requests to a host to know soon that it is dead. So each
- * tells the node that reads the store for its zone which hosts acknowledged data of late and which
- * did not. Decision logic without I/O.
+ * A node of a large fleet sends too few requests to a host to detect its death quickly. Therefore
+ * each node reports to the node that reads the store for its zone which hosts recently acknowledged
+ * data and which did not. Decision logic without I/O.
  */
 #pragma once
 
@@ -19,34 +19,36 @@
 
 namespace umberhold {
 
-/** Signs of hosts in one report, hosts without acknowledgements first: 12 bytes each, 26 of a
- * silent host. With 48 late hosts a report fits into the path of one question (2.3 KB, base64). */
+/**
+ * Maximum number of hosts in one report, unacknowledged ones first: 12 bytes each, 26 for a silent
+ * host. With 48 slow hosts, a report still fits into the path of one query (2.3 KB, base64).
+ */
 constexpr size_t kMaxReportedSigns = 64;
-/** Callers that a report names for a host: as many as are needed. */
+/** Maximum number of callers listed per host in a report; detection needs no more. */
 constexpr size_t kMaxReportedCallers = 2;
-/** Hosts in one answer, 8 bytes each. */
+/** Maximum number of hosts in one response, 8 bytes each. */
 constexpr size_t kMaxSilentHosts = 256;
 
-/** Gathers a node's own signs until its next report. Not thread safe. */
+/** Collects the acknowledgement states of this node until its next report. Not thread safe. */
 class AckStateCollector {
  public:
-  void add(const std::vector<HostAckState>& signs);
-  /** @return what is new since the last report, and hosts that stay silent. */
+  void add(const std::vector<HostAckState>& states);
+  /** @return the states that changed since the last report, and the hosts that are still silent. */
   std::vector<HostSign> take(TimePoint now);
 
  private:
   std::unordered_map<uint32_t, HostAckState> pending_;
 };
 
-/** Merges the signs that a zone's nodes report. Not thread safe. */
+/** Merges the acknowledgement states reported by the nodes of a zone. Not thread safe. */
 class ZoneSilence {
  public:
-  /** @param reporter tells the nodes of the zone apart. */
+  /** @param reporter identifies the node within the zone. */
   void merge(TimePoint now, uint64_t reporter, const std::vector<HostSign>& signs);
   /**
-   * @return the hosts that left data of several callers unacknowledged at two nodes or more, and
-   * that gave no node a sign of life from when the first of it was sent until kMinSilence later
-   * or more: one node that is cut off or wrong silences no host.
+   * @return the hosts that left data of several callers unacknowledged at two or more nodes, and
+   * that acknowledged no data at any node from the first transmission of that data until at least
+   * kMinSilence later. A single node that is partitioned or faulty cannot mark a host as silent.
    */
   std::vector<SilentHost> silentHosts(TimePoint now);
 
@@ -62,7 +64,7 @@
     std::unordered_map<uint64_t, Report> reports;
   };
 
-  /** @return how long ago the silence began; nothing where the host may live. */
+  /** @return when the silence began; nothing if the host may be alive. */
   static std::optional<TimePoint> silentSince(const Host& host);
 
   std::unordered_map<uint32_t, Host> hosts_;
--- a/source/common/speed/host_speed.h
+++ b/source/common/speed/host_speed.h
@@ -1,17 +1,18 @@
-/** @file How fast a host works compared with the others of its pool: the type that its learner,
- * placement and room share. */
+/**
+ * @file Speed of a host relative to the other hosts of its pool; shared by speed estimation,
+ * placement and admission.
+ */
 #pragma once
 
 #include <cstdint>
 
 namespace umberhold {
 
-/** A host's speed as learnt from the times of its requests, queueing left out. */
+/** Speed of a host, estimated from the processing times of its requests without queueing. */
 struct HostSpeed {
-  /** Work in the same time, as a multiple of what the pool's median host does; 1: usual, or not
-   * known. */
+  /** Work done in the same time as a multiple of the pool's median host; 1: usual or unknown. */
   double speed = 1.0;
-  /** Requests that it rests on, each weighed by its age; 0: nothing is known. */
+  /** Number of requests behind the estimate, with decay by age; 0: unknown. */
   double samples = 0.0;
 
   bool operator==(const HostSpeed&) const = default;
--- a/source/common/speed/known_speed.h
+++ b/source/common/speed/known_speed.h
@@ -1,4 +1,4 @@
-/** @file What a node was told of one host's speed. */
+/** @file The speed of one host as last received by a node. */
 #pragma once
 
 #include "common/base/time.h"
@@ -13,12 +13,16 @@
     speed_ = speed;
     updatedAt_ = now;
   }
-  /** @return the speed as it was told last; the usual one where that is too long ago. */
-  HostSpeed value(TimePoint now) const { return now - updatedAt_ <= kLifetime ? speed_ : HostSpeed{}; }
+  /** @return the last received speed; the usual speed if it has expired. */
+  HostSpeed value(TimePoint now) const {
+    return now - updatedAt_ <= kLifetime ? speed_ : HostSpeed{};
+  }
 
  private:
-  /** Longer than a reader's successor needs to learn, and than a burst of callers in which nothing
-   * can be learnt. */
+  /**
+   * Exceeds both the time that a new reader node needs to estimate speeds and the duration of a
+   * burst, during which no speeds can be estimated.
+   */
   static constexpr Duration kLifetime = std::chrono::seconds(60);
 
   HostSpeed speed_;
--- a/source/common/speed/running_median.h
+++ b/source/common/speed/running_median.h
@@ -1,4 +1,4 @@
-/** @file A median that follows a stream of samples without keeping them. */
+/** @file Running median of a stream of samples that are not stored. */
 #pragma once
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 namespace umberhold {
 
 /**
- * Running median of logarithms of times. It follows lasting changes and hardly moves in a burst of
- * a few seconds; samples that lie far off count no more than others. Not thread safe.
+ * Running median of logarithms of times. It follows lasting changes and hardly moves during a burst
+ * of a few seconds; outliers count no more than other samples. Not thread safe.
  */
 class RunningMedian {
  public:
@@ -32,7 +32,10 @@
   uint32_t samples() const { return samples_; }
 
  private:
-  /** The median moves by at most this part of itself in a second, once it is known. */
+  /**
+   * Maximum change per second after the warm-up, in natural logarithm: about this fraction of the
+   * median time.
+   */
   static constexpr double kDriftPerSecond = 0.05;
   static constexpr uint32_t kWarmUpSamples = 16;
 
--- a/source/common/speed/speed_learner.cc
+++ b/source/common/speed/speed_learner.cc
@@ -9,27 +9,38 @@
 namespace umberhold {
 namespace {
 
-/** A measure counts half after so long: a host that turned slow has half of its new speed by then,
- * one that recovers as well, and twenty callers a second of a zone's forty hosts leave enough. */
+/**
+ * Half-life of a measurement: after this time the estimate has moved halfway to the new speed of a
+ * host that became slow or recovered, and 20 callers per second on the 40 hosts of a zone still
+ * provide enough samples.
+ */
 constexpr Duration kHalfLife = std::chrono::seconds(8);
-/** A node's measures of a host count for so many requests at most, so that news of a busy host
- * outweigh what was in less than a second, and no node outweighs the others. */
+/**
+ * Maximum number of requests that a node's measurement of a host counts for, so that new samples of
+ * a busy host outweigh older ones within less than a second and no node outweighs the others.
+ */
 constexpr double kMaxSamples = 6.0;
 constexpr double kPercent = 100.0;
-/** Without the lowest and the highest there is one left whom a faulty node can't move. */
+/** Without the lowest and the highest value, one remains that a single faulty node cannot shift. */
 constexpr size_t kMinReporters = 3;
-/** Of the nodes that know a host, this part is left out at each end. */
+/** One in this many nodes is discarded at each end (trimmed mean). */
 constexpr size_t kTrimDivisor = 4;
-/** Times of work spread by 0.5 (natural logarithm): with so many, a speed is known to a fifth. */
+/**
+ * Processing times have a spread of 0.5 (natural logarithm), so this many samples determine a speed
+ * to within a fifth.
+ */
 constexpr double kMinSamples = 6.0;
-/** Requests at the usual speed that every host is taken to have had besides. */
+/** Number of requests at the usual speed added to the samples of each host. */
 constexpr double kPriorSamples = 1.5;
-/** Measures with fewer say nothing any more. */
+/** Measurements with fewer samples are discarded. */
 constexpr double kNegligibleSamples = 0.05;
 constexpr Duration kExpiryInterval = std::chrono::seconds(2);
-/** Hosts that one answer looks at, known or not: a tenth of a millisecond. */
+/**
+ * Maximum number of hosts examined for one response, whether or not their speed is known; takes 0.1
+ * ms.
+ */
 constexpr size_t kMaxHostsExamined = 240;
-/** LearnedSpeed::samples takes one byte up to here. */
+/** Largest value of LearnedSpeed::samples that is encoded in one byte. */
 constexpr double kMaxReportedSamples = 127.0;
 
 }  // namespace
@@ -78,7 +89,7 @@
 }
 
 SpeedLearner::Measurement& SpeedLearner::measurementFor(TimePoint now, Measurements& measurements,
-                                              uint64_t reporter) {
+                                                        uint64_t reporter) {
   for (Measurement& measurement : measurements) {
     if (measurement.reporter == reporter) {
       return measurement;
@@ -88,20 +99,22 @@
     return measurements.emplace_back(Measurement{reporter, now, 0.0, 0.0});
   }
   Measurement& least = *std::min_element(measurements.begin(), measurements.end(),
-                                     [now](const Measurement& left, const Measurement& right) {
-                                       return samplesAt(now, left) < samplesAt(now, right);
-                                     });
+                                         [now](const Measurement& left, const Measurement& right) {
+                                           return samplesAt(now, left) < samplesAt(now, right);
+                                         });
   least = {reporter, now, 0.0, 0.0};
   return least;
 }
 
-LearnedSpeed SpeedLearner::speedOf(TimePoint now, uint32_t token, const Measurements& measurements) {
+LearnedSpeed SpeedLearner::speedOf(TimePoint now, uint32_t token,
+                                   const Measurements& measurements) {
   if (measurements.size() < kMinReporters) {
     return {token, 0, 0};
   }
   Measurements sorted = measurements;
-  std::sort(sorted.begin(), sorted.end(),
-            [](const Measurement& left, const Measurement& right) { return left.mean < right.mean; });
+  std::sort(sorted.begin(), sorted.end(), [](const Measurement& left, const Measurement& right) {
+    return left.mean < right.mean;
+  });
   const size_t trimmed = std::max<size_t>(1, sorted.size() / kTrimDivisor);
   double samples = 0.0;
   double sum = 0.0;
--- a/source/common/speed/work_times.cc
+++ b/source/common/speed/work_times.cc
@@ -8,7 +8,7 @@
 
 constexpr uint32_t kMinOpenings = 5;
 constexpr uint32_t kMinRequests = 16;
-/** Milliseconds; shorter times can't be told from the network's. */
+/** Milliseconds; shorter times are indistinguishable from network delay. */
 constexpr double kMinWorkMilliseconds = 1.0;
 
 double millisecondsOf(Duration time) {
--- a/source/common/speed/work_times.h
+++ b/source/common/speed/work_times.h
@@ -1,8 +1,9 @@
 /**
- * @file What of a request's time its host worked on it, as far as the packets of callers tell.
+ * @file Estimates the processing time of a request at its host from the packets of callers.
  *
- * A request's time holds the network's as well. An opening passes the same network without any
- * work, so the time until its caller goes on is what the network takes of every request's time.
+ * The response time of a request includes the network delay. The opening of a flow passes the same
+ * network without any processing, so the time until the caller continues the flow is the network's
+ * part of every response time.
  */
 #pragma once
 
@@ -13,24 +14,26 @@
 
 namespace umberhold {
 
-/** Is added to every time before times are compared by score (UsualResponseTime). */
+/** Added to each time before times are compared by score (UsualResponseTime). */
 constexpr double kScoreSlackMilliseconds = 20.0;
 
-/** Of one service. Bounded state, no I/O. Not thread safe. */
+/** Processing times of one service. Bounded state, no I/O. Not thread safe. */
 class WorkTimes {
  public:
-  /** A caller continued its flow so long after the opening. */
+  /** Records the time from an opening until its caller continued the flow. */
   void onOpened(TimePoint now, Duration roundTrip);
-  /** @param response a request's whole time. */
+  /** @param response the complete response time of a request. */
   void add(TimePoint now, Duration response);
-  /** @return the time that the host worked, as a multiple of the service's usual one, within
-   * kMinWorkRatio and kMaxWorkRatio; nothing before enough is known. */
+  /**
+   * @return the processing time as a multiple of the service's usual one, clamped to kMinWorkRatio
+   * and kMaxWorkRatio; nothing until there are enough samples.
+   */
   std::optional<double> ratioOf(Duration response) const;
   /**
-   * @param speed of a host; see HostSpeed.
-   * @return its usual whole time, as a multiple of that of a host of speed 1; 1 before enough is
-   * known. Scores of times are divided by it, so that a host which is slow every day is not
-   * counted as one that has turned slow.
+   * @param speed the speed of a host; see HostSpeed.
+   * @return the expected complete response time of the host as a multiple of that of a host with
+   * speed 1; 1 until there are enough samples. Response time scores are divided by it, so that a
+   * permanently slow host is not treated as one that has become slow.
    */
   double expectedRatio(double speed) const;
 
@@ -45,12 +48,16 @@
   RunningMedian work_;
 };
 
-/** One request moves what is known of a host by no more: 3 of 100 that take seven times as long
- * shift a mean of logarithms by 0.04 then, not by 0.06, and the longest don't count for more. */
+/**
+ * Limits the influence of a single request: 3 of 100 requests that take seven times as long shift
+ * the mean logarithm by 0.04 instead of 0.06, and even longer ones have no larger effect.
+ */
 constexpr double kMaxWorkRatio = 4.0;
 constexpr double kMinWorkRatio = 1.0 / kMaxWorkRatio;
-/** What takes a host so much longer than usual tells nothing of its speed beyond that: the wait of
- * an overdue request. */
+/**
+ * Ratio recorded for an overdue request; beyond this limit, its time contains no further
+ * information about the speed of the host.
+ */
 constexpr double kOverdueWorkRatio = kMaxWorkRatio;
 
 }  // namespace umberhold
--- a/source/common/token/cold_hosts.cc
+++ b/source/common/token/cold_hosts.cc
@@ -6,11 +6,14 @@
 namespace umberhold {
 namespace {
 
-/** Parts of what a cold host bears that new flows may take up. */
+/** Fractions of a cold host's limit that new flows may use. */
 constexpr double kOwnZoneFraction = 0.3;
 constexpr double kOtherZonesFraction = 0.05;
 constexpr Duration kSpreadInterval = std::chrono::seconds(1);
-/** A node that knows fewer nodes of its zone reckons with so many: its list may be young. */
+/**
+ * Minimum number of nodes per zone assumed by the calculation, because a newly started node may not
+ * have a complete member list yet.
+ */
 constexpr uint32_t kMinNodes = 8;
 
 }  // namespace
@@ -24,8 +27,8 @@
   const double whole = std::floor(flows);
   remainingFlows_ = static_cast<uint32_t>(whole) + (random.unit() < flows - whole ? 1 : 0);
   flowInterval_ = remainingFlows_ == 0 ? kSpreadInterval : kSpreadInterval / remainingFlows_;
-  nextFlowAt_ = now +
-          Duration{static_cast<Duration::rep>(static_cast<double>(flowInterval_.count()) * random.unit())};
+  nextFlowAt_ = now + Duration{static_cast<Duration::rep>(
+                          static_cast<double>(flowInterval_.count()) * random.unit())};
 }
 
 void ColdAllotment::onPlaced(TimePoint now) {
@@ -37,7 +40,7 @@
 }
 
 double coldFlowsPerNode(const ColdHostOptions& options, const ColdLimit& limit,
-                       const SendingNodes& nodes, bool ownZone) {
+                        const SendingNodes& nodes, bool ownZone) {
   const double hostLimit = limit.requestsPerSecond * options.rateFactor + options.rateAllowance;
   const double nodesInZone = std::max(nodes.nodesInZone, kMinNodes);
   if (ownZone) {
--- a/source/common/token/cold_hosts.h
+++ b/source/common/token/cold_hosts.h
@@ -1,9 +1,10 @@
 /**
- * @file How many new flows one node gives to a host that has started a moment ago.
+ * @file Limits how many new flows one node sends to a host that has just started.
  *
- * A cold host bears few requests a second, counted over all nodes. Nodes don't talk about each
- * flow: each has an allotment for each cold host, so that all of them together stay below what the
- * host bears. Fractions are settled by lot, since a node of many may give less than one flow.
+ * A cold host can handle only a few requests per second in total over all nodes. Nodes do not
+ * coordinate per flow; instead, each node has an allotment for each cold host, so that the sum over
+ * all nodes stays below the host's limit. Fractional allotments are rounded up or down at random,
+ * because one node of many may be entitled to less than one flow.
  */
 #pragma once
 
@@ -15,35 +16,41 @@
 
 namespace umberhold {
 
-/** What a cold host bears beyond its service's rate, from the platform's bounds. */
+/**
+ * What a cold host can handle beyond the configured rate of its service; comes from the platform's
+ * limits.
+ */
 struct ColdHostOptions {
-  /** Multiple of the service's rate that is not too much yet. */
+  /** Multiple of the service's rate that a cold host can still handle. */
   double rateFactor = 1.5;
-  /** Requests a second on top of that. */
+  /** Requests per second in addition to that. */
   double rateAllowance = 5.0;
 
   bool operator==(const ColdHostOptions&) const = default;
 };
 
-/** Nodes that may send to a host, as far as this node knows. */
+/** Number of nodes that may send to a host, as far as this node knows. */
 struct SendingNodes {
-  /** In this node's zone, itself included. */
+  /** Nodes in this node's zone, including this node. */
   uint32_t nodesInZone = 1;
-  /** Zones that have hosts of the pool. */
+  /** Number of zones that contain hosts of the pool. */
   uint32_t zones = 1;
 };
 
-/** One host's cold time, as one node deals with it. Not thread safe. */
+/** The warm-up phase of one host as seen by one node. Not thread safe. */
 class ColdAllotment {
  public:
   /**
-   * The host is cold for `remaining` from now on. An allotment that runs stays as it is.
-   * @param flows that this node may give it meanwhile.
+   * Starts a cold phase that lasts `remaining` from now on. If a cold phase is already in progress,
+   * its allotment stays unchanged and only its end may move later.
+   * @param flows number of new flows that this node may send to the host during the phase.
    */
   void begin(TimePoint now, Duration remaining, double flows, RandomSource& random);
   bool isCold(TimePoint now) const { return now < coldUntil_; }
-  /** @return whether the host may get a new flow of this node. */
-  bool canTakeFlow(TimePoint now) const { return !isCold(now) || (remainingFlows_ > 0 && now >= nextFlowAt_); }
+  /** @return whether this node may send a new flow to the host now. */
+  bool canTakeFlow(TimePoint now) const {
+    return !isCold(now) || (remainingFlows_ > 0 && now >= nextFlowAt_);
+  }
   void onPlaced(TimePoint now);
 
  private:
@@ -56,11 +63,11 @@
 
 /**
  * @param ownZone whether the host is in this node's zone.
- * @return flows that one node may give to a cold host. 0.3 of what the host bears is for nodes of
- * its own zone, 0.05 for those of others: each flow brings more than one request, and a request may
- * be repeated.
+ * @return the number of flows that one node may send to a cold host. Nodes of the host's own zone
+ * share 0.3 of the host's limit and nodes of other zones share 0.05, because each flow carries more
+ * than one request and requests may be retried.
  */
 double coldFlowsPerNode(const ColdHostOptions& options, const ColdLimit& limit,
-                       const SendingNodes& nodes, bool ownZone);
+                        const SendingNodes& nodes, bool ownZone);
 
 }  // namespace umberhold
--- a/source/common/token/dead_host_flows.cc
+++ b/source/common/token/dead_host_flows.cc
@@ -13,8 +13,8 @@
       RefusalReason::kHostEnded);
 }
 
-void DeadHostFlows::onRestarted(TimePoint now, uint32_t token, TimePoint born) {
-  add(recent_.take(now - flowLife_, born - kMaxClockSkew,
+void DeadHostFlows::onRestarted(TimePoint now, uint32_t token, TimePoint startedAt) {
+  add(recent_.take(now - flowLife_, startedAt - kMaxClockSkew,
                    [&](const RecentFlow& flow) { return flow.token == token; }),
       RefusalReason::kHostEnded);
 }
--- a/source/common/token/dead_host_flows.h
+++ b/source/common/token/dead_host_flows.h
@@ -1,8 +1,8 @@
 /**
- * @file Which flows of hosts that have died are reset, and how fast.
+ * @file Decides which flows of dead hosts are reset, and at what rate.
  *
- * A reset in a caller's pause costs it nothing: its next request goes on a new flow. A request that
- * is sent into a dead flow is lost for good where it may not run twice.
+ * Resetting an idle flow costs the caller nothing: its next request uses a new flow. A request sent
+ * on a dead flow is lost if it is not safe to retry.
  */
 #pragma once
 
@@ -21,33 +21,40 @@
 /** Not thread safe. */
 class DeadHostFlows {
  public:
-  /** @param flowLife no flow lives longer; what was not seen for so long is another one by now. */
+  /**
+   * @param flowLife maximum lifetime of a flow. A flow that was last seen longer ago is assumed to
+   * be over, and its addresses may belong to another flow.
+   */
   explicit DeadHostFlows(Duration flowLife) : flowLife_(flowLife) {}
   void setFlowLife(Duration flowLife) { flowLife_ = flowLife; }
 
-  /** @param packet of a flow whose host may live. */
+  /** @param packet a packet of a flow whose host is not known to be dead. */
   void record(TimePoint now, const FlowPacket& packet) { recent_.record(now, packet); }
-  /** Hosts have definitely ended. @param tokens theirs. All their flows are reset. */
+  /** Resets all flows of hosts that have terminated. @param tokens flow tokens of these hosts. */
   void onEnded(TimePoint now, const std::set<uint32_t>& tokens);
   /**
-   * A host started again under its token. Its flows that rested since before its birth are reset;
-   * those seen later went to the new life, which itself answers what it does not hold with a reset.
-   * @param born when its new life began, by this node's clock.
+   * Handles the restart of a host under the same token. Flows that were last seen before the
+   * restart are reset. Flows seen later reached the restarted host, which itself resets flows that
+   * it does not know.
+   * @param born start time of the new process by this node's clock.
    */
-  void onRestarted(TimePoint now, uint32_t token, TimePoint born);
+  void onRestarted(TimePoint now, uint32_t token, TimePoint startedAt);
   /**
-   * Hosts are silent to several flows. Flows at rest are reset, and those with a request under way
-   * that may run twice; a request that may not is left to its host, which may yet answer it.
-   * @param isRepeatable called with a service: whether its requests may run twice.
+   * Handles hosts that are silent to several flows. Idle flows are reset, and so are flows with a
+   * request in flight that is safe to retry. A request that is not safe to retry is left to its
+   * host, which may still answer.
+   * @param isRepeatable returns whether requests of a service are safe to retry.
    */
   void onSilent(TimePoint now, const std::set<uint32_t>& tokens,
                 const std::function<bool(ServiceId)>& isRepeatable);
-  /** @return flows to be reset now, at most kMaxResetsPerCall. */
+  /** @return the flows to reset now, at most kMaxResetsPerCall. */
   std::vector<ResetFlow> take();
   bool hasPending() const { return !pending_.empty(); }
 
-  /** A reset costs a system call, 10 to 20 microseconds of a core (estimated): so many hold packets
-   * up by 1 ms at most. */
+  /**
+   * A reset takes a system call, an estimated 10 to 20 microseconds of CPU time, so this many delay
+   * packets by at most 1 ms.
+   */
   static constexpr size_t kMaxResetsPerCall = 64;
 
  private:
--- a/source/common/token/flow_placement.cc
+++ b/source/common/token/flow_placement.cc
@@ -8,18 +8,21 @@
 namespace {
 
 /**
- * A host that vanishes without having drained may only have lost its entry for a moment; for so
- * long it still takes flows where no other host can.
+ * A host that disappears without draining may have lost its registry entry only temporarily. For
+ * this long it still receives flows if no other host can take them.
  */
 constexpr Duration kVanishedGrace = std::chrono::milliseconds(1500);
-/** Below this part of an equal share of the hosts, a zone sends some of its flows elsewhere. */
+/**
+ * A zone with less than this fraction of an equal share of the hosts sends some of its flows to
+ * other zones.
+ */
 constexpr double kMinShareOfHosts = 0.9;
 /**
- * Multiple of the median beyond which a host counts as slow. Well hosts stay below 2 (work times
- * with a spread of 0.5, samples weighed by a quarter).
+ * Multiple of the median above which a host counts as slow. Healthy hosts stay below 2 (response
+ * times with a spread of 0.5, samples weighted by a quarter).
  */
 constexpr double kSlowHost = 2.2;
-/** Ranks of later tiers lie beyond every load. */
+/** Rank distance between tiers; larger than any load. */
 constexpr double kTier = 1e9;
 
 bool mayTakeFlows(TimePoint now, const TokenHost& host) {
@@ -137,7 +140,7 @@
   }
   const auto own = weights.find(zone_);
   if (own == weights.end()) {
-    return 1.0;  // There is nothing to leave.
+    return 1.0;  // No host of the own zone is available anyway.
   }
   const double shareRatio = own->second * static_cast<double>(weights.size()) / total;
   std::vector<std::string_view> others;
@@ -146,8 +149,8 @@
       others.push_back(zone);
     }
   }
-  return (shareRatio < kMinShareOfHosts ? shareRatio : 1.0) * fractionByResponseTime(now, pool, others) *
-         fractionByLoad(now, pool);
+  return (shareRatio < kMinShareOfHosts ? shareRatio : 1.0) *
+         fractionByResponseTime(now, pool, others) * fractionByLoad(now, pool);
 }
 
 double FlowPlacement::fractionByLoad(TimePoint now, const TokenPool& pool) const {
@@ -172,8 +175,8 @@
   return preferred + (1.0 - preferred) * ownFraction;
 }
 
-double FlowPlacement::fractionByResponseTime(TimePoint now, const TokenPool& pool,
-                                  const std::vector<std::string_view>& otherZones) const {
+double FlowPlacement::fractionByResponseTime(
+    TimePoint now, const TokenPool& pool, const std::vector<std::string_view>& otherZones) const {
   if (otherZones.empty()) {
     return 1.0;
   }
--- a/source/common/token/flow_placement.h
+++ b/source/common/token/flow_placement.h
@@ -1,10 +1,11 @@
 /**
- * @file Which host of a pool gets a new flow.
+ * @file Selects the host of a pool that receives a new flow.
  *
- * Hosts are compared by tier first (its zone, whether it answers, whether it is registered), then
- * by their load for their weight. Load is this node's own packets of late, scaled up for hosts that
- * answer later than the pool's median: what Peak EWMA in Finagle and least-request with slow start
- * in Envoy do with times and counts of requests that they terminate, this does with what passes by.
+ * Hosts are compared by tier first (own zone, responsive, registered) and then by load per weight.
+ * Load is the number of recent packets that this node sent to the host, scaled up for hosts whose
+ * response times exceed the median of the pool. It follows the same idea as Peak EWMA in Finagle
+ * and least-request with slow start in Envoy, but those terminate requests and can count and time
+ * them, whereas this class only observes forwarded packets.
  */
 #pragma once
 
@@ -22,92 +23,106 @@
 
 namespace umberhold {
 
-/** A host began or ceased to answer far later than the others of its pool; for logs. */
+/** A host became much slower than the other hosts of its pool or recovered; for logs. */
 struct HostSlownessChange {
   std::string pool;
   std::string host;
   bool slow = false;
-  /** Its answers of late, as a multiple of the pool's median. */
+  /** Recent response times of the host as a multiple of the pool's median. */
   double slowness = 1.0;
 };
 
 /** Not thread safe. */
 class FlowPlacement {
  public:
-  /** @param zone this node's. @param random borrowed; must outlive the object. */
+  /** @param zone the zone of this node. @param random borrowed; must outlive the object. */
   FlowPlacement(std::string zone, PlacementOptions options, RandomSource& random);
 
   /**
-   * @param avoided token of a host that left an earlier copy of the opening unanswered; 0: none.
-   * @return the host; nullptr where none may take a flow. evidence() says what decided.
+   * @param avoided token of a host that left an earlier copy of the opening packet unanswered; 0:
+   * none.
+   * @return the host, or nullptr if no host can take a flow. evidence() returns the factors behind
+   * the placement.
    */
   TokenHost* place(TimePoint now, const TokenPool& pool, uint32_t avoided);
-  /** @return requests that the pool's good hosts work on at once; 0 where that is not known. */
+  /**
+   * @return the number of requests that the unimpaired hosts of the pool process concurrently; 0 if
+   * that is not known.
+   */
   double usableSlots(TimePoint now, const TokenPool& pool);
   bool learnsSpeeds() const { return options_.learnsSpeeds; }
-  /** @return see HostSpeed; 1 where speeds are not learnt. */
+  /** @return the speed of the host, see HostSpeed; 1 if speed estimation is disabled. */
   double speedOf(TimePoint now, const TokenHost& host) const {
     return options_.learnsSpeeds ? host.speed.value(now).speed : 1.0;
   }
-  /** Hosts of these zones get no new flow. */
+  /** Excludes the hosts of these zones from new flows. */
   void setEvacuatedZones(EvacuatedZones zones) { evacuated_ = std::move(zones); }
-  /** Nodes of this node's zone, itself included; callers are spread evenly over them. */
+  /**
+   * Sets the number of nodes in this node's zone, including this node. Callers are assumed to be
+   * spread evenly over them.
+   */
   void setZoneNodes(uint32_t nodes) { zoneNodes_ = nodes; }
-  /** Fed by who sees what hosts answer. */
+  /** State of silent zones; the component that observes answers updates it. */
   SilentZones& silentZones() { return silentZones_; }
-  /** @return the hosts that became slow or usual since the last call. */
-  std::vector<HostSlownessChange> takeSlownessChanges() { return std::exchange(slownessChanges_, {}); }
-  /** @return what decided the last placement; fields that a pool doesn't know are left alone. */
+  /** @return the hosts that became slow or recovered since the last call. */
+  std::vector<HostSlownessChange> takeSlownessChanges() {
+    return std::exchange(slownessChanges_, {});
+  }
+  /**
+   * @return the factors behind the last placement. Fields that a pool does not determine are left
+   * unchanged.
+   */
   PlacementEvidence& evidence() { return evidence_; }
 
  private:
-  /** A host that may take the flow. */
+  /** A host that can take the flow. */
   struct Candidate {
     TokenHost* host = nullptr;
     bool otherZone = false;
     bool silent = false;
-    /** The host left an earlier copy of this opening unanswered. */
+    /** The host left an earlier copy of this opening packet unanswered. */
     bool avoided = false;
     bool vanished = false;
-    /** Answers of late, as a multiple of the pool's median. */
+    /** Recent response times as a multiple of the pool's median. */
     double slowness = 1.0;
-    /** See HostSpeed; 1 where speeds are not learnt. */
+    /** See HostSpeed; 1 if speed estimation is disabled. */
     double speed = 1.0;
-    /** Load for its weight, the new flow included. */
+    /** Load per weight, including the new flow. */
     double load = 0.0;
 
     double weight() const { return host->spec.weight * speed; }
-    /** Requests that it works on at once, in those of a host of usual speed. */
+    /** Concurrent requests that the host can process, in units of a host of usual speed. */
     double capacity() const { return host->spec.slots * speed; }
-    /** @return whether its zone should not count on it. */
+    /** @return whether the zone's capacity is computed without this host. */
     bool isImpaired() const { return silent || avoided || host->slow || vanished; }
-    /** @return the order of preference, lower first. @param leavesZone hosts of the own zone come
-     * after others. */
+    /**
+     * @return the rank of the host; lower ranks are preferred. @param leavesZone whether hosts of
+     * the own zone rank after others.
+     */
     double rank(bool leavesZone) const;
   };
 
   /** Fills candidates_. */
   void collect(TimePoint now, const TokenPool& pool, uint32_t avoided);
-  /** Scales the load of candidates that answer late. */
+  /** Scales up the load of candidates whose response times are high. */
   void applyResponseTimes(TimePoint now);
   void recordSlownessChange(const Candidate& candidate);
-  /** @return the median of the times in times_, the lower one of an even number; 1 where none is.
-   */
+  /** @return the median of times_, the lower one if their number is even; 1 if times_ is empty. */
   double medianTime();
   /**
-   * @return part of the new flows that stay in this node's zone: all of them, or fewer where it has
-   * clearly less than an equal share of the pool's good hosts, or where they answer later than
-   * those of other zones. Zones are taken to have equal traffic.
+   * @return the fraction of new flows that stay in this node's zone. It is 1 unless the zone has
+   * clearly less than an equal share of the pool's unimpaired hosts, or its hosts are loaded or
+   * respond later than those of other zones. All zones are assumed to have equal traffic.
    */
   double ownZoneFraction(TimePoint now, const TokenPool& pool) const;
   /**
-   * @return part that stays by the load of the zone's own slots. What does not stay is spread over
-   * all hosts, so that zones which are full alike exchange flows and lose nothing.
+   * @return the fraction that stays, based on the load of the zone's own slots. The remainder is
+   * spread over all hosts, so that equally loaded zones exchange flows without a loss of capacity.
    */
   double fractionByLoad(TimePoint now, const TokenPool& pool) const;
   double fractionByResponseTime(TimePoint now, const TokenPool& pool,
-                     const std::vector<std::string_view>& otherZones) const;
-  /** @return the candidate with the lowest rank, by lot among equals. */
+                                const std::vector<std::string_view>& otherZones) const;
+  /** @return the candidate with the lowest rank; ties are broken at random. */
   const Candidate* best();
   void recordEvidence(TimePoint now, const TokenPool& pool, const Candidate& chosen);
 
@@ -122,7 +137,7 @@
   uint32_t zoneNodes_ = 1;
   SilentZones silentZones_;
   PlacementEvidence evidence_;
-  /** Kept between calls for its memory. */
+  /** Reused between calls to avoid allocations. */
   std::vector<Candidate> candidates_;
   std::vector<double> times_;
   std::vector<HostSlownessChange> slownessChanges_;
--- a/source/common/token/flow_progress.cc
+++ b/source/common/token/flow_progress.cc
@@ -6,8 +6,8 @@
 namespace {
 
 /**
- * Callers send data again after at least this long; packets of one flow within it are parts of one
- * request, of which the first stands for all.
+ * Callers retransmit after at least this time. Packets of one flow within this time are parts of
+ * one request, which the first packet represents.
  */
 constexpr Duration kMinRepeatInterval = std::chrono::milliseconds(150);
 
--- a/source/common/token/flow_progress.h
+++ b/source/common/token/flow_progress.h
@@ -1,8 +1,9 @@
 /**
- * @file Notices callers' packets that their host does not acknowledge, without state for each flow.
+ * @file Detects packets of callers that the host does not acknowledge, without state for every
+ * flow.
  *
- * Only packets from callers pass a node, so that it can't see what a host answers. It sees a caller
- * send the same data again, and a caller acknowledge something new.
+ * Only packets from callers pass through a node, so it does not see the answers of hosts. It does
+ * see callers retransmit data and acknowledge new data.
  */
 #pragma once
 
@@ -16,29 +17,30 @@
 
 namespace umberhold {
 
-/** What a packet tells of its flow's host. */
+/** What a packet shows about the host of its flow. */
 struct PacketProgress {
-  /** How often this data has passed by, this packet included; 0 for a packet without data. */
+  /** How often this data has passed, including this packet; 0 for a packet without data. */
   uint32_t copies = 0;
   /** When the data passed for the first time. */
   TimePoint firstAt{};
-  /** The caller acknowledged something that it had not acknowledged before. */
+  /** The caller acknowledged new data. */
   bool answered = false;
-  /** When the data that was answered passed for the first time; nothing where none was known. */
+  /** When the data that was answered passed for the first time; unset if unknown. */
   std::optional<TimePoint> answeredSentAt;
 };
 
 /**
- * Remembers the oldest data under way of the flows seen last; a flow that is pushed out begins
- * again with its next packet. Not thread safe.
+ * Tracks the oldest unacknowledged data of the most recently seen flows. The state of a flow that
+ * is evicted starts anew with its next packet. Not thread safe.
  */
 class FlowProgress {
  public:
-  /** @param packet a later packet of a flow, in a format that tells sequence numbers. */
+  /** @param packet a packet of an established flow, in a format with sequence numbers. */
   PacketProgress record(TimePoint now, const FlowPacket& packet);
   /**
-   * Every packet that had arrived was handled. A copy counts only if this happened after the one
-   * before it: a node that is behind sees copies of data that its host would have acknowledged.
+   * Called when all packets that had arrived are handled. A retransmission counts only if this
+   * happened after the previous copy: a node with a backlog sees retransmissions of data that the
+   * host would have acknowledged in time.
    */
   void onCaughtUp() { ++drainCount_; }
 
@@ -51,7 +53,7 @@
     uint32_t copies = 0;
     TimePoint firstAt{};
     TimePoint lastAt{};
-    /** drainCount_ when the last copy passed. */
+    /** Value of drainCount_ when the last copy passed. */
     uint64_t drainCount = 0;
   };
 
--- a/source/common/token/group_shares.cc
+++ b/source/common/token/group_shares.cc
@@ -22,7 +22,8 @@
   double highestCredit = 0.0;
   for (size_t index = 0; index < groups_.size(); ++index) {
     const Group& group = groups_[index];
-    if (group.fraction > 0.0 && (pool == nullptr || group.credit + group.fraction > highestCredit)) {
+    if (group.fraction > 0.0 &&
+        (pool == nullptr || group.credit + group.fraction > highestCredit)) {
       pool = &pools_[index];
       highestCredit = group.credit + group.fraction;
     }
--- a/source/common/token/group_shares.h
+++ b/source/common/token/group_shares.h
@@ -1,4 +1,6 @@
-/** @file Which of a service's groups of hosts a new flow goes to, so that each gets its share. */
+/**
+ * @file Selects the host group of a service for each new flow, in proportion to the groups' shares.
+ */
 #pragma once
 
 #include <cstddef>
@@ -11,40 +13,49 @@
 
 namespace umberhold {
 
-/** Each new flow is owed to the groups by their shares; the group that is owed most comes first.
- * Not thread safe. */
+/**
+ * Smooth weighted round-robin: each new flow adds credit to the groups by their shares, and the
+ * group with the highest credit comes first. Not thread safe.
+ */
 class GroupShares {
  public:
-  /** A group whose turn it may be. */
+  /** A group that may receive the flow. */
   struct Turn {
     size_t index = 0;
     std::string pool;
   };
 
   GroupShares() = default;
-  /** @param random nodes start at different places, so that few flows over many nodes are split
-   * well too. */
+  /**
+   * @param random sets a random start position, so that a few flows spread over many nodes are
+   * split evenly too.
+   */
   GroupShares(const std::vector<HostGroup>& groups, RandomSource& random);
 
-  /** @return the pool that a new flow would go to first; nullptr where no group has a share. */
+  /** @return the pool that the next flow would go to first; nullptr if no group has a share. */
   const std::string* next() const;
-  /** A new flow. @return the groups that have a share, in the order of their turn. */
+  /**
+   * Starts the selection for a new flow. @return the groups that have a share, highest credit
+   * first.
+   */
   std::vector<Turn> begin();
-  /** @return the pool's place in pools(), if it has a share; none otherwise. */
+  /** @return the index in pools() of the pool if it has a share; nothing otherwise. */
   std::optional<size_t> indexOf(const std::string& pool) const;
-  /** A new flow is left to the group whose turn it is, whether or not it gets a host. */
+  /**
+   * Charges a new flow to the group whose turn it is, whether or not that group provides a host.
+   */
   void takeTurn() { onPlaced(begin().front()); }
-  /** The flow went to a group. */
+  /** Charges the flow to a group. */
   void onPlaced(const Turn& turn) { groups_.at(turn.index).credit -= 1.0; }
   const std::vector<std::string>& pools() const { return pools_; }
-  /** @return part of the new flows of the group at that place of pools(), 0 to 1. */
+  /** @return the fraction of new flows for the group at this index of pools(), 0 to 1. */
   double fractionOf(size_t index) const { return groups_.at(index).fraction; }
 
  private:
   struct Group {
-    /** Part of the new flows. */
+    /** Fraction of the new flows. */
     double fraction = 0.0;
-    /** Flows owed to the group, in units of one flow. */
+    /** Credit of the group, in flows. */
     double credit = 0.0;
   };
 
--- a/source/common/token/host_estimate.h
+++ b/source/common/token/host_estimate.h
@@ -1,4 +1,4 @@
-/** @file What one node can tell of a host from the packets that it sends there. */
+/** @file What one node can infer about a host from the packets that it sends there. */
 #pragma once
 
 #include <algorithm>
@@ -10,14 +10,14 @@
 
 namespace umberhold {
 
-/** Load and answers of one host, as far as this node's own packets show them. Not thread safe. */
+/** Load and responsiveness of one host, based on this node's own packets. Not thread safe. */
 class HostEstimate {
  public:
-  /** A new flow: it counts for the packets that it will bring. */
+  /** Records a new flow, which counts for the packets that it is expected to carry. */
   void onOpening(TimePoint now) { add(now, kOpeningLoad); }
-  /** A later packet of a flow. */
+  /** Records a packet of an established flow. */
   void onPacket(TimePoint now) { add(now, 1.0); }
-  /** A caller repeated a packet: the host has not answered the earlier copy. */
+  /** Records a retransmission by a caller: the host has not answered the earlier copy. */
   void onUnanswered(TimePoint now) {
     ++unanswered_;
     if (unanswered_ < kSilentAfter) {
@@ -29,14 +29,14 @@
     }
     silentUntil_ = now + silentDuration_;
   }
-  /** Others find the host silent as well. */
+  /** Records that other nodes find the host silent as well. */
   void onReportedSilent(TimePoint now) {
     if (!isSilent(now)) {
       unanswered_ = std::max(unanswered_, kSilentAfter - 1);
       onUnanswered(now);
     }
   }
-  /** A caller continued a flow: the host has answered. */
+  /** Records that a caller continued a flow, which shows that the host has answered. */
   void onAnswered(TimePoint now) {
     unanswered_ = 0;
     answeredAt_ = now;
@@ -44,42 +44,47 @@
     silentDuration_ = kInitialSilentDuration;
   }
 
-  /** A request ended, or waits beyond all measure. @param ratio its time as a multiple of the
-   * service's usual time. */
+  /**
+   * Records the end of a request, or a request that is far overdue. @param ratio its response time
+   * as a multiple of the service's usual one.
+   */
   void onResponse(TimePoint now, double ratio) { responses_.add(now, ratio); }
 
-  /** The nodes of a zone together say so. @param score a multiple of the usual time, as of `at`. */
+  /**
+   * Sets the score on which the nodes of the zone agree. @param score a multiple of the usual
+   * response time as of `at`.
+   */
   void onShared(TimePoint at, double score) { shared_.set(at, score); }
 
   /**
-   * @return answers of late, as a multiple of the usual time; 1 where nothing is known. What others
-   * say counts the less, the more samples of its own this node has.
+   * @return recent response times as a multiple of the usual one; 1 if nothing is known. The weight
+   * of the score from other nodes decreases with the number of this node's own samples.
    */
   double responseScore(TimePoint now) const {
     const double own = responses_.value(now);
     const double confidence = std::min(1.0, responses_.samples(now) / kFullConfidenceSamples);
     return confidence * own + (1.0 - confidence) * std::max(own, shared_.value(now));
   }
-  /** @return packets of late, each weighed by its age. */
+  /** @return the number of recent packets with exponential decay by age. */
   double load(TimePoint now) const { return load_ * decay(now); }
   /**
-   * @return whether callers of any flow repeated enough packets since `since` without the host
-   * answering any, to take it for dead.
+   * @return whether callers, over all flows, have retransmitted enough packets without an answer
+   * since `since` for the host to count as dead.
    */
   bool isDeadSince(TimePoint since) const {
     return unanswered_ >= kDeadAfter && answeredAt_ <= since;
   }
-  /** @return whether the host left several callers without an answer a short while ago. */
+  /** @return whether the host recently left several callers without an answer. */
   bool isSilent(TimePoint now) const { return now < silentUntil_; }
 
  private:
-  /** Packets that a flow brings within a half-life, about. */
+  /** Approximate number of packets that a flow carries within a half-life. */
   static constexpr double kOpeningLoad = 16.0;
   static constexpr Duration kHalfLife = std::chrono::seconds(6);
-  /** A single packet may be lost; two in a row without an answer tell of the host. */
+  /** A single packet may be lost; two in a row without an answer indicate a silent host. */
   static constexpr uint32_t kSilentAfter = 2;
   static constexpr uint32_t kDeadAfter = 3;
-  /** How long a silent host is passed over; doubles with each try in vain. */
+  /** How long a silent host is skipped; doubles with each failed retry. */
   static constexpr Duration kInitialSilentDuration = std::chrono::seconds(3);
   static constexpr Duration kMaxSilentDuration = std::chrono::seconds(12);
 
@@ -92,9 +97,9 @@
     at_ = std::max(now, at_);
   }
 
-  /** Weight of a new sample: two of the worst are needed to take a host for slow. */
+  /** Weight of a new sample. Two samples of the maximum are needed for a host to count as slow. */
   static constexpr double kSampleWeight = 0.25;
-  /** Own samples of late beyond which others aren't heard. */
+  /** Number of recent own samples from which on the scores of other nodes are ignored. */
   static constexpr double kFullConfidenceSamples = 3.0;
 
   double load_ = 0.0;
--- a/source/common/token/host_life.h
+++ b/source/common/token/host_life.h
@@ -1,9 +1,9 @@
 /**
- * @file What tells one life of a host from the next one under the same id.
+ * @file Distinguishes successive generations (process lifetimes) of a host under the same id.
  *
- * Flow tokens name a host by its id alone, so a host that starts again has the token of its last
- * life and holds none of that life's flows. What tells the two apart is the time of birth that the
- * host itself states.
+ * A flow token identifies a host only by its id, so a restarted host keeps its token but holds none
+ * of the flows of its previous generation. The start time that the host itself reports
+ * distinguishes the generations.
  */
 #pragma once
 
@@ -16,37 +16,43 @@
 
 namespace umberhold {
 
-/** One instant by the steady clock and by the wall clock. */
+/** One instant on both the steady clock and the wall clock. */
 struct WallClock {
   TimePoint at{};
-  /** 0: not known; births are no times then, they only tell lives apart. */
+  /** 0: unknown. Start times then only distinguish generations and are not used as times. */
   uint64_t unixMilliseconds = 0;
 };
 
-/** Clocks of machines of one platform differ by less than this. Resets and what counts of the past
- * are on the safe side of it: the usual error of a time service is some milliseconds. */
+/**
+ * Upper bound for the clock skew between machines of one platform. It is a safety margin for resets
+ * and for evidence from the past; time synchronization is usually accurate to a few milliseconds.
+ */
 constexpr Duration kMaxClockSkew = std::chrono::milliseconds(250);
 
-/** Which of two lives under one id an entry tells of. */
+/** How the generation in an entry relates to the known generation of the host. */
 enum class HostGeneration : uint8_t {
-  /** The one that is known; also where one of the two does not tell its birth. */
+  /** The known generation; also if one of the two start times is unknown. */
   kSame,
   kNewer,
   kOlder,
 };
 
-inline HostGeneration compareGenerations(const HostSpec& known, const HostSpec& told) {
-  if (known.bornMilliseconds == 0 || told.bornMilliseconds == 0 ||
-      known.bornMilliseconds == told.bornMilliseconds) {
+inline HostGeneration compareGenerations(const HostSpec& known, const HostSpec& reported) {
+  if (known.bornMilliseconds == 0 || reported.bornMilliseconds == 0 ||
+      known.bornMilliseconds == reported.bornMilliseconds) {
     return HostGeneration::kSame;
   }
-  return told.bornMilliseconds > known.bornMilliseconds ? HostGeneration::kNewer : HostGeneration::kOlder;
+  return reported.bornMilliseconds > known.bornMilliseconds ? HostGeneration::kNewer
+                                                            : HostGeneration::kOlder;
 }
 
-/** @return when the host was born by the steady clock; nothing where it does not tell, the wall
- * clock is not known, or it would be in the future: then the two clocks can't be compared. */
+/**
+ * @return the start time of the host on the steady clock; nothing if the host does not report it,
+ * the wall clock is unknown, or the start time lies in the future, in which case the clocks are not
+ * comparable.
+ */
 inline std::optional<TimePoint> startTimeOf(const HostSpec& host, const WallClock& clock) {
-  /** More than any clock since its boot; keeps the arithmetic in range. */
+  /** Exceeds the uptime of any machine; keeps the arithmetic in range. */
   constexpr uint64_t kLongestAge = 1000ULL * 60 * 60 * 24 * 365;
   const uint64_t born = host.bornMilliseconds;
   if (born == 0 || born > clock.unixMilliseconds) {
--- a/source/common/token/opening_watch.cc
+++ b/source/common/token/opening_watch.cc
@@ -3,9 +3,11 @@
 namespace umberhold {
 namespace {
 
-/** Callers repeat an opening packet within this time. */
+/** Callers retransmit an opening packet within this time. */
 constexpr Duration kRepeatWindow = std::chrono::seconds(2);
-/** Several round trips, and less than the 200 ms after which callers repeat an opening. */
+/**
+ * Several round trips, but less than the 200 ms after which callers retransmit an opening packet.
+ */
 constexpr Duration kFollowTimeout = std::chrono::milliseconds(150);
 
 }  // namespace
--- a/source/common/token/opening_watch.h
+++ b/source/common/token/opening_watch.h
@@ -1,10 +1,10 @@
 /**
- * @file Openings of flows that their callers do not continue.
+ * @file Tracks openings of flows that their callers do not continue.
  *
- * Only packets from callers pass a node. A caller whose opening is answered goes on within a round
- * trip. One that goes on later repeats the opening: its host is silent. One that never goes on was
- * refused by its host directly, which no packet here shows. Both are noticed here, each opening
- * once.
+ * Only packets from callers pass through a node. If the opening packet is answered, the caller
+ * continues within a round trip. If the caller retransmits the opening packet, the host is silent.
+ * If nothing follows, the host refused the flow with a reset sent directly to the caller, which the
+ * node does not see. Both cases are detected here, once for each opening.
  */
 #pragma once
 
@@ -20,31 +20,42 @@
 
 namespace umberhold {
 
-/** An earlier copy of an opening, and its host. */
+/** An earlier copy of an opening packet and the host that received it. */
 struct EarlierOpening {
   /** Token of the host; 0 for none. */
   uint32_t token = 0;
-  /** The host was already said to have left it unanswered. */
+  /** The copy has already been counted as unanswered. */
   bool counted = false;
 };
 
-/** Remembers the openings of the flows seen last, each until the flow's next packet. Not thread
- * safe. */
+/**
+ * Tracks the openings of the most recently seen flows, each until the next packet of its flow. Not
+ * thread safe.
+ */
 class OpeningWatch {
  public:
-  /** An opening was placed at the host with the token. */
+  /** Records that an opening was placed on the host with this token. */
   void onPlaced(TimePoint now, FlowHash flow, uint32_t token);
   /** @return the earlier copy that was left unanswered. */
   EarlierOpening earlierOf(TimePoint now, FlowHash flow) const;
-  /** @return how long ago the flow's opening was placed at the host with the token, where no later
-   * packet has followed yet. */
+  /**
+   * @return the time since the opening of the flow was placed on the host with this token; nothing
+   * if a later packet has already followed.
+   */
   std::optional<Duration> sinceOpening(TimePoint now, FlowHash flow, uint32_t token) const;
-  /** A later packet of a flow. @return whether it is the first one after the opening. */
+  /**
+   * Records a packet of an established flow. @return whether it is the first one after the opening.
+   */
   bool onFollowed(FlowHash flow, uint32_t token);
-  /** The host has started again: what it left unanswered before says nothing of it. */
+  /**
+   * Discards the openings of a host that has restarted; they are no evidence about its new
+   * generation.
+   */
   void forgetHost(uint32_t token);
-  /** Every packet that had arrived was handled. @return tokens of hosts at which an opening was
-   * placed that its caller did not continue; each opening once. */
+  /**
+   * Called when all packets that had arrived are handled. @return tokens of hosts with an opening
+   * that its caller did not continue; each opening is reported once.
+   */
   std::vector<uint32_t> onCaughtUp(TimePoint now);
 
  private:
@@ -54,7 +65,7 @@
     TimePoint at{};
     bool counted = false;
   };
-  /** Where to look once the patience for an opening has ended. */
+  /** Entry of the queue of openings to check once the follow timeout has expired. */
   struct Due {
     TimePoint at{};
     FlowHash flow;
--- a/source/common/token/placement_options.h
+++ b/source/common/token/placement_options.h
@@ -1,22 +1,29 @@
-/** @file How hosts of a pool are compared for a new flow (flow/flow_placement.h). */
+/** @file Options for comparing the hosts of a pool for a new flow (token/flow_placement.h). */
 #pragma once
 
 namespace umberhold {
 
-/** Limits of a placement. A ratio that no host reaches switches its mechanism off. */
+/** Thresholds of the placement. A mechanism is disabled by a ratio that no host reaches. */
 struct PlacementOptions {
-  /** Hosts of the node's own zone come before others. */
+  /** Prefer hosts of the node's own zone. */
   bool prefersOwnZone = true;
-  /** A host's load is scaled up from so many times the median on. */
+  /** A host's load is scaled up if its response times exceed this multiple of the median. */
   double weighedRatio = 1.2;
-  /** The own zone's hosts answer so many times later than those of other zones: a part of the flows
-   * leaves. Hosts that are used to 70% answer 1.3 times later than idle ones (M/M/3). */
+  /**
+   * Some flows leave the own zone if its hosts' response times exceed this multiple of those in
+   * other zones. Response times at 70% utilization are 1.3 times those of an idle host (M/M/3).
+   */
   double zoneLeavesRatio = 1.3;
-  /** Requests under way of a zone's callers, for each slot of its hosts, up to which all new flows
-   * stay in the zone; beyond it a part is spread over the hosts of all zones. */
+  /**
+   * Requests in flight of a zone's callers, per slot of its hosts, up to which all new flows stay
+   * in the zone; above it, a fraction is spread over the hosts of all zones.
+   */
   double fullZoneLoad = 0.7;
 
-  /** A host's weight counts times its learnt speed, and its times are judged by that speed. */
+  /**
+   * Multiply the weight of a host by its estimated speed, and evaluate its response times relative
+   * to that speed.
+   */
   bool learnsSpeeds = true;
 
   bool operator==(const PlacementOptions&) const = default;
--- a/source/common/token/recent_flows.h
+++ b/source/common/token/recent_flows.h
@@ -1,10 +1,10 @@
 /**
- * @file The flows that passed this node of late, found again by their host.
+ * @file Flows that this node carried recently, indexed for lookup by host.
  *
- * A caller that keeps a flow for many requests learns of its host's death only by its next request.
- * That request is lost where it may not be sent twice. So the node remembers the flows that it
- * carried: when a host is dead, the callers of its flows get a reset while they rest, and send
- * their next request on a new flow.
+ * A caller that uses a flow for many requests notices the death of its host only with its next
+ * request, which is lost if it is not safe to retry. Therefore the node keeps the flows that it
+ * carried: when a host is dead, the callers of its flows receive a reset while the flows are idle
+ * and send their next request on a new flow.
  */
 #pragma once
 
@@ -21,34 +21,35 @@
 
 namespace umberhold {
 
-/** A flow that a node carried. */
+/** A flow carried by this node. */
 struct RecentFlow {
   FlowKey key;
   ServiceId service;
   /** Flow token of its host. */
   uint32_t token = 0;
-  /** What its caller acknowledged last, as far as this node saw. */
+  /** Last acknowledgement number of the caller, as far as this node saw. */
   uint32_t acknowledged = 0;
-  /** The caller sent data and has acknowledged nothing new since. */
+  /** The caller sent data and has not acknowledged new data since. */
   bool requestInFlight = false;
 };
 
 /**
- * Remembers 8,192 flows in 1.2 MB at most, whatever the number that a node carries: where more are
- * open, those that were silent the longest are forgotten first. Not thread safe.
+ * Holds at most 8,192 flows in 1.2 MB, whatever the number of flows that a node carries. If more
+ * are open, the flows that were idle the longest are evicted first. Not thread safe.
  */
 class RecentFlows {
  public:
-  /** @param packet in a format that tells sequence numbers. An opening begins another flow with the
-   * same addresses: what was known of the last one is forgotten. */
+  /**
+   * @param packet in a format with sequence numbers. An opening packet starts another flow with the
+   * same addresses and discards the state of the previous one.
+   */
   void record(TimePoint now, const FlowPacket& packet);
-  /** @return the flows that were seen since `oldest` and for which `isWanted` holds; they are
-   * forgotten. */
+  /** @return the flows seen since `oldest` for which `isWanted` returns true; they are removed. */
   template <class Predicate>
   std::vector<RecentFlow> take(TimePoint oldest, const Predicate& isWanted) {
     return take(oldest, TimePoint::max(), isWanted);
   }
-  /** The same, of the flows that were last seen before `end`. */
+  /** The same for flows that were last seen before `end`. */
   template <class Predicate>
   std::vector<RecentFlow> take(TimePoint oldest, TimePoint end, const Predicate& isWanted) {
     std::vector<RecentFlow> taken;
@@ -74,10 +75,10 @@
   using Entries = std::list<Entry>;
 
   void forget(Entries::iterator entry);
-  /** @return the flow's entry, new or not, as the latest one. */
+  /** @return the entry of the flow, created if necessary, moved to the most recent position. */
   Entry& latest(const FlowPacket& packet);
 
-  /** The one that was silent the longest comes first. */
+  /** Least recently seen flow first. */
   Entries entries_;
   std::unordered_map<FlowHash, Entries::iterator> byHash_;
 };
--- a/source/common/token/request_timer.cc
+++ b/source/common/token/request_timer.cc
@@ -5,13 +5,16 @@
 namespace umberhold {
 namespace {
 
-/** Beyond so many requests, those that begin are timed but never become overdue. */
+/**
+ * Maximum number of queued checks. Requests that start beyond it are timed but never become
+ * overdue.
+ */
 constexpr size_t kMaxDue = 4096;
 
 }  // namespace
 
 std::optional<Duration> RequestTimer::record(TimePoint now, const FlowPacket& packet,
-                                           std::optional<Duration> overdueAfter) {
+                                             std::optional<Duration> overdueAfter) {
   const size_t index = packet.hash.value % entries_.size();
   Entry& entry = entries_[index];
   const bool isKnown = entry.flow == packet.hash && entry.token == packet.token;
@@ -40,8 +43,8 @@
   return std::nullopt;
 }
 
-void RequestTimer::begin(TimePoint now, const FlowPacket& packet, std::optional<Duration> overdueAfter,
-                         size_t index) {
+void RequestTimer::begin(TimePoint now, const FlowPacket& packet,
+                         std::optional<Duration> overdueAfter, size_t index) {
   Entry& entry = entries_[index];
   entry = Entry{};
   entry.flow = packet.hash;
--- a/source/common/token/request_timer.h
+++ b/source/common/token/request_timer.h
@@ -1,10 +1,10 @@
 /**
- * @file Times requests by the packets of their callers alone.
+ * @file Measures response times from the packets of callers alone.
  *
- * A caller's data begins a request; the first later packet that acknowledges more than the data did
- * ends it, since only an answer can be acknowledged. This is the in-band measure of Shobhana et
- * al., "Load Balancers Need In-Band Feedback Control" (HotNets 2022), for balancers that never see
- * answers. Bounded state, no I/O.
+ * Data from a caller starts a request. The first later packet with a higher acknowledgement number
+ * ends it, because only an answer can be acknowledged. This is the in-band measurement of Shobhana
+ * et al., "Load Balancers Need In-Band Feedback Control" (HotNets 2022), for load balancers that do
+ * not see answers. Bounded state, no I/O.
  */
 #pragma once
 
@@ -21,36 +21,42 @@
 
 namespace umberhold {
 
-/** A request that has waited longer than it was given. */
+/** A request that has waited longer than its limit. */
 struct OverdueRequest {
   ServiceId service;
   /** Flow token of the host. */
   uint32_t token = 0;
-  /** Time since its first packet passed. */
+  /** Time since the first packet of the request passed. */
   Duration waited{};
 };
 
 /**
- * Remembers the request under way of the flows seen last; a flow that another one pushes out is not
- * timed. 56 KB, whatever the number of flows. Not thread safe.
+ * Tracks the request in flight of the most recently seen flows; an evicted flow is not timed. Uses
+ * 56 KB, whatever the number of flows. Not thread safe.
  */
 class RequestTimer {
  public:
   /**
-   * @param packet a later packet of a flow, in a format that tells sequence numbers.
-   * @param patience how long a request that begins now may wait before it is overdue; none: it
-   * never is.
-   * @return the time from the request's first packet to the answer, where this packet shows it. Not
-   * measured: requests whose data was sent again (a packet was lost, or its host is silent), whose
-   * answer is acknowledged only together with the next request (the caller paused in between),
-   * those of which a part or a later request passed another node, and those that were handled in
-   * one go with their answer (this node is behind).
+   * @param packet a packet of an established flow, in a format with sequence numbers.
+   * @param overdueAfter how long a request that starts now may wait before it is overdue; unset:
+   * never overdue.
+   * @return the time from the first packet of the request to its answer, if this packet shows it.
+   * Not measured are: requests with retransmitted data (packet loss or a silent host), requests
+   * whose answer is acknowledged only together with the next request (the caller paused in
+   * between), requests of which a part, or a later request, passed through another node, and
+   * requests that were handled in the same batch as their answer (this node has a backlog).
    */
   std::optional<Duration> record(TimePoint now, const FlowPacket& packet,
-                               std::optional<Duration> overdueAfter);
-  /** The host has started again: its requests under way are lost, and their times tell nothing. */
+                                 std::optional<Duration> overdueAfter);
+  /**
+   * Discards the requests in flight to a host that has restarted; they are lost and their times are
+   * meaningless.
+   */
   void forgetHost(uint32_t token);
-  /** Every packet that had arrived was handled. @return requests that became overdue; each once. */
+  /**
+   * Called when all packets that had arrived are handled. @return requests that became overdue;
+   * each is reported once.
+   */
   std::vector<OverdueRequest> onCaughtUp(TimePoint now);
 
  private:
@@ -59,16 +65,16 @@
     ServiceId service;
     uint32_t token = 0;
     uint32_t sequence = 0;
-    /** Sequence number after the request's data, as far as it passed here. */
+    /** Sequence number after the data of the request that has passed so far. */
     uint32_t endSequence = 0;
     uint32_t acknowledged = 0;
     bool requestInFlight = false;
     bool retransmitted = false;
     TimePoint beganAt{};
-    /** drainCount_ when it began. */
+    /** Value of drainCount_ when the request started. */
     uint64_t drainCount = 0;
   };
-  /** Where to look once the patience of a request has ended. */
+  /** Entry of the queue of requests to check once they may be overdue. */
   struct Due {
     TimePoint at{};
     TimePoint beganAt{};
--- a/source/common/token/response_score.h
+++ b/source/common/token/response_score.h
@@ -1,5 +1,6 @@
-/** @file How long answers take, compared with what is usual: running figures of a service and of a
- * host. */
+/**
+ * @file Response times relative to the usual one: running statistics of a service and of a host.
+ */
 #pragma once
 
 #include <algorithm>
@@ -14,34 +15,36 @@
 namespace umberhold {
 
 /**
- * A host's or a zone's answers of late, as a multiple of the usual time: a moving average over
- * samples that fades towards 1, so that what is not tried for a while counts as usual again. Not
- * thread safe.
+ * Recent response times of a host or a zone as a multiple of the usual one: a moving average that
+ * decays towards 1, so that a host without samples counts as usual again after a while. Not thread
+ * safe.
  */
 class ResponseScore {
  public:
-  /** A sample counts for no more, so that one request neither makes a host slow nor outweighs many.
+  /**
+   * Upper bound for a sample, so that a single request neither makes a host slow nor outweighs many
+   * others.
    */
   static constexpr double kMaxSample = 5.0;
 
-  /** @param part weight of a new sample against all earlier ones, 0 to 1. */
+  /** @param sampleWeight weight of a new sample against all earlier ones, 0 to 1. */
   explicit ResponseScore(double sampleWeight) : sampleWeight_(sampleWeight) {}
 
-  /** @param ratio an answer's time as a multiple of the usual one. */
+  /** @param ratio a response time as a multiple of the usual one. */
   void add(TimePoint now, double ratio) {
     const double before = value(now);
     samples_ = samples(now) + 1.0;
     value_ = before + sampleWeight_ * (std::min(ratio, kMaxSample) - before);
     at_ = std::max(now, at_);
   }
-  /** Takes over a value in place of samples. @param at may lie in the past. */
+  /** Replaces the value without adding a sample. @param at may lie in the past. */
   void set(TimePoint at, double value) {
     value_ = std::min(value, kMaxSample);
     at_ = at;
   }
-  /** @return a multiple of the usual time; 1 where nothing is known. */
+  /** @return a multiple of the usual response time; 1 if nothing is known. */
   double value(TimePoint now) const { return 1.0 + (value_ - 1.0) * decayFactor(now); }
-  /** @return the number of samples, each weighed by its age. */
+  /** @return the number of samples with exponential decay by age. */
   double samples(TimePoint now) const { return samples_ * decayFactor(now); }
 
  private:
@@ -50,8 +53,11 @@
     return std::exp2(-static_cast<double>(age.count()) / static_cast<double>(kHalfLife.count()));
   }
 
-  /** Without samples the worst score is below 2.2 after 1.7 of these. With 1.2 s, flows that came
-   * back too soon cost 0.004 of the worth on days with slow hosts (docs/DECISION_QUALITY.md). */
+  /**
+   * Without samples, the maximum score falls below 2.2 after 1.7 half-lives. With 1.2 s, flows
+   * returned to slow hosts too early, which cost 0.004 of the worth on days with slow hosts
+   * (docs/DECISION_QUALITY.md).
+   */
   static constexpr Duration kHalfLife = std::chrono::milliseconds(2500);
 
   double sampleWeight_;
@@ -61,22 +67,25 @@
 };
 
 /**
- * The usual time of a service's answers: a running median over all hosts. It follows lasting
- * changes and hardly moves in a burst of a few seconds. Not thread safe.
+ * The usual response time of a service: a running median over all hosts. It follows lasting changes
+ * and hardly moves during a burst of a few seconds. Not thread safe.
  */
 class UsualResponseTime {
  public:
   void add(TimePoint now, Duration response) {
     median_.add(now, std::log(millisecondsOf(response)));
   }
-  /** @return the response as a multiple of the usual time; nothing before enough is known. */
+  /**
+   * @return the response time as a multiple of the usual one; nothing until there are enough
+   * samples.
+   */
   std::optional<double> ratioOf(Duration response) const {
     if (median_.samples() < kMinSamples) {
       return std::nullopt;
     }
     return millisecondsOf(response) / std::exp(median_.value());
   }
-  /** @return when a request has waited `ratio` times as long as usual. */
+  /** @return `ratio` times the usual response time; nothing until there are enough samples. */
   std::optional<Duration> timeOf(double ratio) const {
     if (median_.samples() < kMinSamples) {
       return std::nullopt;
@@ -91,7 +100,7 @@
     return std::chrono::duration<double, std::milli>(response).count() + kSlackMilliseconds;
   }
 
-  /** Is added to all times: differences of a few milliseconds tell of the network. */
+  /** Added to all times, because differences of a few milliseconds come from the network. */
   static constexpr double kSlackMilliseconds = kScoreSlackMilliseconds;
   static constexpr uint32_t kMinSamples = 5;
 
--- a/source/common/token/silence_detector.cc
+++ b/source/common/token/silence_detector.cc
@@ -5,18 +5,22 @@
 namespace umberhold {
 namespace {
 
-/** Callers of this node alone whose data a host leaves unacknowledged, without a sign of life
- * since, before it counts as dead. Where nodes share what they see, two nodes are needed and three
- * copies: see ZoneSilence. */
+/**
+ * Number of this node's callers whose data a host must leave unacknowledged, without any
+ * acknowledgement since, before it counts as dead. If nodes share their observations, two nodes and
+ * three retransmissions are required instead; see ZoneSilence.
+ */
 constexpr size_t kMinCallersOfDeadHost = 3;
-/** How long a host counts as dead by one piece of news. */
+/** How long a host counts as dead after one detection. */
 constexpr Duration kDeadDuration = std::chrono::seconds(3);
-/** Of a pool's hosts no more than this part counts as dead by silence: where more seem so, it is
- * this node, or its zone, that is cut off. */
+/**
+ * Maximum fraction of a pool's hosts that may count as dead by silence. If more appear dead, this
+ * node or its zone is more likely to be partitioned.
+ */
 constexpr double kMaxDeadFraction = 0.5;
-/** Answers that are older say nothing of the path as it is now. */
+/** Older answers are no evidence about the current state of the path. */
 constexpr Duration kAnswerLifetime = std::chrono::seconds(2);
-/** Verdicts that are kept for the log; nobody takes them where there is none. */
+/** Maximum number of decisions kept for the log; without a log, nothing consumes them. */
 constexpr size_t kMaxVerdicts = 256;
 
 }  // namespace
@@ -39,7 +43,8 @@
   }
 }
 
-const SilenceDetector::LatestAnswer* SilenceDetector::latestAnswerOfOther(TimePoint now, uint32_t token) const {
+const SilenceDetector::LatestAnswer* SilenceDetector::latestAnswerOfOther(TimePoint now,
+                                                                          uint32_t token) const {
   const LatestAnswer& other = latest_.token == token ? previous_ : latest_;
   return other.token != 0 && now - other.at <= kAnswerLifetime ? &other : nullptr;
 }
@@ -59,12 +64,13 @@
 }
 
 std::set<uint32_t> SilenceDetector::onZoneSilent(TimePoint now,
-                                              const std::vector<SilentHost>& silentHosts) {
+                                                 const std::vector<SilentHost>& silentHosts) {
   std::set<uint32_t> silent;
   for (const SilentHost& reported : silentHosts) {
     const TokenHost* host = hosts_.find(reported.token);
     const TimePoint since = now - std::chrono::milliseconds(reported.silentMilliseconds);
-    if (host != nullptr && host->isCurrentGenerationAt(since) && isOvertaken(now, reported.token, since) &&
+    if (host != nullptr && host->isCurrentGenerationAt(since) &&
+        isOvertaken(now, reported.token, since) &&
         host->silence.answeredAt().value_or(TimePoint{}) < since) {
       silent.insert(reported.token);
     }
@@ -73,7 +79,7 @@
 }
 
 std::set<uint32_t> SilenceDetector::decide(TimePoint now, const std::set<uint32_t>& tokens,
-                                       SilenceSource source) {
+                                           SilenceSource source) {
   std::set<uint32_t> dead;
   for (const uint32_t token : tokens) {
     TokenHost* host = hosts_.find(token);
@@ -94,7 +100,7 @@
 }
 
 bool SilenceDetector::leavesEnoughHosts(TimePoint now, const TokenPool& pool,
-                                const std::set<uint32_t>& tokens) const {
+                                        const std::set<uint32_t>& tokens) const {
   size_t active = 0;
   size_t dead = 0;
   for (const TokenHost* host : pool.hosts) {
@@ -107,7 +113,7 @@
 }
 
 void SilenceDetector::record(TimePoint now, const TokenHost& host, const TokenPool& pool,
-                        SilenceOutcome outcome, SilenceSource source) {
+                             SilenceOutcome outcome, SilenceSource source) {
   std::erase_if(activeVerdicts_, [now](const auto& entry) { return now >= entry.second.until; });
   const auto known = activeVerdicts_.find(host.token);
   const bool isRepeated = known != activeVerdicts_.end() && known->second.outcome == outcome;
@@ -119,18 +125,18 @@
   if (verdicts_.size() >= kMaxVerdicts) {
     return;
   }
-  const HostAckState signs = host.silence.signs(host.token);
+  const HostAckState state = host.silence.ackState(host.token);
   SilenceVerdict& verdict = verdicts_.emplace_back();
-  verdict = {outcome, source, host.pool, host.spec.name, signs.callers.size(), signs.copies};
+  verdict = {outcome, source, host.pool, host.spec.name, state.callers.size(), state.copies};
   if (const LatestAnswer* other = latestAnswerOfOther(now, host.token)) {
     verdict.sinceOvertaking = now - other->sentAt;
   }
   verdict.silentFor = host.silence.silentFor(now);
-  if (signs.copies > 0) {
-    verdict.sinceCopy = now - signs.lastCopyAt;
+  if (state.copies > 0) {
+    verdict.sinceCopy = now - state.lastCopyAt;
   }
-  if (signs.answeredAt) {
-    verdict.sinceAnswer = now - *signs.answeredAt;
+  if (state.answeredAt) {
+    verdict.sinceAnswer = now - *state.answeredAt;
   }
   for (const TokenHost* each : pool.hosts) {
     verdict.active += each->isActive() ? 1 : 0;
--- a/source/common/token/silence_detector.h
+++ b/source/common/token/silence_detector.h
@@ -1,7 +1,7 @@
 /**
- * @file Which silent hosts a node takes for dead, and by which signs.
+ * @file Failure detection: decides which silent hosts count as dead.
  *
- * Flows of a dead host are reset (dead_host_flows.h), so a wrong verdict breaks flows that live.
+ * Flows of a dead host are reset (dead_host_flows.h), so a false positive breaks working flows.
  * Decision logic without I/O.
  */
 #pragma once
@@ -23,11 +23,11 @@
 
 namespace umberhold {
 
-/** Whose callers a host is silent to. */
+/** Whose callers observed the silence. */
 enum class SilenceSource : uint8_t {
-  /** Those of this node. */
+  /** Callers of this node. */
   kNode,
-  /** Those of several nodes of the zone; see ZoneSilence. */
+  /** Callers of several nodes of the zone; see ZoneSilence. */
   kZone,
   kCount,
 };
@@ -35,11 +35,14 @@
 /** @return the snake_case name of a source. */
 std::string_view toString(SilenceSource source);
 
-/** What became of a silent host. */
+/** Decision on a silent host. */
 enum class SilenceOutcome : uint8_t {
-  /** It counts as dead for a while, unless it answers. */
+  /** The host counts as dead for a while unless it answers. */
   kDead,
-  /** Too many hosts of its pool are silent with it: rather the path to them is broken. */
+  /**
+   * Too many hosts of the pool are silent at once, so the path to them is more likely to have
+   * failed.
+   */
   kSpared,
   kCount,
 };
@@ -47,74 +50,90 @@
 /** @return the snake_case name of an outcome. */
 std::string_view toString(SilenceOutcome outcome);
 
-/** One verdict with its signs, as this node sees them; for logs. */
+/** One decision with the evidence of this node; for logs. */
 struct SilenceVerdict {
   SilenceOutcome outcome = SilenceOutcome::kDead;
   SilenceSource source = SilenceSource::kNode;
   std::string pool;
   std::string host;
-  /** Of this node's callers, at most SilenceEvidence::kMaxCallers, and copies of their data. */
+  /**
+   * Callers of this node, at most SilenceEvidence::kMaxCallers, and retransmissions of their data.
+   */
   size_t callers = 0;
   uint32_t copies = 0;
-  /** Since the first data that the host left unacknowledged was sent. */
+  /** Time since the first transmission of the earliest unacknowledged data. */
   Duration silentFor{0};
-  /** Since the last copy; nothing where this node saw none. */
+  /** Time since the last retransmission; unset if this node saw none. */
   std::optional<Duration> sinceCopy;
-  /** Since its last sign of life; nothing where there was none. */
+  /** Time since the last acknowledgement; unset if there was none. */
   std::optional<Duration> sinceAnswer;
-  /** Since what another host answered last was sent; nothing where none is known. */
+  /**
+   * Time since the transmission of the latest data that another host answered; unset if unknown.
+   */
   std::optional<Duration> sinceOvertaking;
-  /** Active hosts of the pool, and those of them that leave data unacknowledged now. */
+  /** Number of active hosts of the pool, and of those among them with unacknowledged data. */
   size_t active = 0;
   size_t silent = 0;
 };
 
-/** Verdicts by SilenceOutcome and SilenceSource. */
+/** Number of decisions by SilenceOutcome and SilenceSource. */
 using SilenceCounters = std::array<std::array<uint64_t, static_cast<size_t>(SilenceSource::kCount)>,
                                    static_cast<size_t>(SilenceOutcome::kCount)>;
 
 /** Not thread safe. */
 class SilenceDetector {
  public:
-  /** @param hosts borrowed. */
+  /** @param hosts borrowed; must outlive the object. */
   explicit SilenceDetector(TokenHosts& hosts) : hosts_(hosts) {}
 
-  /** A host answered. @param sentAt when what it answered was sent first. */
+  /**
+   * Records an answer of a host. @param sentAt first transmission of the data that was answered.
+   */
   void onAnswered(TimePoint now, uint32_t token, TimePoint sentAt);
   /**
-   * Packets to hosts that live are answered in the order in which they were sent, but for small
-   * differences; so where the node, the path or all hosts are slow, a copy alone proves nothing.
-   * The idea is that of RACK in TCP (RFC 8985).
-   * @param since when the first data was sent that the host left unacknowledged.
-   * @return whether another host answered what was sent kMinSilence later. True where none
-   * answered anything of late: there is nothing to compare with.
+   * Packets to live hosts are answered roughly in the order in which they were sent. If the node,
+   * the path or all hosts are slow, a retransmission alone is therefore no evidence. This follows
+   * the idea of RACK in TCP (RFC 8985).
+   * @param since first transmission of the earliest data that the host left unacknowledged.
+   * @return whether another host answered data that was sent at least kMinSilence later. True if no
+   * other host answered recently, because there is nothing to compare with.
    */
   bool isOvertaken(TimePoint now, uint32_t token, TimePoint since) const;
-  /** A host left a copy unacknowledged. @return its token where it counts as dead. */
+  /**
+   * Handles a retransmission of data that a host left unacknowledged. @return the host's token if
+   * the host counts as dead.
+   */
   std::set<uint32_t> onCopy(TimePoint now, const TokenHost& host);
-  /** Hosts are silent to all nodes of the zone. @return the tokens of those that count as dead. */
+  /**
+   * Handles hosts that are silent to all nodes of the zone. @return tokens of those that count as
+   * dead.
+   */
   std::set<uint32_t> onZoneSilent(TimePoint now, const std::vector<SilentHost>& silentHosts);
 
-  /** @return verdicts since the last call, each host's once for as long as it stands. */
+  /**
+   * @return the decisions since the last call; each host's decision is reported once while it
+   * lasts.
+   */
   std::vector<SilenceVerdict> takeVerdicts() { return std::exchange(verdicts_, {}); }
   const SilenceCounters& counters() const { return counters_; }
 
  private:
   std::set<uint32_t> decide(TimePoint now, const std::set<uint32_t>& tokens, SilenceSource source);
-  /** @return whether at most half of the pool's hosts would be dead with these. */
-  bool leavesEnoughHosts(TimePoint now, const TokenPool& pool, const std::set<uint32_t>& tokens) const;
+  /** @return whether at most half of the pool's active hosts would be dead, including these. */
+  bool leavesEnoughHosts(TimePoint now, const TokenPool& pool,
+                         const std::set<uint32_t>& tokens) const;
   void record(TimePoint now, const TokenHost& host, const TokenPool& pool, SilenceOutcome outcome,
-            SilenceSource source);
+              SilenceSource source);
 
   struct LatestAnswer {
-    /** 0: none is known. */
+    /** 0: none. */
     uint32_t token = 0;
-    /** The latest that it answered was sent then. */
+    /** First transmission of the latest data that the host answered. */
     TimePoint sentAt{};
-    /** When its last answer came. */
+    /** Time of its last answer. */
     TimePoint at{};
   };
-  /** @return the latest answer of another host; nullptr where none came of late. */
+  /** @return the latest answer of another host; nullptr if none is recent enough. */
   const LatestAnswer* latestAnswerOfOther(TimePoint now, uint32_t token) const;
 
   struct ActiveVerdict {
@@ -123,10 +142,10 @@
   };
 
   TokenHosts& hosts_;
-  /** The host that answered last, and the last one beside it. */
+  /** The host that answered last, and the last one that differs from it. */
   LatestAnswer latest_;
   LatestAnswer previous_;
-  /** By flow token: the verdicts that were noted and are not over yet. */
+  /** Recorded decisions that have not expired yet, by flow token. */
   std::unordered_map<uint32_t, ActiveVerdict> activeVerdicts_;
   std::vector<SilenceVerdict> verdicts_;
   SilenceCounters counters_{};
--- a/source/common/token/silence_evidence.h
+++ b/source/common/token/silence_evidence.h
@@ -1,10 +1,10 @@
 /**
- * @file Data of callers that a host does not acknowledge, as far as one node sees.
+ * @file Data from callers that a host does not acknowledge, as seen by one node.
  *
- * A host that is well acknowledges data at once, also where its answer takes long, so data that is
- * sent again tells of a host, or a path, that is gone. A lost packet looks the same: what counts is
- * several callers in a row without a sign of life in between. Flows of
- * one caller count once, since its own path may be broken.
+ * A healthy host acknowledges data at once, even if its answer takes long, so retransmitted data
+ * indicates that the host or the path to it has failed. A lost packet looks the same; therefore
+ * only several callers in a row, without any acknowledgement in between, count as evidence. All
+ * flows of one caller count once, because the caller's own path may be broken.
  */
 #pragma once
 
@@ -18,38 +18,42 @@
 
 namespace umberhold {
 
-/** A host that is silent for less is not dead, whoever says so: callers send again after 200 ms, so
- * that one pause of a host, or one slow round trip, brings a copy of each that waits. They do so
- * once more after 600 ms. */
+/**
+ * Minimum duration of silence for a host to count as dead, whatever the source. Callers retransmit
+ * after 200 ms, so a single pause of a host or one slow round trip causes a retransmission by every
+ * waiting caller. The second retransmission follows after 600 ms.
+ */
 constexpr Duration kMinSilence = std::chrono::milliseconds(500);
 
-/** What a node saw of one host's acknowledgements. */
+/** What a node observed of one host's acknowledgements. */
 struct HostAckState {
   /** Flow token of the host. */
   uint32_t token = 0;
-  /** Its last sign of life; none where there was none. */
+  /** Last acknowledgement by the host; unset if there was none. */
   std::optional<TimePoint> answeredAt;
-  /** Copies of data that callers sent since then. */
+  /** Retransmissions by callers since then. */
   uint32_t copies = 0;
-  /** Addresses of the callers, each once; at most SilenceEvidence::kMaxCallers. */
+  /** Distinct addresses of these callers, at most SilenceEvidence::kMaxCallers. */
   std::vector<uint32_t> callers;
-  /** When the first of that data was sent for the first time. */
+  /** First transmission of the earliest unacknowledged data. */
   TimePoint since{};
-  /** When the last copy passed. */
+  /** When the last retransmission passed. */
   TimePoint lastCopyAt{};
 };
 
 /** Not thread safe. */
 class SilenceEvidence {
  public:
-  /** Callers that are distinguished. */
+  /** Maximum number of distinct callers that are recorded. */
   static constexpr size_t kMaxCallers = 3;
 
-  /** A caller sent data again. @param sentAt when it sent it for the first time. @param caller its
-   * address. */
+  /**
+   * Records a retransmission. @param sentAt time of the first transmission. @param caller address
+   * of the caller.
+   */
   void onCopy(TimePoint now, TimePoint sentAt, uint32_t caller) {
     if (answeredAt_ && sentAt <= *answeredAt_) {
-      return;  // The host has answered others since: the packet was lost.
+      return;  // The host has acknowledged other data since, so the packet was lost.
     }
     since_ = copies_ == 0 ? sentAt : std::min(since_, sentAt);
     ++copies_;
@@ -59,19 +63,22 @@
       callers_.push_back(caller);
     }
   }
-  /** A caller acknowledged something new of the host, or continued its opening. */
+  /** Records that a caller acknowledged new data of the host or continued its opening. */
   void onAnswered(TimePoint now) {
     answeredAt_ = now;
     copies_ = 0;
     callers_.clear();
   }
 
-  /** @return for how long data has been unacknowledged without a sign of life; 0 where none is. */
+  /**
+   * @return how long data has been unacknowledged without any other acknowledgement; 0 if no data
+   * is.
+   */
   Duration silentFor(TimePoint now) const { return copies_ == 0 ? Duration{0} : now - since_; }
   size_t callers() const { return callers_.size(); }
   uint32_t copies() const { return copies_; }
   const std::optional<TimePoint>& answeredAt() const { return answeredAt_; }
-  HostAckState signs(uint32_t token) const {
+  HostAckState ackState(uint32_t token) const {
     return {token, answeredAt_, copies_, callers_, since_, lastCopyAt_};
   }
 
--- a/source/common/token/token_director.cc
+++ b/source/common/token/token_director.cc
@@ -12,20 +12,30 @@
 
 constexpr unsigned kAddressShift = 24;
 constexpr unsigned kPortShift = 8;
-/** A flow is refused no sooner than at this copy of a packet; see HostEstimate::isDeadSince. */
+/** Minimum number of copies of a packet before a flow is refused; see HostEstimate::isDeadSince. */
 constexpr uint32_t kMinCopiesOfSilentHost = 3;
 constexpr double kPercent = 100.0;
-/** Speeds name a host by its token alone, and the zone's measures of an earlier life outlast it: 24
- * nodes with 6 samples each, halving every 8 s, fade within 37 s (by arithmetic). */
+/**
+ * Speeds identify a host only by its token, and measurements of its previous generation persist in
+ * the zone: 24 nodes with 6 samples each and a half-life of 8 s decay within 37 s (calculated).
+ */
 constexpr Duration kSpeedRetention = std::chrono::seconds(40);
-/** Samples that are kept for others; nobody takes them where the node tells nobody. */
+/**
+ * Maximum number of samples kept for other nodes; nothing consumes them on a node that does not
+ * report.
+ */
 constexpr size_t kMaxSamples = 1024;
-/** A request that waits so many times longer than usual counts as the worst sample. */
+/** A request that waits this many times longer than usual counts as a sample of the maximum. */
 constexpr double kOverdueRatio = ResponseScore::kMaxSample;
-/** A low speed is no longer low from here on: figures differ by a fifth without a cause. */
+/**
+ * A low speed ends above this value (hysteresis), because estimates fluctuate by a fifth without a
+ * cause.
+ */
 constexpr double kSlowSpeedExit = 0.65;
-/** Requests under way for each slot of a pool up to which its hosts' times tell of their speed: in
- * a fuller pool most requests wait for a slot (M/M/2). */
+/**
+ * Maximum requests in flight per slot of a pool for response times to be used for speed estimation;
+ * in a fuller pool most requests wait for a slot (M/M/2).
+ */
 constexpr double kFreeSlotsLoad = 0.7;
 
 uint64_t listenKey(uint32_t address, uint16_t port, TransportProtocol protocol) {
@@ -85,14 +95,15 @@
   }
 }
 
-void TokenDirector::handleRestart(TimePoint now, uint32_t token, std::optional<TimePoint> startedAt) {
+void TokenDirector::handleRestart(TimePoint now, uint32_t token,
+                                  std::optional<TimePoint> startedAt) {
   openings_.forgetHost(token);
   timer_.forgetHost(token);
   if (startedAt) {
     deadHostFlows_.onRestarted(now, token, *startedAt);
   }
   if (TokenHost* host = hosts_.find(token)) {
-    // Others learn that what was said of its silence is over.
+    // Other nodes receive the update that the earlier silence is over.
     queueAckState(*host);
   }
 }
@@ -165,14 +176,16 @@
                                                : continueFlow(now, packet, bytes);
 }
 
-FlowDecision TokenDirector::openFlow(TimePoint now, const FlowPacket& packet, std::string_view bytes) {
+FlowDecision TokenDirector::openFlow(TimePoint now, const FlowPacket& packet,
+                                     std::string_view bytes) {
   const auto service = services_.find(packet.service);
   if (service == services_.end()) {
     return DropPacket{DropReason::kUnknownService};
   }
   deadHostFlows_.record(now, packet);
   const uint32_t avoided = recordRepeat(now, packet);
-  // A copy of an opening that was placed seeks another host: it has waited enough.
+  // A retransmission of an opening that was placed is sent to another host without queueing,
+  // because its caller has already waited.
   const QueuedOpening queued =
       avoided == 0 ? enqueue(now, service->second, packet, bytes) : QueuedOpening{};
   if (queued.turn == OpeningTurn::kWait) {
@@ -185,7 +198,7 @@
                                         : placeAt(now, service->second, queued);
   if (host == nullptr) {
     return isMissingPool(service->second) ? FlowDecision(DropPacket{DropReason::kNoHost})
-                                       : FlowDecision(RefuseFlow{});
+                                          : FlowDecision(RefuseFlow{});
   }
   host->estimate.onOpening(now);
   host->cold.onPlaced(now);
@@ -197,10 +210,11 @@
 }
 
 TokenDirector::QueuedOpening TokenDirector::enqueue(TimePoint now, ServiceEntry& service,
-                                                  const FlowPacket& packet,
-                                                  std::string_view bytes) {
+                                                    const FlowPacket& packet,
+                                                    std::string_view bytes) {
   if (admission_.isWaiting(packet.hash)) {
-    // A copy of an opening that waits would be placed beside it, whatever became of its pool.
+    // A retransmission of a queued opening would otherwise be placed in addition to it, whatever
+    // has become of its pool.
     admission_.hold(now, std::string(*admission_.poolOf(packet.hash)), service.needs(), packet.hash,
                     bytes);
     return {OpeningTurn::kWait, {}, {}};
@@ -212,7 +226,7 @@
     return {};
   }
   const auto size = [&] { return poolSizeOf(now, *pool); };
-  // By reference: a copy of the function would be allocated for each opening.
+  // Passed by reference: copying the function would allocate memory for each opening.
   const OpeningTurn turn =
       admission_.turnOf(now, *due, service.needs(), packet.hash, std::cref(size));
   if (turn == OpeningTurn::kPlace) {
@@ -222,8 +236,8 @@
     return {turn, {}, {}};
   }
   const std::string* other = overflowPool(now, service, *due);
-  // The turn is taken now: openings after this one are due to the other parts of the split too,
-  // however long this one waits, and a part without room is owed nothing later.
+  // The turn is charged now. Later openings therefore go to the other parts of the split too,
+  // however long this one waits, and a part without room accumulates no credit.
   service.groups.takeTurn();
   if (other != nullptr) {
     return {OpeningTurn::kPlace, *other, *due};
@@ -237,7 +251,7 @@
 }
 
 const std::string* TokenDirector::poolWaitedFor(const ServiceEntry& service,
-                                            const FlowPacket& packet) const {
+                                                const FlowPacket& packet) const {
   const std::string* pool = admission_.poolOf(packet.hash);
   const auto index = pool == nullptr ? std::nullopt : service.groups.indexOf(*pool);
   return index ? &service.groups.pools()[*index] : nullptr;
@@ -283,7 +297,7 @@
 }
 
 FlowDecision TokenDirector::holdForHost(TimePoint now, const FlowPacket& packet,
-                                      std::string_view bytes) {
+                                        std::string_view bytes) {
   if (packet.token == 0 || packet.phase == PacketPhase::kReset) {
     return DropPacket{DropReason::kHostGone};
   }
@@ -292,10 +306,10 @@
 }
 
 FlowDecision TokenDirector::continueFlow(TimePoint now, const FlowPacket& packet,
-                                   std::string_view bytes) {
+                                         std::string_view bytes) {
   TokenHost* host = hosts_.find(packet.token);
   if (host == nullptr) {
-    // Another host would take the packet for one of a flow that it doesn't hold.
+    // Any other host would receive a packet of a flow that it does not hold.
     return holdForHost(now, packet, bytes);
   }
   if (host->ended) {
@@ -310,10 +324,10 @@
   deadHostFlows_.record(now, packet);
   const bool opened = recordOpened(now, packet);
   recordResponse(now, packet, *host, opened);
-  const bool isLost = recordProgress(now, packet, *host);
+  const bool isHostSilent = recordProgress(now, packet, *host);
   const bool isToDeadHost =
       packet.dataBytes > 0 && host->isDead(now) && isRepeatable(packet.service);
-  if (isLost || isToDeadHost) {
+  if (isHostSilent || isToDeadHost) {
     return RefuseFlow{RefusalReason::kHostSilent};
   }
   host->estimate.onPacket(now);
@@ -339,7 +353,7 @@
 }
 
 void TokenDirector::recordResponse(TimePoint now, const FlowPacket& packet, TokenHost& host,
-                                 bool opened) {
+                                   bool opened) {
   const auto service = services_.find(packet.service);
   if (service == services_.end()) {
     return;
@@ -361,8 +375,8 @@
   }
 }
 
-void TokenDirector::recordRequestEnd(TimePoint now, const ServiceEntry& service, const TokenHost& host,
-                                 Duration took, bool opened) {
+void TokenDirector::recordRequestEnd(TimePoint now, const ServiceEntry& service,
+                                     const TokenHost& host, Duration took, bool opened) {
   if (TokenPool* pool = hosts_.findPool(host.pool)) {
     pool->requestsInFlight.onEnded(now, took);
     const Duration usual = service.usualTime.timeOf(1.0).value_or(Duration{0});
@@ -491,14 +505,14 @@
 }
 
 std::vector<HostAckState> TokenDirector::takeAckStates() {
-  std::vector<HostAckState> signs;
+  std::vector<HostAckState> states;
   for (const uint32_t token : std::exchange(pendingAckStates_, {})) {
     if (TokenHost* host = hosts_.find(token)) {
       host->isAckStatePending = false;
-      signs.push_back(host->silence.signs(token));
+      states.push_back(host->silence.ackState(token));
     }
   }
-  return signs;
+  return states;
 }
 
 void TokenDirector::applySilentHosts(TimePoint now, const std::vector<SilentHost>& silentHosts) {
--- a/source/common/token/token_hosts.cc
+++ b/source/common/token/token_hosts.cc
@@ -67,18 +67,19 @@
 }
 
 void TokenHosts::addOrUpdate(TimePoint now, const std::string& pool, const HostSpec& spec,
-                       std::vector<HostChange>& changes) {
+                             std::vector<HostChange>& changes) {
   const uint32_t token = flowTokenOf(spec.incarnation);
   const auto [place, added] = hosts_.try_emplace(token);
   TokenHost& host = place->second;
   if (!added && host.spec.incarnation != spec.incarnation) {
-    return;  // Two incarnations with one token can't be distinguished: the first one keeps it.
+    return;  // Two incarnations with the same token are indistinguishable; the first one keeps it.
   }
-  const HostGeneration life = added ? HostGeneration::kSame : compareGenerations(host.spec, spec);
-  if (life == HostGeneration::kOlder) {
-    return;  // A list that is older than what is known.
+  const HostGeneration generation =
+      added ? HostGeneration::kSame : compareGenerations(host.spec, spec);
+  if (generation == HostGeneration::kOlder) {
+    return;  // The list is older than the known state.
   }
-  if (life == HostGeneration::kNewer) {
+  if (generation == HostGeneration::kNewer) {
     beginGeneration(now, host, spec);
     changes.push_back({HostChangeKind::kRestarted, pool, spec, startTimeOf(spec, clock_)});
   }
@@ -88,8 +89,8 @@
   } else if (drains != (host.spec.state == HostState::kDraining)) {
     changes.push_back({drains ? HostChangeKind::kDraining : HostChangeKind::kActive, pool, spec});
   }
-  const bool isNewLife = added || life == HostGeneration::kNewer;
-  const uint32_t previousCold = isNewLife ? 0 : host.spec.coldMilliseconds;
+  const bool isNewGeneration = added || generation == HostGeneration::kNewer;
+  const uint32_t previousCold = isNewGeneration ? 0 : host.spec.coldMilliseconds;
   host.hasNewColdTime = spec.coldMilliseconds != 0 && spec.coldMilliseconds != previousCold;
   host.token = token;
   const uint64_t previousBorn = host.spec.bornMilliseconds;
@@ -104,7 +105,7 @@
   if (added) {
     host.evidenceValidFrom = startTimeOf(spec, clock_);
   }
-  if (isNewLife) {
+  if (isNewGeneration) {
     host.firstSeen = now;
   }
 }
@@ -118,7 +119,7 @@
   restarted.pool = host.pool;
   restarted.listed = host.listed;
   restarted.leftAt = host.leftAt;
-  // Still in the list of hosts whose signs are to be taken.
+  // The host may still be queued for reporting its acknowledgement state.
   restarted.isAckStatePending = host.isAckStatePending;
   restarted.evidenceValidFrom = since;
   restarted.estimate.onAnswered(since);
--- a/source/common/token/token_hosts.h
+++ b/source/common/token/token_hosts.h
@@ -1,8 +1,8 @@
 /**
- * @file The hosts that flow tokens name, and the pools that list them.
+ * @file The hosts that flow tokens identify, and the pools that list them.
  *
- * A host that its pool no longer lists is remembered for the longest life of a flow, since its open
- * flows go on.
+ * A host that its pool no longer lists is kept for the maximum lifetime of a flow, because its open
+ * flows continue.
  */
 #pragma once
 
@@ -27,36 +27,36 @@
 
 namespace umberhold {
 
-/** @return the flow token of a host's incarnation; the same on every node, never 0. */
+/** @return the flow token of a host's incarnation; identical on all nodes, never 0. */
 uint32_t flowTokenOf(uint64_t incarnation);
 
-/** What became of a host with a change of its pool. */
+/** How a pool update affects a host. */
 enum class HostChangeKind : uint8_t {
-  /** New, or back after it had left. */
+  /** New, or listed again after it had left. */
   kAdded,
-  /** It takes no new flows any more; open ones go on. */
+  /** Takes no new flows; open flows continue. */
   kDraining,
-  /** It was draining and takes new flows again. */
+  /** Was draining and takes new flows again. */
   kActive,
-  /** No pool lists it any more; its open flows go on. */
+  /** No longer listed by any pool; open flows continue. */
   kLeft,
-  /** It is cold: it gets few new flows for a while. */
+  /** Is cold: receives few new flows for a while. */
   kCold,
-  /** It left, and a host that appeared later has its endpoint. */
+  /** Has left, and a host that appeared later uses its endpoint. */
   kEnded,
-  /** It started again under its id: it holds no flow of its earlier life. */
+  /** Restarted under the same id; it holds no flow of its previous generation. */
   kRestarted,
 };
 
 /** @return the snake_case name of a kind. */
 std::string_view toString(HostChangeKind kind);
 
-/** One host's change, for logs. */
+/** A change of one host, for logs. */
 struct HostChange {
   HostChangeKind kind = HostChangeKind::kAdded;
   std::string pool;
   HostSpec host;
-  /** When it was born, where it is reborn and that is known. */
+  /** Start time of a restarted host, if known. */
   std::optional<TimePoint> startedAt{};
 };
 
@@ -66,105 +66,122 @@
   HostSpec spec;
   HostId id;
   std::string pool;
-  /** Whether the pool lists it now. */
+  /** Whether the pool currently lists the host. */
   bool listed = true;
-  /** When it was last listed; meaningful while it isn't. */
+  /** When it was last listed; meaningful only if it is not listed now. */
   TimePoint leftAt{};
-  /** When a pool first listed it; hosts of one list have one instant. */
+  /** When a pool first listed it; identical for all hosts of one list. */
   TimePoint firstSeen{};
-  /** What others saw before this says nothing of its present life; unset: no such time is known. */
+  /**
+   * Observations by other nodes from before this time do not apply to the current generation;
+   * unset: no such time is known.
+   */
   std::optional<TimePoint> evidenceValidFrom{};
-  /** It left, and a host that appeared later has its endpoint: this incarnation has ended. */
+  /**
+   * The host has left, and a host that appeared later uses its endpoint: this incarnation has
+   * terminated.
+   */
   bool ended = false;
-  /** It answered far later than its pool's median at the pool's last placement. */
+  /** Its response times were far above the pool's median at the last placement in the pool. */
   bool slow = false;
   HostEstimate estimate;
   KnownSpeed speed;
-  /** Its learnt speed is low; see TokenDirector::applySpeeds. */
+  /** Its estimated speed is low; see TokenDirector::applySpeeds. */
   bool speedIsLow = false;
   SilenceEvidence silence;
-  /** It is silent to several nodes or flows: until then it counts as dead, unless it answers. */
+  /** Silent to several nodes or flows: counts as dead until this time unless it answers. */
   TimePoint deadUntil{};
-  /** Its signs changed since they were last taken. */
+  /** Its acknowledgement state changed since it was last reported. */
   bool isAckStatePending = false;
   ColdAllotment cold;
-  /** It said again how long it is cold. */
+  /** The last pool update contained a new remaining cold time. */
   bool hasNewColdTime = false;
 
-  /** @return whether news as of that time is of the host's present life. */
-  bool isCurrentGenerationAt(TimePoint time) const { return !evidenceValidFrom || time >= *evidenceValidFrom; }
+  /**
+   * @return whether an observation made at this time applies to the current generation of the host.
+   */
+  bool isCurrentGenerationAt(TimePoint time) const {
+    return !evidenceValidFrom || time >= *evidenceValidFrom;
+  }
   bool isDead(TimePoint now) const { return now < deadUntil; }
   bool isActive() const { return listed && spec.state == HostState::kActive; }
 };
 
-/** Weight of a new sample in a zone's score, which many hosts feed. */
+/** Weight of a new sample in the score of a zone, which many hosts contribute to. */
 constexpr double kZoneSampleWeight = 0.125;
 
-/** A pool's hosts. */
+/** A pool and its hosts. */
 struct TokenPool {
-  /** All that it lists, and those that left and are still remembered. Borrowed from TokenHosts. */
+  /** All listed hosts, and those that left and are still kept. Borrowed from TokenHosts. */
   std::vector<TokenHost*> hosts;
-  /** Of the hosts that it lists as active, and the number of their zones. */
+  /** Total slots of the hosts listed as active, and the number of zones with hosts. */
   uint32_t slots = 0;
   uint32_t zoneCount = 0;
   ColdLimit cold{};
-  /** Answers of late by zone, of the hosts that aren't slow themselves. */
+  /** Recent response times by zone, excluding hosts that are slow themselves. */
   std::map<std::string, ResponseScore, std::less<>> zones;
-  /** Of this node's callers, at all hosts of the pool. */
+  /** Requests of this node's callers at all hosts of the pool. */
   RequestsUnderWay requestsInFlight;
-  /** Version of the catalogue that the pool is from, and when this node applied it. */
+  /** Version of the catalogue that contained the pool, and when this node applied it. */
   uint64_t version = 0;
   TimePoint appliedAt{};
 
-  /** @return the score of a zone; a usual one where nothing is known. */
+  /** @return the score of a zone; 1 if nothing is known. */
   double zoneScore(TimePoint now, std::string_view zone) const;
 };
 
 /** Not thread safe. */
 class TokenHosts {
  public:
-  /** @param flowLife how long hosts that left are remembered. */
+  /** @param flowLife how long hosts that have left are kept. */
   explicit TokenHosts(Duration flowLife) : flowLife_(flowLife) {}
 
   /**
-   * Adds or replaces a pool, by name; hosts that it no longer lists keep their open flows.
-   * @param version of the catalogue that the pool is from; for logs only.
-   * @return what changed for its hosts.
+   * Adds or replaces a pool by name. Hosts that it no longer lists keep their open flows.
+   * @param version version of the catalogue that contains the pool; for logs only.
+   * @return the changes of its hosts.
    */
   std::vector<HostChange> setPool(TimePoint now, const HostPool& pool, uint64_t version);
   std::vector<HostChange> removePool(TimePoint now, const std::string& name, uint64_t version);
   void setFlowLife(Duration flowLife) { flowLife_ = flowLife; }
 
-  /** The time by both clocks, for the births in pools that are set later. */
+  /**
+   * Sets the current time on both clocks, which converts the start times of hosts in later pool
+   * updates.
+   */
   void setWallClock(const WallClock& clock) { clock_ = clock; }
-  /** @return the host that a token names; nullptr where none does. Valid until the next change. */
+  /** @return the host with this token; nullptr if there is none. Valid until the next change. */
   TokenHost* find(uint32_t token);
-  /** @return the pool; nullptr where it has not arrived. Valid until the next change. */
+  /** @return the pool; nullptr if it is not known yet. Valid until the next change. */
   TokenPool* findPool(const std::string& name);
   const TokenPool* findPool(const std::string& name) const;
-  /** @param visit called with each pool; it must not change which there are. */
+  /** @param visit called for each pool; must not add or remove pools. */
   template <class Visit>
   void forEachPool(const Visit& visit) const {
     for (const auto& [name, pool] : pools_) {
       visit(pool);
     }
   }
-  /** @return hosts that some pool lists. */
+  /** @return the number of hosts that are listed by a pool. */
   size_t listedCount() const;
   size_t coldCount(TimePoint now) const;
 
  private:
   void addOrUpdate(TimePoint now, const std::string& pool, const HostSpec& spec,
-             std::vector<HostChange>& changes);
-  /** The host started again: nothing of its earlier life counts for this one. */
+                   std::vector<HostChange>& changes);
+  /**
+   * Resets the state of a restarted host; observations of its previous generation are discarded.
+   */
   void beginGeneration(TimePoint now, TokenHost& host, const HostSpec& spec) const;
-  /** Marks those that the new list lacks. */
+  /** Marks the hosts that are missing in the new list. */
   void markLeft(TimePoint now, const HostPool& pool, std::vector<HostChange>& changes);
-  /** Finds the hosts that have ended: a later one has their endpoint. Of two hosts in one list
-   * neither counts as later. */
+  /**
+   * Marks the hosts that have terminated, which is the case if a host that appeared later uses
+   * their endpoint. Two hosts of one list count as having appeared at the same time.
+   */
   void markEnded(std::vector<HostChange>& changes);
   void removeExpired(TimePoint now);
-  /** Rebuilds the pools' lists of hosts, and what is counted of them. */
+  /** Rebuilds the host lists of the pools and the totals derived from them. */
   void indexByPool();
 
   Duration flowLife_;
--- a/test/common/health/host_health_test.cc
+++ b/test/common/health/host_health_test.cc
@@ -1,10 +1,10 @@
-/** @file Tests of probing, health, panic threshold and warming up. */
+/** @file Probing, health, panic threshold and slow start. */
 #include "common/health/host_health.h"
 
 #include <algorithm>
 #include <vector>
 
-// Last, because its macros replace operator new.
+// Must be last because its macros replace operator new.
 #include <CppUTest/TestHarness.h>
 
 using namespace umberhold;
@@ -40,7 +40,7 @@
   }
 };
 
-TEST(HostHealth, ThreeMissesInARowTakeAHostOutAndTwoAnswersBringItBack) {
+TEST(HostHealth, ThreeFailuresEjectAHostAndTwoSuccessesRestoreIt) {
   miss(1, 2);
   health.onProbe(kStart, HostId{1}, true, std::nullopt);
   miss(1, 2);
@@ -53,7 +53,7 @@
   CHECK(health.mayTakeFlows(kStart, HostId{1}));
 }
 
-TEST(HostHealth, HealthAloneNeverTakesOutMoreThanHalf) {
+TEST(HostHealth, PanicThresholdLimitsEjections) {
   health.setOwnedShards({0, 1, 2});
   miss(1, 3);
   miss(2, 3);
@@ -65,8 +65,8 @@
   CHECK(!health.isHealthy(kStart, HostId{1}));
 }
 
-/** The others' recovery becomes known host by host. */
-TEST(HostHealth, APanicOutlivesTheFirstRecoveryForAWhile) {
+/** The recovery of the other hosts becomes known one host at a time. */
+TEST(HostHealth, PanicModeOutlastsTheFirstRecovery) {
   health.setOwnedShards({0, 1, 2});
   for (const uint64_t host : {1, 2, 3, 4}) {
     miss(host, 3);
@@ -79,7 +79,7 @@
   CHECK(health.mayTakeFlows(after(18), HostId{1}));
 }
 
-TEST(HostHealth, AHostThatCameBackInAPanicWasNeverOutAndIsNotWarmedUp) {
+TEST(HostHealth, RecoveryInPanicModeSkipsSlowStart) {
   health.setOwnedShards({0, 1, 2});
   for (const uint64_t host : {1, 2, 3, 4}) {
     miss(host, 3);
@@ -94,7 +94,7 @@
   CHECK(health.rampFactor(after(21), HostId{3}) < 1.0);
 }
 
-TEST(HostHealth, AnUnknownHostMayNotTakeFlows) {
+TEST(HostHealth, UnknownHostTakesNoFlows) {
   miss(99, 3);
   CHECK(!health.mayTakeFlows(kStart, HostId{99}));
 }
@@ -111,14 +111,14 @@
   CHECK(probes <= 28);
 }
 
-TEST(HostHealth, AMissIsFollowedUpWithinAboutASecond) {
+TEST(HostHealth, RetriesAFailureWithinAboutASecond) {
   health.dueProbes(after(10));
   health.onProbe(after(10), HostId{1}, false, std::nullopt);
   const auto due = health.dueProbes(after(11.2));
   CHECK(std::find(due.begin(), due.end(), HostId{1}) != due.end());
 }
 
-TEST(HostHealth, TheProbeBudgetHoldsAndNoHostStarves) {
+TEST(HostHealth, EnforcesTheProbeRateWithoutStarvation) {
   HostHealthOptions options;
   options.probesPerSecond = 5.0;
   HostHealth many(options, 2);
@@ -136,7 +136,7 @@
   CHECK(*std::min_element(probed.begin() + 1, probed.end()) >= 1);
 }
 
-TEST(HostHealth, OnlyTheProbingShardIsBelieved) {
+TEST(HostHealth, AcceptsResultsOnlyFromTheProbingShard) {
   health.onRemoteResult(kStart, 2, HostId{2}, false, std::nullopt);
   CHECK(health.isHealthy(kStart, HostId{2}));
   health.onRemoteResult(kStart, 1, HostId{2}, false, std::nullopt);
@@ -145,20 +145,20 @@
   CHECK(health.isHealthy(kStart, HostId{1}));
 }
 
-TEST(HostHealth, WhatASilentOwnerSaidDoesNotLastForEver) {
+TEST(HostHealth, RemoteResultsExpire) {
   health.onRemoteResult(kStart, 1, HostId{2}, false, std::nullopt);
   CHECK(!health.isHealthy(after(59), HostId{2}));
   CHECK(health.isHealthy(after(61), HostId{2}));
 }
 
-TEST(HostHealth, AHostWithoutProbeEndpointIsNeverProbedAndHealthy) {
+TEST(HostHealth, HostWithoutProbeEndpointIsAlwaysHealthy) {
   health.setHosts(kStart, {{HostId{1}, false, true}}, 1);
   health.setOwnedShards({0});
   CHECK(health.dueProbes(after(100)).empty());
   CHECK(health.mayTakeFlows(kStart, HostId{1}));
 }
 
-TEST(HostHealth, NewAndReturningHostsWarmUp) {
+TEST(HostHealth, NewAndRecoveredHostsRampUp) {
   DOUBLES_EQUAL(1.0, health.rampFactor(kStart, HostId{1}), 1e-9);
   health.setHosts(after(10), hosts(7), 3);
   CHECK(health.rampFactor(after(10), HostId{7}) < 0.2);
--- a/test/common/health/host_observations_test.cc
+++ b/test/common/health/host_observations_test.cc
@@ -1,4 +1,6 @@
-/** @file What nodes of a zone see of hosts, put together; and what is no good report. */
+/**
+ * @file Aggregation of the host observations of a zone's nodes, and rejection of invalid reports.
+ */
 #include "common/health/host_observations.h"
 
 #include <string>
@@ -32,7 +34,7 @@
   }
 };
 
-TEST(HostObservations, NamesAHostThatSeveralNodesSeeAnsweringLate) {
+TEST(HostObservations, ReturnsAHostThatSeveralNodesReportAsSlow) {
   for (uint64_t reporter = 1; reporter <= 4; ++reporter) {
     merge(reporter, kSlowHost, 450);
     merge(reporter, kUsualHost, 110);
@@ -45,7 +47,7 @@
   LONGS_EQUAL(300, standings[0].ageMilliseconds);
 }
 
-TEST(HostObservations, OneNodeAloneNamesNobodyHoweverOftenItReports) {
+TEST(HostObservations, SingleNodeEjectsNoHostHoweverOftenItReports) {
   for (int count = 0; count < 50; ++count) {
     merge(1, kSlowHost, 500);
     now += milliseconds(10);
@@ -53,14 +55,14 @@
   CHECK_TRUE(zone.standings(now).empty());
 }
 
-TEST(HostObservations, OneWrongNodeAmongWellOnesNamesNobody) {
+TEST(HostObservations, SingleFaultyNodeEjectsNoHost) {
   for (uint64_t reporter = 1; reporter <= 6; ++reporter) {
     merge(reporter, kSlowHost, reporter == 1 ? 500 : 100);
   }
   CHECK_TRUE(zone.standings(now).empty());
 }
 
-TEST(HostObservations, ForgetsWhatIsOld) {
+TEST(HostObservations, DropsOldReports) {
   merge(1, kSlowHost, 500);
   merge(2, kSlowHost, 500);
   LONGS_EQUAL(1, zone.standings(now).size());
@@ -68,17 +70,17 @@
   CHECK_TRUE(zone.standings(now).empty());
 }
 
-TEST(HostObservations, TakesAReportOnceAndNoOlderOne) {
+TEST(HostObservations, AcceptsAReportOnceAndNoOlderOne) {
   const HostReport first = report(1, kSlowHost, 500);
   const HostReport second = report(1, kSlowHost, 100);
   CHECK_TRUE(zone.merge(now, second) == ReportOutcome::kAccepted);
   CHECK_TRUE(zone.merge(now, second) == ReportOutcome::kRepeated);
   CHECK_TRUE(zone.merge(now, first) == ReportOutcome::kRepeated);
-  now += seconds(4);  // A node that was replaced may count from an earlier number again.
+  now += seconds(4);  // A replaced node may start again with a lower sequence number.
   CHECK_TRUE(zone.merge(now, first) == ReportOutcome::kAccepted);
 }
 
-TEST(HostObservations, RefusesFiguresThatNoNodeCanHaveMeasured) {
+TEST(HostObservations, RejectsValuesOutOfRange) {
   CHECK_TRUE(zone.merge(now, {1, 1, {{kSlowHost, 1, 501}}, {}}) == ReportOutcome::kInvalid);
   CHECK_TRUE(zone.merge(now, {1, 2, {{kSlowHost, 0, 300}}, {}}) == ReportOutcome::kInvalid);
   HostReport tooLong{1, 3, {}, {}};
@@ -89,7 +91,7 @@
   CHECK_TRUE(merge(1, kSlowHost, 500) == ReportOutcome::kAccepted);
 }
 
-TEST(HostObservations, NamesTheLatestFirstAndABoundedNumber) {
+TEST(HostObservations, ReturnsABoundedNumberSlowestFirst) {
   for (uint32_t token = 1; token <= 600; ++token) {
     for (uint64_t reporter = 1; reporter <= 2; ++reporter) {
       merge(reporter, token, token == 77 ? 500 : 400);
@@ -100,7 +102,7 @@
   LONGS_EQUAL(77, standings[0].token);
 }
 
-TEST(HostObservations, AReportHoldsTheMeansOfABoundedNumberOfHosts) {
+TEST(HostObservations, ReportContainsMeansOfABoundedNumberOfHosts) {
   SampleCollector gatherer(5);
   gatherer.add({{kSlowHost, 2.0}, {kSlowHost, 1000.0}, {kUsualHost, 1.0}});
   const HostReport report = gatherer.takeReport(now);
@@ -119,7 +121,7 @@
   LONGS_EQUAL(kMaxReportedHosts, gatherer.takeReport(now).hosts.size());
 }
 
-TEST(HostObservations, AReportHoldsTheWorkOfRequestsThatDidNotWait) {
+TEST(HostObservations, ReportContainsProcessingTimesOfUnqueuedRequests) {
   SampleCollector gatherer(5);
   gatherer.add({{kSlowHost, 2.0, 1.0}, {kSlowHost, 2.0, 4.0}, {kSlowHost, 9.0, std::nullopt}});
   gatherer.add({{kUsualHost, 1.0, std::nullopt}});
@@ -129,7 +131,7 @@
   CHECK_TRUE(zone.merge(now, {1, 1, {{kSlowHost, 1, 100, 401}}, {}}) == ReportOutcome::kInvalid);
 }
 
-TEST(HostObservations, ANodeThatAsksHearsHowFastHostsAre) {
+TEST(HostObservations, QueryingNodeReceivesSpeeds) {
   ObservationExchange exchange("front-1");
   for (uint64_t reporter = 1; reporter <= 6; ++reporter) {
     const HostReport report{reporter, 1, {{kSlowHost, 2, 100, 200}}, {}};
@@ -141,13 +143,13 @@
   CHECK_TRUE(speeds[0].percentOfUsual < 60);
 }
 
-TEST(HostObservations, SpeedsTakeTheBytesThatStandingsLeave) {
+TEST(HostObservations, SpeedsFitIntoTheSpaceLeftByStandings) {
   LONGS_EQUAL(kMaxLearnedSpeeds, maxSpeedsBeside(0));
   LONGS_EQUAL(12, maxSpeedsBeside(kMaxStandings - 10));
   LONGS_EQUAL(0, maxSpeedsBeside(kMaxStandings));
   const auto bytesOf = [](size_t standings, size_t speeds) {
     PeerChanges changes;
-    uint64_t number = 0;  // Tokens that can't be compressed.
+    uint64_t number = 0;  // Tokens that cannot be compressed.
     for (size_t index = 0; index < standings; ++index) {
       changes.standings.push_back({flowTokenOf(++number), 500, 3000});
     }
@@ -164,7 +166,7 @@
   }
 }
 
-TEST(HostObservations, ANodeThatIsAskedAddsWhatItSeesItself) {
+TEST(HostObservations, QueriedNodeAddsItsOwnSamples) {
   ObservationExchange exchange("front-1");
   const auto encoded = encodeHostReport({1, 1, {{kSlowHost, 1, 500}}, {}});
   exchange.merge(now, valueOf(encoded));
@@ -176,13 +178,13 @@
   CHECK_FALSE(exchange.takeUpdate().has_value());
 }
 
-TEST(HostObservations, RefusesAReportWithTooManySigns) {
+TEST(HostObservations, RejectsAReportWithTooManySigns) {
   HostReport tooLong{1, 1, {}, {}};
   tooLong.signs.resize(kMaxReportedSigns + 1);
   CHECK_TRUE(zone.merge(now, tooLong) == ReportOutcome::kInvalid);
 }
 
-TEST(HostObservations, ANodeWhoseCallersGetNoAcknowledgementSaysSoAtOnce) {
+TEST(HostObservations, MissingAcknowledgementTriggersAnUrgentReport) {
   ObservationExchange exchange("front-1");
   int urgent = 0;
   exchange.setUrgentCallback([&] { ++urgent; });
@@ -193,7 +195,7 @@
   LONGS_EQUAL(1, exchange.takeReport(now).signs.size());
 }
 
-TEST(HostObservations, ANodeThatIsAskedNamesHostsThatAreSilentToItAndAnother) {
+TEST(HostObservations, QueriedNodeReturnsHostsSilentToItAndAnother) {
   ObservationExchange exchange("front-1");
   const HostReport other{1, 1, {}, {{kSlowHost, kNeverAnswered, 2, {11}, 600}}};
   exchange.merge(now, valueOf(encodeHostReport(other)));
@@ -205,7 +207,7 @@
   LONGS_EQUAL(600, news->silentHosts[0].silentMilliseconds);
 }
 
-TEST(HostObservations, WhatIsNoReportIsCountedAndChangesNothing) {
+TEST(HostObservations, MalformedReportIsCountedAndIgnored) {
   ObservationExchange exchange("front-1");
   exchange.merge(now, "no report");
   exchange.merge(now, std::string(3000, '\x91'));
--- a/test/common/health/zone_silence_test.cc
+++ b/test/common/health/zone_silence_test.cc
@@ -1,4 +1,4 @@
-/** @file Which hosts are silent to all nodes of a zone. */
+/** @file Detection of hosts that are silent to all nodes of a zone. */
 #include "common/health/zone_silence.h"
 
 #include <CppUTest/TestHarness.h>
@@ -17,7 +17,7 @@
   TimePoint now{seconds(1000)};
   ZoneSilence zone;
 
-  /** A node reports copies of one caller's data, sent first `ago` before. */
+  /** Reports retransmissions of one caller's data, first sent `ago` milliseconds earlier. */
   void reportSilence(uint64_t reporter, uint32_t caller, uint32_t copies, uint32_t ago) {
     zone.merge(now, reporter, {{kHost, kNeverAnswered, copies, {caller}, ago}});
   }
@@ -26,7 +26,7 @@
   }
 };
 
-TEST(ZoneSilence, NamesAHostThatTwoNodesFindSilent) {
+TEST(ZoneSilence, ReturnsAHostSilentToTwoNodes) {
   reportAnswer(3, 900);
   reportSilence(1, 11, 2, 600);
   CHECK_TRUE(zone.silentHosts(now).empty());
@@ -37,7 +37,7 @@
   LONGS_EQUAL(600, silent[0].silentMilliseconds);
 }
 
-TEST(ZoneSilence, OneNodeAloneSilencesNobodyHoweverManyCallersItNames) {
+TEST(ZoneSilence, IgnoresASingleNodeHoweverManyCallersItReports) {
   for (int round = 0; round < 20; ++round) {
     zone.merge(now, 1, {{kHost, kNeverAnswered, 50, {1, 2, 3}, 900}});
     now += milliseconds(100);
@@ -45,20 +45,22 @@
   CHECK_TRUE(zone.silentHosts(now).empty());
 }
 
-TEST(ZoneSilence, OneCallerAloneSilencesNobodyHoweverManyNodesCarryIt) {
+TEST(ZoneSilence, IgnoresASingleCallerHoweverManyNodesReportIt) {
   for (uint64_t reporter = 1; reporter <= 5; ++reporter) {
     reportSilence(reporter, 11, 3, 900);
   }
   CHECK_TRUE(zone.silentHosts(now).empty());
 }
 
-TEST(ZoneSilence, TwoLostPacketsSilenceNobody) {
+TEST(ZoneSilence, IgnoresTwoLostPackets) {
   reportSilence(1, 11, 1, 300);
   reportSilence(2, 12, 1, 300);
   CHECK_TRUE(zone.silentHosts(now).empty());
 }
 
-/** Guards against resets of living flows: callers of all nodes send again in one pause of a host.
+/**
+ * Guards against resets of working flows: callers of all nodes retransmit during one pause of a
+ * host.
  */
 TEST(ZoneSilence, AShortSilenceNamesNobodyHoweverManyFindIt) {
   for (uint64_t reporter = 1; reporter <= 5; ++reporter) {
@@ -66,7 +68,7 @@
   }
   CHECK_TRUE(zone.silentHosts(now).empty());
   now += milliseconds(300);
-  // The reports tell nothing of the time after them.
+  // The reports are no evidence about the time after them.
   CHECK_TRUE(zone.silentHosts(now).empty());
   reportSilence(1, 11, 2, 799);
   CHECK_TRUE(zone.silentHosts(now).empty());
@@ -74,20 +76,20 @@
   LONGS_EQUAL(1, zone.silentHosts(now).size());
 }
 
-TEST(ZoneSilence, AnAnswerToAnyNodeShowsThatTheHostLives) {
+TEST(ZoneSilence, AnswerToAnyNodeEndsSilence) {
   reportSilence(1, 11, 2, 600);
   reportSilence(2, 12, 2, 500);
   LONGS_EQUAL(1, zone.silentHosts(now).size());
   reportAnswer(3, 100);
   CHECK_TRUE(zone.silentHosts(now).empty());
-  // What was sent before the answer tells nothing any more, also where it is reported again.
+  // Data sent before the answer is no longer evidence, even if it is reported again.
   now += milliseconds(100);
   reportSilence(1, 11, 3, 700);
   reportSilence(2, 12, 3, 600);
   CHECK_TRUE(zone.silentHosts(now).empty());
 }
 
-TEST(ZoneSilence, AReportThatWasUnderWayForLongDoesNotMakeSilenceYounger) {
+TEST(ZoneSilence, DelayedReportDoesNotExtendSilencePastAnAnswer) {
   reportAnswer(3, 0);
   now += milliseconds(90);
   // Both were sent 50 ms before the answer, but their reports took 90 ms longer.
@@ -96,21 +98,21 @@
   CHECK_TRUE(zone.silentHosts(now).empty());
 }
 
-TEST(ZoneSilence, ForgetsWhatIsNoLongerReported) {
+TEST(ZoneSilence, DropsExpiredReports) {
   reportSilence(1, 11, 2, 600);
   reportSilence(2, 12, 2, 500);
   now += seconds(4);
   CHECK_TRUE(zone.silentHosts(now).empty());
 }
 
-TEST(ZoneSilence, ANodeTakesItsReportBack) {
+TEST(ZoneSilence, NodeWithdrawsItsReport) {
   reportSilence(1, 11, 2, 600);
   reportSilence(2, 12, 2, 500);
   zone.merge(now, 2, {{kHost, kNeverAnswered, 0, {}, 0}});
   CHECK_TRUE(zone.silentHosts(now).empty());
 }
 
-TEST(ZoneSilence, NamesABoundedNumber) {
+TEST(ZoneSilence, ReturnsABoundedNumber) {
   for (uint32_t token = 1; token <= 1000; ++token) {
     zone.merge(now, 1, {{token, kNeverAnswered, 2, {11}, 600}});
     zone.merge(now, 2, {{token, kNeverAnswered, 2, {12}, 600}});
@@ -118,7 +120,7 @@
   LONGS_EQUAL(kMaxSilentHosts, zone.silentHosts(now).size());
 }
 
-TEST(ZoneSilence, AGathererReportsSilentHostsFirstAndAgainAndAnswersOnce) {
+TEST(ZoneSilence, CollectorRepeatsSilentHostsFirstAndReportsAnswersOnce) {
   AckStateCollector gatherer;
   std::vector<HostAckState> signs;
   for (uint32_t token = 1; token <= 2 * kMaxReportedSigns; ++token) {
@@ -136,7 +138,7 @@
   LONGS_EQUAL(100, first[1].answeredAgoMilliseconds);
   LONGS_EQUAL(1, gatherer.take(now).size());
   now += seconds(4);
-  gatherer.take(now);  // The last copy is too old to be told once more.
+  gatherer.take(now);  // The last retransmission is too old to be reported again.
   CHECK_TRUE(gatherer.take(now).empty());
 }
 
--- a/test/common/speed/speed_learner_property.cc
+++ b/test/common/speed/speed_learner_property.cc
@@ -1,4 +1,7 @@
-/** @file Whatever one node of a zone reports, the speed of a host lies where the others see it. */
+/**
+ * @file Whatever one node of a zone reports, the estimated speed of a host stays within the range
+ * measured by the other nodes.
+ */
 #include <rapidcheck.h>
 
 #include <algorithm>
@@ -18,19 +21,19 @@
 
 constexpr uint32_t kToken = 7;
 constexpr uint64_t kFaulty = 1;
-/** A hundredth from rounding, and as much from the logarithm. */
+/** 0.01 from rounding and 0.01 from the logarithm. */
 constexpr double kRounding = 1.02;
 
 }  // namespace
 
 TEST_GROUP_BASE(SpeedLearnerProperty, test::WithoutLeakDetection){};
 
-TEST(SpeedLearnerProperty, AFaultyNodeMovesNoHostsSpeedAlone) {
+TEST(SpeedLearnerProperty, SingleFaultyNodeDoesNotShiftASpeed) {
   CHECK_TRUE(rc::check([] {
     TimePoint now{seconds(1000)};
     SpeedLearner learner;
     const auto nodes = *rc::gen::inRange<uint64_t>(2, 40);
-    // The usual speed is taken for granted before anything is known.
+    // The range includes the usual speed, which is assumed as a prior.
     double least = 100.0;
     double most = 100.0;
     for (uint64_t node = kFaulty + 1; node <= kFaulty + nodes; ++node) {
@@ -51,7 +54,7 @@
   }));
 }
 
-TEST(SpeedLearnerProperty, MemoryIsBoundedWhateverIsReported) {
+TEST(SpeedLearnerProperty, MemoryIsBounded) {
   SpeedLearner learner;
   TimePoint now{seconds(1000)};
   for (uint32_t token = 1; token <= 2 * SpeedLearner::kMaxHosts; ++token) {
--- a/test/common/speed/speed_learner_test.cc
+++ b/test/common/speed/speed_learner_test.cc
@@ -1,4 +1,4 @@
-/** @file What the nodes of a zone together learn of the speeds of hosts. */
+/** @file Estimation of host speeds from the measurements of all nodes of a zone. */
 #include "common/speed/speed_learner.h"
 
 #include <algorithm>
@@ -26,8 +26,10 @@
   SpeedLearner learner;
   std::mt19937 engine{5};
 
-  /** @return a request's time of work at a host of the speed: most spread by a half, 3 of 100 take
-   * seven times as long. */
+  /**
+   * @return the processing time of a request at a host of this speed: log-normal with a spread of
+   * 0.5, and 3 of 100 requests take seven times as long.
+   */
   double workPercent(double speed) {
     std::lognormal_distribution<double> usual(0.0, 0.5);
     const bool isLong = std::uniform_real_distribution<double>(0.0, 1.0)(engine) < 0.03;
@@ -36,13 +38,16 @@
   static uint32_t tokenOf(uint32_t host) {
     return static_cast<uint32_t>(mixHash(host, 0));
   }
-  /** Two of three hosts are slow, the third is fast. */
+  /** Two of three hosts are slow, the third one is fast. */
   static double speedOf(uint32_t host) {
     return host % 3 == 2 ? 1.7 : 0.7;
   }
-  /** Each node sees each host about once in two seconds. @param speed of a host. */
+  /**
+   * Each node samples each host about once in two seconds. @param speed returns the speed of a
+   * host.
+   */
   template <class Speed>
-  void pass(Duration time, const Speed& speed) {
+  void simulate(Duration time, const Speed& speed) {
     const TimePoint end = now + time;
     while (now < end) {
       now += milliseconds(100);
@@ -65,8 +70,8 @@
   }
 };
 
-TEST(SpeedLearner, FindsTheSpeedsOfHostsThatEachNodeSeesOnceInTwoSeconds) {
-  pass(seconds(6), speedOf);
+TEST(SpeedLearner, EstimatesSpeedsFromSparseSamplesOfManyNodes) {
+  simulate(seconds(6), speedOf);
   for (uint32_t host = 0; host < kHosts; ++host) {
     const LearnedSpeed speed = learned(host);
     CHECK_TRUE(speed.samples >= 20);
@@ -74,7 +79,7 @@
   }
 }
 
-TEST(SpeedLearner, SaysNothingOfAHostThatFewRequestsOrFewNodesSpeakOf) {
+TEST(SpeedLearner, ReturnsNothingForTooFewRequestsOrNodes) {
   for (uint32_t node = 1; node <= 5; ++node) {
     learner.add(now, node, 7, 200, 1);
   }
@@ -86,40 +91,40 @@
   CHECK_TRUE(learner.speeds(now, kMany).empty());
 }
 
-TEST(SpeedLearner, NoticesWithinSecondsThatAHostTurnedSlowAndThatItRecovered) {
-  pass(seconds(10), [](uint32_t) { return 1.0; });
+TEST(SpeedLearner, FollowsSlowdownAndRecoveryWithinSeconds) {
+  simulate(seconds(10), [](uint32_t) { return 1.0; });
   const auto slow = [](uint32_t host) { return host == 3 ? 0.25 : 1.0; };
-  pass(seconds(4), slow);
+  simulate(seconds(4), slow);
   CHECK_TRUE(learned(3).percentOfUsual < 80);
-  pass(seconds(6), slow);
+  simulate(seconds(6), slow);
   CHECK_TRUE(learned(3).percentOfUsual < 55);
-  pass(seconds(12), [](uint32_t) { return 1.0; });
+  simulate(seconds(12), [](uint32_t) { return 1.0; });
   CHECK_TRUE(learned(3).percentOfUsual > 75);
 }
 
-TEST(SpeedLearner, ForgetsWhatNobodySpeaksOfAnyMore) {
-  pass(seconds(6), speedOf);
+TEST(SpeedLearner, DropsHostsThatAreNoLongerReported) {
+  simulate(seconds(6), speedOf);
   LONGS_EQUAL(kHosts, learner.speeds(now, kMany).size());
   now += seconds(60);
   CHECK_TRUE(learner.speeds(now, kMany).empty());
 }
 
-TEST(SpeedLearner, SaysABoundedNumberAndAllOfThemInTurn) {
-  pass(seconds(6), speedOf);
-  std::vector<uint32_t> heard;
+TEST(SpeedLearner, ReturnsABoundedNumberAndAllOfThemInTurn) {
+  simulate(seconds(6), speedOf);
+  std::vector<uint32_t> received;
   for (int answer = 0; answer < 40; ++answer) {
     const auto speeds = learner.speeds(now, 4);
     LONGS_EQUAL(4, speeds.size());
     for (const LearnedSpeed& speed : speeds) {
-      heard.push_back(speed.token);
+      received.push_back(speed.token);
     }
   }
-  std::sort(heard.begin(), heard.end());
-  LONGS_EQUAL(kHosts, std::unique(heard.begin(), heard.end()) - heard.begin());
+  std::sort(received.begin(), received.end());
+  LONGS_EQUAL(kHosts, std::unique(received.begin(), received.end()) - received.begin());
 }
 
-TEST(SpeedLearner, ANodeThatIsSlowItselfMovesHostsLittle) {
-  pass(seconds(6), speedOf);
+TEST(SpeedLearner, SlowNodeHardlyShiftsSpeeds) {
+  simulate(seconds(6), speedOf);
   const uint32_t before = learned(0).percentOfUsual;
   for (uint32_t host = 0; host < kHosts; ++host) {
     for (int count = 0; count < 20; ++count) {
--- a/test/common/speed/work_times_test.cc
+++ b/test/common/speed/work_times_test.cc
@@ -1,4 +1,4 @@
-/** @file The part of a request's time that its host worked on it. */
+/** @file Estimation of the processing time as a part of the response time. */
 #include "common/speed/work_times.h"
 
 #include <CppUTest/TestHarness.h>
@@ -23,7 +23,7 @@
   }
 };
 
-TEST(WorkTimes, LeavesTheNetworkOut) {
+TEST(WorkTimes, ExcludesNetworkDelay) {
   open(milliseconds(30));
   respond(milliseconds(70));
   DOUBLES_EQUAL(1.0, times.ratioOf(milliseconds(70)).value(), 0.01);
@@ -31,7 +31,7 @@
   DOUBLES_EQUAL(0.5, times.ratioOf(milliseconds(50)).value(), 0.01);
 }
 
-TEST(WorkTimes, SaysNothingBeforeNetworkAndWorkAreKnown) {
+TEST(WorkTimes, ReturnsNothingBeforeNetworkAndWorkAreKnown) {
   respond(milliseconds(70));
   CHECK_FALSE(times.ratioOf(milliseconds(70)).has_value());
   open(milliseconds(30), 5);
@@ -42,14 +42,14 @@
   CHECK_TRUE(times.ratioOf(milliseconds(70)).has_value());
 }
 
-TEST(WorkTimes, OneRequestCountsNoMoreThanFourTimesTheUsual) {
+TEST(WorkTimes, LimitsASingleRequestToFourTimesTheUsual) {
   open(milliseconds(10));
   respond(milliseconds(40));
   DOUBLES_EQUAL(kMaxWorkRatio, times.ratioOf(seconds(9)).value(), 1e-9);
   DOUBLES_EQUAL(kMinWorkRatio, times.ratioOf(milliseconds(2)).value(), 1e-9);
 }
 
-TEST(WorkTimes, AHostThatIsAlwaysSlowIsExpectedToAnswerLate) {
+TEST(WorkTimes, ExpectsHighResponseTimesFromASlowHost) {
   open(milliseconds(10));
   respond(milliseconds(40));
   // 20 ms are added to every time: (30 + 30 / 0.5) / 60.
--- a/test/common/token/cold_hosts_test.cc
+++ b/test/common/token/cold_hosts_test.cc
@@ -1,4 +1,4 @@
-/** @file What one node, and all nodes together, give to hosts that have just started. */
+/** @file Allotments of one node, and of all nodes together, for hosts that have just started. */
 #include "common/token/cold_hosts.h"
 
 #include <algorithm>
@@ -15,7 +15,10 @@
   ColdLimit limit{8.0, 2000};
   TimePoint now{seconds(1000)};
 
-  /** @return flows that a node gives to a host in its cold time, taking each that it may. */
+  /**
+   * @return the number of flows that a node sends to a host during its cold phase if it uses its
+   * whole allotment.
+   */
   int taken(double flows) {
     ColdAllotment allotment;
     allotment.begin(now, seconds(2), flows, random);
@@ -30,8 +33,11 @@
   }
 };
 
-/** 74 nodes in three zones, whatever the lots: the host bears 8 x 1.5 + 5 requests in a second. */
-TEST(ColdHosts, AllNodesTogetherStayBelowWhatAHostBears) {
+/**
+ * 74 nodes in three zones, for any random rounding: the host can handle 8 x 1.5 + 5 requests per
+ * second.
+ */
+TEST(ColdHosts, AllNodesTogetherStayBelowTheHostLimit) {
   const SendingNodes nodes{25, 3};
   const double own = coldFlowsPerNode(options, limit, nodes, true);
   const double other = coldFlowsPerNode(options, limit, nodes, false);
@@ -53,7 +59,7 @@
   CHECK_TRUE(sum / kHosts >= 4);
 }
 
-TEST(ColdHosts, ANodeOfFewSpreadsItsFlows) {
+TEST(ColdHosts, SpreadsFlowsOverTheFirstSecond) {
   ColdAllotment allotment;
   allotment.begin(now, seconds(2), 4.0, random);
   int inFirstQuarter = 0;
@@ -66,13 +72,14 @@
   CHECK_TRUE(inFirstQuarter <= 2);
 }
 
-TEST(ColdHosts, AreUsualOnceTheirTimeIsOver) {
+TEST(ColdHosts, AcceptFlowsFreelyAfterTheColdPhase) {
   ColdAllotment allotment;
   CHECK_TRUE(allotment.canTakeFlow(now));
   allotment.begin(now, seconds(2), 0.0, random);
   CHECK_FALSE(allotment.canTakeFlow(now + milliseconds(1999)));
   CHECK_TRUE(allotment.canTakeFlow(now + seconds(2)));
-  // News of the same cold time gives no second allotment, and may only prolong it.
+  // A repeated announcement of the same cold phase grants no second allotment and can only extend
+  // the phase.
   allotment.begin(now, seconds(2), 1.0, random);
   allotment.onPlaced(now + seconds(1));
   allotment.begin(now + seconds(1), milliseconds(1200), 1.0, random);
@@ -80,7 +87,7 @@
   CHECK_TRUE(allotment.canTakeFlow(now + milliseconds(2200)));
 }
 
-TEST(ColdHosts, ANodeThatKnowsNobodyReckonsWithOthers) {
+TEST(ColdHosts, AssumesAMinimumNumberOfNodes) {
   DOUBLES_EQUAL(0.3 * 17 / 8, coldFlowsPerNode(options, limit, {1, 1}, true), 1e-9);
   CHECK_TRUE(coldFlowsPerNode(options, limit, {1, 1}, false) <= 0.05 * 17 / 8);
 }
--- a/test/common/token/dead_host_flows_test.cc
+++ b/test/common/token/dead_host_flows_test.cc
@@ -1,4 +1,4 @@
-/** @file Which flows of dead hosts are reset. */
+/** @file Selection of flows of dead hosts to reset. */
 #include "common/token/dead_host_flows.h"
 
 #include <string>
@@ -44,7 +44,7 @@
   }
 };
 
-TEST(DeadHostFlows, EveryFlowOfAHostThatEndedIsReset) {
+TEST(DeadHostFlows, ResetsAllFlowsOfATerminatedHost) {
   send(1, "once", 0);
   send(2, "once", 100);
   send(3, "repeatable", 100);
@@ -56,7 +56,7 @@
   CHECK_FALSE(flows.hasPending());
 }
 
-TEST(DeadHostFlows, ASilentHostKeepsRequestsThatMayRunOnceOnly) {
+TEST(DeadHostFlows, LeavesNonRepeatableRequestsToASilentHost) {
   send(1, "once", 0);
   send(2, "once", 100);
   send(3, "repeatable", 100);
@@ -71,7 +71,7 @@
   LONGS_EQUAL(1, takeAll());
 }
 
-TEST(DeadHostFlows, GivesABoundedNumberAtOnceAndLosesNone) {
+TEST(DeadHostFlows, ReturnsABoundedNumberPerCallAndLosesNone) {
   for (uint32_t caller = 1; caller <= 1000; ++caller) {
     send(caller, "once", 0);
   }
@@ -81,7 +81,7 @@
   LONGS_EQUAL(1000 - DeadHostFlows::kMaxResetsPerCall, takeAll());
 }
 
-TEST(DeadHostFlows, AFlowThatIsOlderThanFlowsLiveIsAnotherOneByNow) {
+TEST(DeadHostFlows, IgnoresFlowsOlderThanTheFlowLifetime) {
   send(1, "once", 0);
   now += seconds(61);
   fallSilent();
--- a/test/common/token/flow_placement_test.cc
+++ b/test/common/token/flow_placement_test.cc
@@ -1,4 +1,4 @@
-/** @file New flows avoid hosts and zones that answer late. */
+/** @file New flows avoid slow hosts and slow zones. */
 #include "common/token/flow_placement.h"
 
 #include <map>
@@ -29,7 +29,7 @@
   TokenHosts hosts{seconds(60)};
   PlacementOptions options;
 
-  /** Hosts 1 to `own` are in bole, the next ones in piassa. */
+  /** Hosts 1 to `own` are in bole, the others in piassa. */
   void setHosts(uint64_t own, uint64_t other) {
     std::vector<HostSpec> listed;
     for (uint64_t number = 1; number <= own + other; ++number) {
@@ -65,7 +65,7 @@
   }
 };
 
-TEST(FlowPlacement, GivesFewNewFlowsToAHostThatAnswersFarLaterThanTheOthers) {
+TEST(FlowPlacement, SendsFewNewFlowsToAMuchSlowerHost) {
   setHosts(5, 0);
   answer(1, 5.0, 30);
   for (uint64_t number = 2; number <= 5; ++number) {
@@ -75,8 +75,8 @@
   CHECK_TRUE(placed[1] * 15 < placed[2]);
 }
 
-/** 10 hosts of 2 slots in each zone; the node has 1 of the 10 nodes of its zone. */
-TEST(FlowPlacement, AZoneIsPreferredUntilItsSlotsAreFullAndThenSpreadsAPart) {
+/** 10 hosts with 2 slots in each zone; the node is one of 10 nodes of its zone. */
+TEST(FlowPlacement, PrefersOwnZoneUntilItsSlotsAreFull) {
   setHosts(10, 10);
   for (uint64_t number = 1; number <= 20; ++number) {
     host(number).spec.slots = 2;
@@ -84,9 +84,9 @@
   RequestsUnderWay& requestsInFlight = hosts.findPool("dispatch")->requestsInFlight;
   const auto ownPart = [&](double requestsPerSlot) {
     requestsInFlight = RequestsUnderWay{};
-    // Of this node's share of 20 slots.
+    // Relative to this node's share of 20 slots.
     requestsInFlight.onEnded(now, std::chrono::duration_cast<Duration>(
-                              std::chrono::duration<double>(2.0 * requestsPerSlot)));
+                                      std::chrono::duration<double>(2.0 * requestsPerSlot)));
     FlowPlacement placement("bole", options, random);
     placement.setZoneNodes(10);
     int own = 0;
@@ -97,20 +97,21 @@
   };
   DOUBLES_EQUAL(1.0, ownPart(0.2), 1e-9);
   DOUBLES_EQUAL(1.0, ownPart(0.69), 1e-9);
-  DOUBLES_EQUAL(0.75, ownPart(1.4), 0.05);  // Half is preferred; half of the rest lies here.
+  DOUBLES_EQUAL(0.75, ownPart(1.4),
+                0.05);  // Half is preferred, and half of the remainder stays here too.
   DOUBLES_EQUAL(0.5, ownPart(70.0), 0.05);
   options.fullZoneLoad = 1000.0;
   DOUBLES_EQUAL(1.0, ownPart(70.0), 1e-9);
 }
 
-TEST(FlowPlacement, AHostThatDoesNotSayItsSlotsIsNeverFull) {
+TEST(FlowPlacement, NeverTreatsAHostWithUnknownSlotsAsFull) {
   setHosts(2, 2);
   hosts.findPool("dispatch")->requestsInFlight.onEnded(now, seconds(100));
   auto placed = place(100);
   LONGS_EQUAL(100, placed[1] + placed[2]);
 }
 
-TEST(FlowPlacement, GivesAHostFlowsByItsSpeed) {
+TEST(FlowPlacement, SendsFlowsInProportionToSpeed) {
   setHosts(3, 0);
   host(1).speed.update(now, {1.8, 20});
   host(2).speed.update(now, {0.6, 20});
@@ -120,45 +121,50 @@
   DOUBLES_EQUAL(200, placed[2], 10);
 }
 
-TEST(FlowPlacement, AHostOfUnknownSpeedCountsAsUsual) {
+TEST(FlowPlacement, TreatsUnknownSpeedAsUsual) {
   setHosts(3, 0);
   host(1).speed.update(now, {2.0, 20});
   auto placed = place(1000);
   DOUBLES_EQUAL(500, placed[1], 10);
   DOUBLES_EQUAL(250, placed[3], 10);
-  now += seconds(61);  // Nobody spoke of it any more.
+  now += seconds(61);  // The speed has not been updated and has expired.
   placed = place(900);
   DOUBLES_EQUAL(300, placed[1], 20);
 }
 
-TEST(FlowPlacement, SpeedsAreTheOperatorsChoice) {
+TEST(FlowPlacement, IgnoresSpeedsWhenDisabled) {
   options.learnsSpeeds = false;
   setHosts(3, 0);
   host(1).speed.update(now, {2.0, 20});
   LONGS_EQUAL(300, place(900)[1]);
 }
 
-/** The fast half of the pool drains in the crest of a wave: by number half of it is left, by speed
- * a quarter. Hosts that are cold and new get their allotments beside. */
-TEST(FlowPlacement, HostsThatLeaveAreReplacedByTheirWorkNotByTheirNumber) {
+/**
+ * The fast half of the pool drains at peak load: half of the pool is left by number of hosts, but
+ * only a quarter by speed. Cold new hosts receive their allotments in addition.
+ */
+TEST(FlowPlacement, ReplacesDrainedHostsByCapacityNotByCount) {
   setHosts(4, 4);
   for (uint64_t number = 1; number <= 8; ++number) {
     host(number).speed.update(now, {number <= 2 ? 1.5 : 0.5, 20});
   }
-  // The own zone does 4 of 6 parts; the rest of its callers stay, since it has more than its share.
+  // The own zone has 4 of 6 parts of the capacity, more than an equal share, so all of its flows
+  // stay.
   auto placed = place(1000);
   DOUBLES_EQUAL(750, placed[1] + placed[2], 15);
   host(1).spec.state = HostState::kDraining;
   host(2).spec.state = HostState::kDraining;
   placed = place(1000);
   LONGS_EQUAL(0, placed[1] + placed[2]);
-  // 1 of 3 parts is here, where an equal share is a half: two thirds stay.
+  // 1 of 3 parts is here, while an equal share is a half, so two thirds stay.
   DOUBLES_EQUAL(667, placed[3] + placed[4], 50);
 }
 
-/** A third of a pool is released in the crest of a wave: those that are left take its flows by
- * their speeds, and a host's new life begins as a usual one. */
-TEST(FlowPlacement, AReleaseInTheCrestOfAWaveFillsHostsByTheirSpeeds) {
+/**
+ * A third of a pool restarts at peak load: the remaining hosts take its flows in proportion to
+ * their speeds, and a restarted host begins at the usual speed.
+ */
+TEST(FlowPlacement, FillsRemainingHostsBySpeedDuringARollout) {
   setHosts(9, 0);
   const auto speedOf = [](uint64_t number) { return number % 3 == 0 ? 1.7 : 0.7; };
   for (uint64_t number = 1; number <= 9; ++number) {
@@ -185,7 +191,7 @@
   DOUBLES_EQUAL(1.0, host(101).speed.value(now).speed, 1e-9);
 }
 
-TEST(FlowPlacement, SaysOnceThatAHostBecameSlowAndOnceThatItIsUsualAgain) {
+TEST(FlowPlacement, ReportsSlownessAndRecoveryOnceEach) {
   setHosts(3, 0);
   FlowPlacement placement("bole", options, random);
   const auto changes = [&] {
@@ -206,7 +212,7 @@
   CHECK_FALSE(usual[0].slow);
 }
 
-TEST(FlowPlacement, ScalesTheLoadOfHostsThatAnswerSomewhatLater) {
+TEST(FlowPlacement, ScalesTheLoadOfModeratelySlowHosts) {
   setHosts(5, 0);
   answer(1, 1.7);
   auto placed = place(1000);
@@ -214,7 +220,7 @@
   CHECK_TRUE(placed[1] < placed[2] * 6 / 10);
 }
 
-TEST(FlowPlacement, DoesNotWeighTheUsualSpreadOfTimes) {
+TEST(FlowPlacement, IgnoresTheUsualSpreadOfResponseTimes) {
   setHosts(5, 0);
   answer(1, 1.15);
   answer(2, 0.9);
@@ -223,7 +229,7 @@
   LONGS_EQUAL(200, placed[2]);
 }
 
-TEST(FlowPlacement, UsesASlowHostAgainAfterAWhileWithoutSamples) {
+TEST(FlowPlacement, RetriesASlowHostAfterTimeWithoutSamples) {
   setHosts(5, 0);
   answer(1, 5.0, 30);
   const int during = place(200)[1];
@@ -231,14 +237,14 @@
   CHECK_TRUE(place(200)[1] > 3 * during);
 }
 
-TEST(FlowPlacement, HearsOfSlowHostsThatItHasNoSamplesOf) {
+TEST(FlowPlacement, UsesSharedScoresWithoutOwnSamples) {
   setHosts(5, 0);
   host(1).estimate.onShared(now, 4.0);
   auto placed = place(1000);
   CHECK_TRUE(placed[1] * 8 < placed[2]);
 }
 
-TEST(FlowPlacement, OwnSamplesOutweighWhatOthersSay) {
+TEST(FlowPlacement, OwnSamplesOutweighSharedScores) {
   setHosts(5, 0);
   answer(1, 1.0);
   host(1).estimate.onShared(now, 4.0);
@@ -249,7 +255,7 @@
   CHECK_TRUE(placed[2] * 15 < placed[3]);
 }
 
-TEST(FlowPlacement, KeepsAPoolOfTwoHostsWorking) {
+TEST(FlowPlacement, KeepsUsingBothHostsOfAPoolOfTwo) {
   setHosts(2, 0);
   answer(1, 5.0, 30);
   CHECK_TRUE(place(100)[2] > 90);
@@ -257,7 +263,7 @@
   CHECK_TRUE(place(200)[1] > 90);
 }
 
-TEST(FlowPlacement, AvoidsNobodyWhereAllAnswerLate) {
+TEST(FlowPlacement, AvoidsNoHostIfAllAreSlow) {
   setHosts(5, 0);
   for (uint64_t number = 1; number <= 5; ++number) {
     answer(number, 5.0);
@@ -268,7 +274,7 @@
   }
 }
 
-TEST(FlowPlacement, StaysInItsZoneWhileItAnswersAsUsual) {
+TEST(FlowPlacement, StaysInOwnZoneWithUsualResponseTimes) {
   setHosts(3, 3);
   scoreZone("bole", 1.25);
   auto placed = place(300);
@@ -276,7 +282,7 @@
   CHECK_TRUE(placed.contains(1));
 }
 
-TEST(FlowPlacement, SendsAPartOfTheFlowsAwayFromAZoneThatAnswersLate) {
+TEST(FlowPlacement, MovesSomeFlowsAwayFromASlowZone) {
   setHosts(3, 3);
   scoreZone("bole", 2.0);
   auto placed = place(1000);
@@ -285,7 +291,7 @@
   CHECK_TRUE(stayed < 550);
 }
 
-TEST(FlowPlacement, StaysInItsZoneWhereAllZonesAnswerLate) {
+TEST(FlowPlacement, StaysInOwnZoneIfAllZonesAreSlow) {
   setHosts(3, 3);
   scoreZone("bole", 3.0);
   scoreZone("piassa", 3.0);
@@ -293,7 +299,7 @@
   LONGS_EQUAL(300, placed[1] + placed[2] + placed[3]);
 }
 
-TEST(FlowPlacement, EachMechanismCanBeSwitchedOff) {
+TEST(FlowPlacement, EachMechanismCanBeDisabled) {
   options = {false, 1000.0, 1000.0};
   setHosts(3, 3);
   answer(1, 5.0);
@@ -304,13 +310,13 @@
   }
 }
 
-TEST(FlowPlacement, GivesNothingToHostsOfAnEvacuatedZoneAndReturnsToThem) {
+TEST(FlowPlacement, AvoidsAnEvacuatedZoneUntilItReturns) {
   setHosts(3, 3);
   FlowPlacement placement("bole", options, random);
   const TokenPool& pool = *hosts.findPool("dispatch");
   placement.setEvacuatedZones({{"bole"}});
   for (int index = 0; index < 30; ++index) {
-    // The copy of an opening keeps away from it as well.
+    // Retransmitted openings avoid the zone as well.
     STRCMP_EQUAL("piassa", placement.place(now, pool, flowTokenOf(4))->spec.zone.c_str());
   }
   placement.setEvacuatedZones({{"bole", "piassa"}});
--- a/test/common/token/flow_progress_test.cc
+++ b/test/common/token/flow_progress_test.cc
@@ -1,4 +1,4 @@
-/** @file Which packets count as copies that a host left without an acknowledgement. */
+/** @file Classification of packets as retransmissions that a host left unacknowledged. */
 #include "common/token/flow_progress.h"
 
 #include <CppUTest/TestHarness.h>
@@ -27,11 +27,11 @@
     made.dataBytes = bytes;
     return made;
   }
-  /** The node keeps up: each packet is handled as it arrives. */
+  /** The node has no backlog: each packet is handled as it arrives. */
   PacketProgress record(uint32_t sequence, uint32_t acknowledged, uint32_t bytes = 100) {
-    const PacketProgress noted = progress.record(now, packet(sequence, acknowledged, bytes));
+    const PacketProgress result = progress.record(now, packet(sequence, acknowledged, bytes));
     progress.onCaughtUp();
-    return noted;
+    return result;
   }
 };
 
@@ -47,7 +47,7 @@
   CHECK_FALSE(third.answered);
 }
 
-TEST(FlowProgress, PartsOfOneRequestAreNoCopies) {
+TEST(FlowProgress, DoesNotCountPartsOfOneRequestAsCopies) {
   for (uint32_t part = 0; part < 5; ++part) {
     LONGS_EQUAL(1, record(10 + part * 100, 1).copies);
   }
@@ -56,7 +56,7 @@
   LONGS_EQUAL(1, record(110, 1).copies);
 }
 
-TEST(FlowProgress, TheNextRequestBeginsAnew) {
+TEST(FlowProgress, NextRequestResetsTheCount) {
   record(10, 1);
   now += milliseconds(500);
   LONGS_EQUAL(1, record(110, 1).copies);
@@ -64,18 +64,18 @@
   LONGS_EQUAL(2, record(110, 1).copies);
 }
 
-TEST(FlowProgress, ACallerThatAcknowledgesMoreHadAnAnswer) {
+TEST(FlowProgress, NewAcknowledgementShowsAnAnswer) {
   record(10, 1);
   CHECK_TRUE(record(10, 700, 0).answered);
   CHECK_FALSE(record(10, 700, 0).answered);
-  // Also where the numbers wrap around.
+  // Also with wraparound.
   record(10, 0xFFFFFFF0U);
   FlowProgress other;
   other.record(now, packet(10, 0xFFFFFFF0U, 100));
   CHECK_TRUE(other.record(now, packet(10, 16, 0)).answered);
 }
 
-TEST(FlowProgress, ANodeThatIsBehindCountsNoCopies) {
+TEST(FlowProgress, CountsNoCopiesWithABacklog) {
   progress.record(now, packet(10, 1, 100));
   now += milliseconds(200);
   LONGS_EQUAL(1, progress.record(now, packet(10, 1, 100)).copies);
@@ -86,7 +86,7 @@
   LONGS_EQUAL(2, progress.record(now, packet(10, 1, 100)).copies);
 }
 
-TEST(FlowProgress, TellsWhenDataThatIsAnsweredWasSentFirst) {
+TEST(FlowProgress, ReturnsTheFirstTransmissionOfAnsweredData) {
   const TimePoint first = now;
   record(10, 1);
   now += milliseconds(200);
@@ -96,7 +96,7 @@
   CHECK_FALSE(record(110, 1400, 0).answeredSentAt.has_value());
 }
 
-TEST(FlowProgress, AnotherHostOfTheFlowBeginsAnew) {
+TEST(FlowProgress, ResetsTheCountWhenTheHostChanges) {
   record(10, 1);
   now += milliseconds(200);
   FlowPacket moved = packet(10, 1, 100);
--- a/test/common/token/group_shares_test.cc
+++ b/test/common/token/group_shares_test.cc
@@ -1,4 +1,4 @@
-/** @file New flows are split over groups by their shares. */
+/** @file Splitting new flows over groups in proportion to their shares. */
 #include "common/token/group_shares.h"
 
 #include <map>
@@ -30,21 +30,21 @@
   LONGS_EQUAL(900, counts["old"]);
 }
 
-TEST(GroupShares, AGroupWithoutAShareHasNoTurn) {
+TEST(GroupShares, GroupWithoutAShareIsNeverSelected) {
   GroupShares shares({{"new", 0}, {"old", 5}}, random);
   LONGS_EQUAL(1, shares.begin().size());
   STRCMP_EQUAL("old", shares.next()->c_str());
   LONGS_EQUAL(2, shares.pools().size());
 }
 
-TEST(GroupShares, NoGroupHasATurnWhereNoneHasAShare) {
+TEST(GroupShares, SelectsNoGroupIfNoneHasAShare) {
   GroupShares shares({{"new", 0}}, random);
   POINTERS_EQUAL(nullptr, shares.next());
   LONGS_EQUAL(0, shares.begin().size());
   POINTERS_EQUAL(nullptr, GroupShares().next());
 }
 
-TEST(GroupShares, ATurnThatIsTakenIsOwedToNobodyLater) {
+TEST(GroupShares, ChargedTurnIsNotRepaidLater) {
   GroupShares shares({{"a", 1}, {"b", 1}}, random);
   std::map<std::string, int> taken;
   for (int flow = 0; flow < 10; ++flow) {
@@ -64,7 +64,7 @@
   DOUBLES_EQUAL(1.0, shares.fractionOf(1), 1e-9);
 }
 
-TEST(GroupShares, AGroupThatCouldNotBeServedIsOwedItsFlowsLater) {
+TEST(GroupShares, UnservedGroupReceivesItsFlowsLater) {
   GroupShares shares({{"a", 1}, {"b", 1}}, random);
   for (int flow = 0; flow < 10; ++flow) {
     for (const auto& turn : shares.begin()) {
--- a/test/common/token/host_lives_test.cc
+++ b/test/common/token/host_lives_test.cc
@@ -1,4 +1,4 @@
-/** @file A host that starts again under its id: nothing of its earlier life counts. */
+/** @file A host restarts under the same id: the state of its previous generation is discarded. */
 #include <algorithm>
 #include <string>
 
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-TEST_GROUP(HostLives) {
+TEST_GROUP(HostRestart) {
   RandomSource random{7};
   TokenDirector director{{"bole", seconds(60)}, random};
   TimePoint now = kStart;
@@ -43,7 +43,7 @@
     director.setService(service);
     setHosts({makeHost(1), makeHost(2)});
   }
-  /** @return Unix milliseconds now. */
+  /** @return current Unix time in milliseconds. */
   uint64_t unixNow() const {
     return kUnixStart +
            static_cast<uint64_t>(std::chrono::duration_cast<milliseconds>(now - kStart).count());
@@ -56,27 +56,27 @@
     return std::any_of(changes.begin(), changes.end(),
                        [kind](const HostChange& change) { return change.kind == kind; });
   }
-  FlowDecision send(uint32_t flow, uint32_t dataBytes = 0, uint32_t of = flowTokenOf(1)) {
+  FlowDecision send(uint32_t flow, uint32_t dataBytes = 0, uint32_t hostToken = flowTokenOf(1)) {
     FlowPacket packet;
     packet.hash = FlowHash{flow};
     packet.key.caller = {flow, 40000};
     packet.service = serviceIdOf("pickup");
     packet.phase = PacketPhase::kContinuing;
-    packet.token = of;
+    packet.token = hostToken;
     packet.sequence = 7;
     packet.dataBytes = dataBytes;
     const FlowDecision decision = director.decide(now, packet, "");
     director.onCaughtUp(now);
     return decision;
   }
-  /** Host 1 starts again after the packets so far. */
-  std::vector<HostChange> startAgain() {
+  /** Restarts host 1 after the packets so far. */
+  std::vector<HostChange> restart() {
     now += seconds(1);
     return setHosts({makeHost(1, unixNow()), makeHost(2)});
   }
 };
 
-TEST(HostLives, FlowsThatRestedSinceBeforeTheBirthAreResetAndNoOthers) {
+TEST(HostRestart, ResetsOnlyFlowsIdleSinceBeforeTheRestart) {
   send(1);
   send(2, 100);
   send(3, 0, flowTokenOf(2));
@@ -91,36 +91,37 @@
   LONGS_EQUAL(1, resets.size());
   LONGS_EQUAL(1, resets[0].key.caller.address);
   CHECK_TRUE(resets[0].reason == RefusalReason::kHostEnded);
-  // The host itself answers for what it does not hold.
+  // The host itself resets flows that it does not hold.
   CHECK_TRUE(std::holds_alternative<ForwardToHost>(send(1)));
 }
 
-TEST(HostLives, FlowsSeenWithinTheErrorOfClocksAreLeftToTheHost) {
+TEST(HostRestart, LeavesFlowsSeenWithinClockSkewToTheHost) {
   send(1);
   now += kMaxClockSkew / 2;
   setHosts({makeHost(1, unixNow()), makeHost(2)});
   LONGS_EQUAL(0, director.takeResets().size());
 }
 
-TEST(HostLives, ABirthInTheFutureTellsLivesApartButResetsNothing) {
+TEST(HostRestart, FutureStartTimeIsARestartButResetsNothing) {
   send(1);
   now += seconds(1);
-  CHECK_TRUE(has(setHosts({makeHost(1, unixNow() + 5000), makeHost(2)}), HostChangeKind::kRestarted));
+  CHECK_TRUE(
+      has(setHosts({makeHost(1, unixNow() + 5000), makeHost(2)}), HostChangeKind::kRestarted));
   LONGS_EQUAL(0, director.takeResets().size());
 }
 
-TEST(HostLives, ABirthThatIsNotToldIsNoOtherLife) {
+TEST(HostRestart, MissingStartTimeIsNoRestart) {
   send(1);
   now += seconds(1);
   CHECK_FALSE(has(setHosts({makeHost(1, 0), makeHost(2)}), HostChangeKind::kRestarted));
   CHECK_FALSE(has(setHosts({makeHost(1), makeHost(2)}), HostChangeKind::kRestarted));
   LONGS_EQUAL(0, director.takeResets().size());
-  // The known birth was kept meanwhile.
-  CHECK_TRUE(has(startAgain(), HostChangeKind::kRestarted));
+  // The known start time was kept.
+  CHECK_TRUE(has(restart(), HostChangeKind::kRestarted));
 }
 
-TEST(HostLives, AnOlderLifeAfterTheNewerChangesNothing) {
-  startAgain();
+TEST(HostRestart, IgnoresAnOlderGeneration) {
+  restart();
   HostSpec older = makeHost(1);
   older.state = HostState::kDraining;
   older.endpoint.port = 1;
@@ -133,23 +134,23 @@
   LONGS_EQUAL(2, director.listedHostCount());
 }
 
-TEST(HostLives, ADrainMarkEndsWithItsLife) {
+TEST(HostRestart, RestartEndsDraining) {
   HostSpec draining = makeHost(1);
   draining.state = HostState::kDraining;
   setHosts({draining, makeHost(2)});
-  CHECK_TRUE(has(startAgain(), HostChangeKind::kActive));
+  CHECK_TRUE(has(restart(), HostChangeKind::kActive));
 }
 
-TEST(HostLives, AHostThatLeftAndStartsAgainIsAddedAndItsRestingFlowsAreReset) {
+TEST(HostRestart, RelistedRestartedHostIsAddedAndItsIdleFlowsAreReset) {
   send(1);
   CHECK_TRUE(has(setHosts({makeHost(2)}), HostChangeKind::kLeft));
-  const auto changes = startAgain();
+  const auto changes = restart();
   CHECK_TRUE(has(changes, HostChangeKind::kAdded));
   CHECK_TRUE(has(changes, HostChangeKind::kRestarted));
   LONGS_EQUAL(1, director.takeResets().size());
 }
 
-TEST(HostLives, AColdTimeBeginsAgainThoughTheSameIsLeft) {
+TEST(HostRestart, RestartBeginsAColdPhaseOfTheSameLengthAgain) {
   HostSpec cold = makeHost(1);
   cold.coldMilliseconds = 1500;
   CHECK_TRUE(has(setHosts({cold, makeHost(2)}), HostChangeKind::kCold));
@@ -160,8 +161,8 @@
   LONGS_EQUAL(1, director.coldHostCount(now));
 }
 
-TEST(HostLives, SilenceThatBeganInTheEarlierLifeDoesNotKillTheNewOne) {
-  startAgain();
+TEST(HostRestart, SilenceFromBeforeTheRestartDoesNotCount) {
+  restart();
   now += milliseconds(200);
   send(9);
   director.applySilentHosts(now, {{token, 400}});
@@ -171,7 +172,7 @@
   LONGS_EQUAL(1, director.takeResets().size());
 }
 
-TEST(HostLives, AHostThatWasDeadBySilenceLivesAgain) {
+TEST(HostRestart, RestartedHostNoLongerCountsAsDead) {
   Service service;
   service.name = "pickup";
   service.address = 0xC6120001;
@@ -181,13 +182,13 @@
   director.setService(service);
   director.applySilentHosts(now, {{token, 400}});
   CHECK_TRUE(std::holds_alternative<RefuseFlow>(send(1, 100)));
-  startAgain();
+  restart();
   CHECK_TRUE(std::holds_alternative<ForwardToHost>(send(2, 100)));
 }
 
-TEST(HostLives, TellsTheZoneThatItsEarlierSilenceIsOver) {
+TEST(HostRestart, ReportsTheEndOfSilenceAfterARestart) {
   director.takeAckStates();
-  startAgain();
+  restart();
   const auto signs = director.takeAckStates();
   LONGS_EQUAL(1, signs.size());
   CHECK_TRUE(signs[0].token == token);
@@ -195,20 +196,20 @@
   CHECK_TRUE(signs[0].answeredAt == now);
 }
 
-TEST(HostLives, TheSpeedOfTheEarlierLifeIsNotLearntAgain) {
+TEST(HostRestart, IgnoresSpeedsFromBeforeTheRestart) {
   director.applySpeeds(now, {{token, 25, 50}});
   LONGS_EQUAL(1, director.speeds(now).known);
   now += seconds(1);
   setHosts({makeHost(1, unixNow()), makeHost(2)});
   LONGS_EQUAL(0, director.speeds(now).known);
-  // The zone's reader still has it.
+  // The reader of the zone still reports the old speed.
   director.applySpeeds(now + seconds(1), {{token, 25, 50}});
   LONGS_EQUAL(0, director.speeds(now + seconds(1)).known);
   director.applySpeeds(now + seconds(41), {{token, 25, 50}});
   LONGS_EQUAL(1, director.speeds(now + seconds(41)).known);
 }
 
-TEST(HostLives, StandingsFromBeforeTheBirthDoNotCount) {
+TEST(HostRestart, IgnoresStandingsFromBeforeTheRestart) {
   TokenHosts hosts{seconds(60)};
   hosts.setWallClock({now, unixNow()});
   hosts.setPool(now, {"dispatch", {makeHost(1, unixNow() - 300)}}, 1);
--- a/test/common/token/living_hosts_property.cc
+++ b/test/common/token/living_hosts_property.cc
@@ -1,5 +1,7 @@
-/** @file Over random histories of hosts, nodes, callers and lost packets, no flow of a host that
- * lives is reset, and those of hosts that died are. */
+/**
+ * @file For random sequences of host, node, caller and packet loss failures: no flow of a live host
+ * is reset, and flows of dead hosts are.
+ */
 #include <rapidcheck.h>
 
 #include <map>
@@ -25,26 +27,26 @@
 constexpr uint32_t kHosts = 12;
 constexpr uint32_t kNodes = 6;
 constexpr uint32_t kCallers = 40;
-/** Callers keep this many flows each. */
-constexpr uint32_t kFlowsEach = 3;
+/** Number of flows that each caller keeps. */
+constexpr uint32_t kFlowsPerCaller = 3;
 constexpr milliseconds kStep{10};
-constexpr milliseconds kFirstCopy{200};
-/** In steps: nodes share what they see. */
-constexpr int kShareEvery = 30;
+constexpr milliseconds kInitialRetransmissionTimeout{200};
+/** Interval in steps at which nodes share their observations. */
+constexpr int kShareIntervalSteps = 30;
 
-/** One flow: its caller sends a request, again and again until it is acknowledged. */
+/** A flow whose caller sends requests and retransmits each until it is acknowledged. */
 struct Flow {
   FlowKey key;
   /** 0: the flow is closed. */
   uint32_t token = 0;
   uint32_t sequence = 1;
   uint32_t acknowledged = 1;
-  bool waits = false;
+  bool waiting = false;
   TimePoint nextSend{};
-  milliseconds wait = kFirstCopy;
+  milliseconds wait = kInitialRetransmissionTimeout;
 };
 
-/** A zone: nodes that carry flows of callers to hosts, and share what they see. */
+/** A zone whose nodes forward flows of callers to hosts and share their observations. */
 class Zone {
  public:
   explicit Zone(uint64_t seed) : random_(seed) {
@@ -69,9 +71,10 @@
       node->setService(service);
       node->setPool(now_, pool);
     }
-    for (uint32_t caller = 0; caller < kCallers * kFlowsEach; ++caller) {
+    for (uint32_t caller = 0; caller < kCallers * kFlowsPerCaller; ++caller) {
       Flow& flow = flows_.emplace_back();
-      flow.key.caller = {0x64400000 + caller / kFlowsEach, static_cast<uint16_t>(1024 + caller)};
+      flow.key.caller = {0x64400000 + caller / kFlowsPerCaller,
+                         static_cast<uint16_t>(1024 + caller)};
       flow.key.service = {1, 443};
       flow.nextSend = now_ + milliseconds(random_.below(2000));
     }
@@ -84,33 +87,38 @@
         answerAfterPause(flow);
       }
       for (Flow& flow : flows_) {
-        play(flow);
+        advance(flow);
       }
       for (auto& node : nodes_) {
         node->onCaughtUp(now_);
-        take(node->takeResets());
+        applyResets(node->takeResets());
       }
-      if (step % kShareEvery == 0) {
+      if (step % kShareIntervalSteps == 0) {
         share();
       }
     }
   }
   void kill(uint32_t host) { dead_.insert(flowTokenOf(host)); }
-  /** Packets of the node reach no host; its callers' flows are nobody's fault. */
-  void cut(uint32_t node) { cutNode_ = node; }
-  /** All hosts stand still for a while; then they answer all that they got meanwhile. */
+  /**
+   * Drops all packets from the node to hosts. Resets of the flows through this node are not counted
+   * as errors.
+   */
+  void partitionNode(uint32_t node) { partitionedNode_ = node; }
+  /**
+   * Pauses all hosts for a while; afterwards they answer everything that they received meanwhile.
+   */
   void pauseHosts(milliseconds length) { pausedUntil_ = now_ + length; }
-  /** Packets that are lost of a thousand, each way. */
+  /** Packet loss per thousand in each direction. */
   void setLoss(uint32_t perThousand) { loss_ = perThousand; }
-  /** What hosts answer does not reach this caller; its own flows may be reset for that. */
-  void breakPathOf(uint32_t caller) { brokenCaller_ = 0x64400000 + caller; }
+  /** Drops all answers to this caller. Resets of its own flows are not counted as errors. */
+  void breakPathOfCaller(uint32_t caller) { brokenCaller_ = 0x64400000 + caller; }
 
-  uint32_t livingReset() const { return livingReset_; }
-  uint32_t deadReset() const { return deadReset_; }
-  uint32_t flowsOfDead() const {
+  uint32_t liveFlowsReset() const { return liveFlowsReset_; }
+  uint32_t deadFlowsReset() const { return deadFlowsReset_; }
+  uint32_t openFlowsOfDeadHosts() const {
     uint32_t count = 0;
     for (const Flow& flow : flows_) {
-      count += dead_.contains(flow.token) && !flow.waits ? 1 : 0;
+      count += dead_.contains(flow.token) && !flow.waiting ? 1 : 0;
     }
     return count;
   }
@@ -134,7 +142,7 @@
     return packet;
   }
 
-  void play(Flow& flow) {
+  void advance(Flow& flow) {
     if (now_ < flow.nextSend) {
       return;
     }
@@ -146,14 +154,14 @@
   }
 
   void open(Flow& flow) {
-    flow.key.caller.port = static_cast<uint16_t>(flow.key.caller.port + kCallers * kFlowsEach);
+    flow.key.caller.port = static_cast<uint16_t>(flow.key.caller.port + kCallers * kFlowsPerCaller);
     const uint32_t node = nodeOf(flow);
     const auto decision = nodes_[node]->decide(now_, packetOf(flow, PacketPhase::kOpening, 0), "");
     const auto* forward = std::get_if<ForwardToHost>(&decision);
-    flow.nextSend = now_ + kFirstCopy;
+    flow.nextSend = now_ + kInitialRetransmissionTimeout;
     if (forward != nullptr && reaches(flow, forward->token)) {
       flow.token = forward->token;
-      flow.waits = false;
+      flow.waiting = false;
       nodes_[node]->decide(now_, packetOf(flow, PacketPhase::kContinuing, 0), "");
       flow.nextSend = now_ + milliseconds(random_.below(1500));
     }
@@ -162,15 +170,15 @@
   bool isPaused() const { return now_ < pausedUntil_; }
 
   void answerAfterPause(Flow& flow) {
-    if (!flow.waits || isPaused() || now_ - kStep >= pausedUntil_ || dead_.contains(flow.token) ||
-        nodeOf(flow) == cutNode_ || flow.key.caller.address == brokenCaller_) {
+    if (!flow.waiting || isPaused() || now_ - kStep >= pausedUntil_ || dead_.contains(flow.token) ||
+        nodeOf(flow) == partitionedNode_ || flow.key.caller.address == brokenCaller_) {
       return;
     }
-    noteAnswer(flow);
+    recordAnswer(flow);
   }
 
   bool reaches(const Flow& flow, uint32_t token) {
-    return !isPaused() && nodeOf(flow) != cutNode_ && !dead_.contains(token) && !isLost() &&
+    return !isPaused() && nodeOf(flow) != partitionedNode_ && !dead_.contains(token) && !isLost() &&
            !isLost() && flow.key.caller.address != brokenCaller_;
   }
 
@@ -179,56 +187,57 @@
     const auto decision =
         nodes_[node]->decide(now_, packetOf(flow, PacketPhase::kContinuing, 100), "");
     if (std::holds_alternative<RefuseFlow>(decision)) {
-      noteReset(flow);
+      recordReset(flow);
       return;
     }
     if (!reaches(flow, flow.token)) {
-      flow.waits = true;
+      flow.waiting = true;
       flow.nextSend = now_ + flow.wait;
       flow.wait = std::min<milliseconds>(flow.wait * 2, milliseconds(1600));
       return;
     }
-    noteAnswer(flow);
+    recordAnswer(flow);
   }
 
-  void noteAnswer(Flow& flow) {
+  void recordAnswer(Flow& flow) {
     const uint32_t node = nodeOf(flow);
-    flow.waits = false;
-    flow.wait = kFirstCopy;
+    flow.waiting = false;
+    flow.wait = kInitialRetransmissionTimeout;
     flow.sequence += 100;
     flow.acknowledged += 500;
     nodes_[node]->decide(now_ + milliseconds(5), packetOf(flow, PacketPhase::kContinuing, 0), "");
     flow.nextSend = now_ + milliseconds(200 + random_.below(3000));
   }
 
-  void noteReset(Flow& flow) {
-    const bool isOwnFault = nodeOf(flow) == cutNode_ || flow.key.caller.address == brokenCaller_;
+  void recordReset(Flow& flow) {
+    const bool isExpected =
+        nodeOf(flow) == partitionedNode_ || flow.key.caller.address == brokenCaller_;
     if (dead_.contains(flow.token)) {
-      ++deadReset_;
-    } else if (!isOwnFault) {
-      ++livingReset_;
+      ++deadFlowsReset_;
+    } else if (!isExpected) {
+      ++liveFlowsReset_;
     }
     flow.token = 0;
     flow.nextSend = now_ + kStep;
-    flow.wait = kFirstCopy;
-    flow.waits = false;
+    flow.wait = kInitialRetransmissionTimeout;
+    flow.waiting = false;
   }
 
-  void take(const std::vector<ResetFlow>& resets) {
+  void applyResets(const std::vector<ResetFlow>& resets) {
     for (const ResetFlow& reset : resets) {
       for (Flow& flow : flows_) {
         if (flow.key == reset.key && flow.token != 0) {
-          noteReset(flow);
+          recordReset(flow);
         }
       }
     }
   }
 
-  /** Each node reports at another moment, and hears what was known then. */
+  /** Nodes report one after the other, and each receives the aggregate known at that moment. */
   void share() {
     for (uint32_t index = 0; index < kNodes; ++index) {
-      gatherers_[index].add(nodes_[index]->takeAckStates());
-      silence_.merge(now_, index, gatherers_[index].take(now_));
+      collectors_[index].add(nodes_[index]->takeAckStates());
+      silence_.merge(now_, index, collectors_[index].applyResets(now_));
       nodes_[index]->applySilentHosts(now_, silence_.silentHosts(now_));
     }
   }
@@ -236,41 +245,41 @@
   RandomSource random_;
   TimePoint now_{seconds(1000)};
   std::vector<std::unique_ptr<TokenDirector>> nodes_;
-  std::map<uint32_t, AckStateCollector> gatherers_;
+  std::map<uint32_t, AckStateCollector> collectors_;
   ZoneSilence silence_;
   std::vector<Flow> flows_;
   std::set<uint32_t> dead_;
-  uint32_t cutNode_ = kNodes;
+  uint32_t partitionedNode_ = kNodes;
   uint32_t brokenCaller_ = 0;
   uint32_t loss_ = 0;
   TimePoint pausedUntil_{};
-  uint32_t livingReset_ = 0;
-  uint32_t deadReset_ = 0;
+  uint32_t liveFlowsReset_ = 0;
+  uint32_t deadFlowsReset_ = 0;
 };
 
-/** Lengths in milliseconds. */
+/** Durations in milliseconds. */
 void pauseAllHosts(int shortest, int longest) {
   Zone zone(*rc::gen::arbitrary<uint64_t>());
   zone.run(200);
   zone.pauseHosts(milliseconds(*rc::gen::inRange(shortest, longest)));
   zone.run(300);
-  RC_ASSERT(zone.livingReset() == 0U);
+  RC_ASSERT(zone.liveFlowsReset() == 0U);
 }
 
 }  // namespace
 
 TEST_GROUP_BASE(LivingHosts, test::WithoutLeakDetection){};
 
-TEST(LivingHosts, NoFlowOfAHostThatLivesIsResetAndThoseOfDeadOnesAre) {
-  const bool held = rc::check("no flow of a living host is reset", [] {
+TEST(LivingHosts, ResetsFlowsOfDeadHostsOnly) {
+  const bool held = rc::check("no flow of a live host is reset", [] {
     Zone zone(*rc::gen::arbitrary<uint64_t>());
     zone.setLoss(*rc::gen::inRange<uint32_t>(0, 5));
     zone.run(200);
     const uint32_t event = *rc::gen::inRange(0, 4);
     if (event == 1) {
-      zone.cut(*rc::gen::inRange<uint32_t>(0, kNodes));
+      zone.partitionNode(*rc::gen::inRange<uint32_t>(0, kNodes));
     } else if (event == 2) {
-      zone.breakPathOf(*rc::gen::inRange<uint32_t>(0, kCallers));
+      zone.breakPathOfCaller(*rc::gen::inRange<uint32_t>(0, kCallers));
     }
     zone.run(200);
     const auto dying = *rc::gen::container<std::set<uint32_t>>(
@@ -279,21 +288,24 @@
       zone.kill(host);
     }
     zone.run(400);
-    RC_ASSERT(zone.livingReset() == 0U);
+    RC_ASSERT(zone.liveFlowsReset() == 0U);
     if (event == 0 && !dying.empty()) {
-      RC_ASSERT(zone.deadReset() > 0U);
-      RC_ASSERT(zone.flowsOfDead() <= 2U);
+      RC_ASSERT(zone.deadFlowsReset() > 0U);
+      RC_ASSERT(zone.openFlowsOfDeadHosts() <= 2U);
     }
   });
   CHECK_TRUE(held);
 }
 
-/** Callers send again after 200 ms: what many of them do in one pause of hosts is no proof. */
+/**
+ * Callers retransmit after 200 ms, so retransmissions by many callers during one pause of the hosts
+ * are no evidence of a failure.
+ */
 TEST(LivingHosts, AShortPauseOfAllHostsResetsNoFlow) {
   CHECK_TRUE(rc::check("a short pause resets no flow", [] { pauseAllHosts(200, 480); }));
 }
 
-/** Guards against news of a zone that are older than what this node has seen since. */
+/** Guards against aggregated zone state that is older than what this node has observed since. */
 TEST(LivingHosts, ALongPauseOfAllHostsResetsNoFlow) {
   CHECK_TRUE(rc::check("a long pause resets no flow", [] { pauseAllHosts(500, 1900); }));
 }
