--- a/test/common/token/opening_watch_test.cc
+++ b/test/common/token/opening_watch_test.cc
@@ -1,4 +1,4 @@
-/** @file Openings that callers do not go on with. */
+/** @file Openings that their callers do not continue. */
 #include "common/token/opening_watch.h"
 
 #include <CppUTest/TestHarness.h>
@@ -16,7 +16,7 @@
   }
 };
 
-TEST(OpeningWatch, TellsOnceOfAnOpeningThatItsCallerDoesNotGoOnWith) {
+TEST(OpeningWatch, ReportsAnAbandonedOpeningOnce) {
   watch.onPlaced(now, FlowHash{7}, 70);
   now += milliseconds(149);
   LONGS_EQUAL(0, unanswered());
@@ -26,13 +26,13 @@
   LONGS_EQUAL(70, tokens.front());
   now += seconds(1);
   LONGS_EQUAL(0, unanswered());
-  // The copy that follows names the host, which is not to be counted again.
+  // The retransmission that follows returns the host, which must not be counted again.
   const EarlierOpening earlier = watch.earlierOf(now, FlowHash{7});
   LONGS_EQUAL(70, earlier.token);
   CHECK_TRUE(earlier.counted);
 }
 
-TEST(OpeningWatch, TellsNothingOfAFlowThatGoesOn) {
+TEST(OpeningWatch, DoesNotReportAContinuedFlow) {
   watch.onPlaced(now, FlowHash{7}, 70);
   CHECK_FALSE(watch.onFollowed(FlowHash{7}, 71));
   CHECK_TRUE(watch.onFollowed(FlowHash{7}, 70));
@@ -42,7 +42,7 @@
   LONGS_EQUAL(0, watch.earlierOf(now, FlowHash{7}).token);
 }
 
-TEST(OpeningWatch, ACopyBeginsTheWaitAnew) {
+TEST(OpeningWatch, RetransmissionRestartsTheTimeout) {
   watch.onPlaced(now, FlowHash{7}, 70);
   now += milliseconds(100);
   LONGS_EQUAL(70, watch.earlierOf(now, FlowHash{7}).token);
@@ -53,7 +53,7 @@
   LONGS_EQUAL(1, unanswered());
 }
 
-TEST(OpeningWatch, ForgetsAnOpeningThatAnotherFlowPushesOut) {
+TEST(OpeningWatch, DropsAnEvictedOpening) {
   watch.onPlaced(now, FlowHash{7}, 70);
   watch.onPlaced(now, FlowHash{7 + 1024}, 71);
   LONGS_EQUAL(0, watch.earlierOf(now, FlowHash{7}).token);
--- a/test/common/token/recent_flows_test.cc
+++ b/test/common/token/recent_flows_test.cc
@@ -1,4 +1,4 @@
-/** @file The flows that a node carried of late, found again by their host. */
+/** @file Lookup of recently carried flows by host. */
 #include "common/token/recent_flows.h"
 
 #include <vector>
@@ -39,7 +39,7 @@
   }
 };
 
-TEST(RecentFlows, FindsTheFlowsOfAHostOnceWithWhatTheirCallersAcknowledgedLast) {
+TEST(RecentFlows, ReturnsTheFlowsOfAHostOnceWithTheLastAcknowledgement) {
   send(1, kHost, 100, 10);
   send(1, kHost, 0, 500);
   send(2, kHost + 1, 100, 10);
@@ -51,10 +51,10 @@
   LONGS_EQUAL(1, takeOf(kHost + 1).size());
 }
 
-TEST(RecentFlows, KnowsWhetherARequestIsUnderWay) {
+TEST(RecentFlows, TracksWhetherARequestIsInFlight) {
   send(1, kHost, 100, 10);
   send(2, kHost, 100, 10);
-  send(2, kHost, 0, 10);  // Acknowledges nothing new.
+  send(2, kHost, 0, 10);  // Acknowledges no new data.
   send(3, kHost, 100, 10);
   send(3, kHost, 0, 600);
   for (const RecentFlow& flow : takeOf(kHost)) {
@@ -62,13 +62,13 @@
   }
 }
 
-TEST(RecentFlows, ANextRequestThatAcknowledgesTheLastAnswerIsUnderWay) {
+TEST(RecentFlows, RequestThatAcknowledgesTheLastAnswerIsInFlight) {
   send(1, kHost, 100, 10);
   send(1, kHost, 100, 600);
   CHECK_TRUE(takeOf(kHost)[0].requestInFlight);
 }
 
-TEST(RecentFlows, AnOpeningOrAnEndForgetsTheFlow) {
+TEST(RecentFlows, OpeningOrEndRemovesTheFlow) {
   for (const PacketPhase phase :
        {PacketPhase::kOpening, PacketPhase::kClosing, PacketPhase::kReset}) {
     send(1, kHost, 100, 10);
@@ -77,7 +77,7 @@
   }
 }
 
-TEST(RecentFlows, NeverMovesBackWhatACallerAcknowledged) {
+TEST(RecentFlows, NeverMovesAnAcknowledgementBack) {
   send(1, kHost, 0, 500);
   send(1, kHost, 0, 400);
   LONGS_EQUAL(500, takeOf(kHost)[0].acknowledged);
@@ -86,7 +86,7 @@
   LONGS_EQUAL(20, takeOf(kHost)[0].acknowledged);
 }
 
-TEST(RecentFlows, AFlowThatIsSeenAgainIsNotTheOldestAnyMore) {
+TEST(RecentFlows, SeenFlowBecomesTheMostRecent) {
   send(1, kHost, 100, 10);
   for (uint32_t caller = 2; caller <= 3 * RecentFlows::kCapacity; ++caller) {
     send(caller, kHost + 1, 100, 10);
@@ -95,7 +95,7 @@
   LONGS_EQUAL(1, takeOf(kHost).size());
 }
 
-TEST(RecentFlows, PassesOverWhatWasNotSeenForLong) {
+TEST(RecentFlows, SkipsFlowsNotSeenForLong) {
   send(1, kHost, 0, 500);
   now += seconds(60);
   send(2, kHost, 0, 500);
@@ -104,7 +104,7 @@
   LONGS_EQUAL(2, taken[0].key.caller.address);
 }
 
-TEST(RecentFlows, HoldsABoundedNumberAndForgetsTheOldest) {
+TEST(RecentFlows, EvictsTheOldestAboveCapacity) {
   for (uint32_t caller = 1; caller <= 100000; ++caller) {
     now += milliseconds(1);
     send(caller, kHost, 100, 10);
--- a/test/common/token/request_timer_property.cc
+++ b/test/common/token/request_timer_property.cc
@@ -1,5 +1,7 @@
-/** @file Whatever is lost, repeated, reordered or sent through other nodes: a time that is told is
- * true. */
+/**
+ * @file Reported times are correct, whatever packets are lost, retransmitted, reordered or routed
+ * through other nodes.
+ */
 #include <rapidcheck.h>
 #include <map>
 
@@ -17,7 +19,7 @@
 constexpr uint32_t kRequestBytes = 200;
 constexpr uint32_t kAnswerBytes = 1200;
 
-/** A caller and its host on one flow; the true times are known. */
+/** A caller and its host on one flow with known true times. */
 class SimulatedFlow {
  public:
   SimulatedFlow(uint64_t flow, RequestTimer& timer) : timer_(timer) {
@@ -28,7 +30,7 @@
     packet_.acknowledged = 5000;
   }
 
-  /** One request with its answer. @return the clock after it. */
+  /** One request with its answer. @return the time after it. */
   TimePoint exchange(TimePoint now) {
     now += milliseconds(*rc::gen::inRange(0, 3000));
     const TimePoint sentAt = now;
@@ -47,32 +49,32 @@
     packet_.sequence += kRequestBytes;
     now += milliseconds(*rc::gen::inRange(1, 900));
     if (*rc::gen::inRange(0, 4) == 0) {
-      send(now, 0, before);  // An older acknowledgement was overtaken by the request.
+      send(now, 0, before);  // An older acknowledgement that the request overtook.
       now += milliseconds(1);
     }
     packet_.acknowledged += kAnswerBytes;
     if (passes()) {
-      const auto told = send(now, 0, packet_.acknowledged);
-      if (told) {
-        // A request that began elsewhere may be seen from a copy on; it is told no longer than it
-        // is.
-        RC_ASSERT(*told <= now - sentAt);
-        RC_ASSERT(!ownsRequest || *told == now - sentAt);
+      const auto measured = send(now, 0, packet_.acknowledged);
+      if (measured) {
+        // If the first transmission passed through another node, the measurement may start at a
+        // retransmission; it must not exceed the true time.
+        RC_ASSERT(*measured <= now - sentAt);
+        RC_ASSERT(!ownsRequest || *measured == now - sentAt);
       }
     }
     return now;
   }
 
  private:
-  /** @return whether a packet comes through this node and not through another. */
+  /** @return whether a packet passes through this node rather than another one. */
   static bool passes() { return *rc::gen::inRange(0, 8) != 0; }
   std::optional<Duration> send(TimePoint now, uint32_t bytes, uint32_t acknowledged) {
     FlowPacket sent = packet_;
     sent.dataBytes = bytes;
     sent.acknowledged = acknowledged;
-    const auto told = timer_.record(now, sent, milliseconds(500));
+    const auto measured = timer_.record(now, sent, milliseconds(500));
     timer_.onCaughtUp(now);
-    return told;
+    return measured;
   }
 
   RequestTimer& timer_;
@@ -83,8 +85,8 @@
 
 TEST_GROUP_BASE(RequestTimerProperty, test::WithoutLeakDetection){};
 
-TEST(RequestTimerProperty, TellsOnlyTrueTimes) {
-  CHECK_TRUE(rc::check("told times are the true ones", [] {
+TEST(RequestTimerProperty, ReturnsOnlyTrueTimes) {
+  CHECK_TRUE(rc::check("measured times are the true ones", [] {
     RequestTimer timer;
     TimePoint now{seconds(1000)};
     SimulatedFlow first(3, timer);
--- a/test/common/token/request_timer_test.cc
+++ b/test/common/token/request_timer_test.cc
@@ -1,4 +1,4 @@
-/** @file Requests are timed by their callers' packets alone. */
+/** @file Response time measurement from the packets of callers alone. */
 #include "common/token/request_timer.h"
 
 #include <CppUTest/TestHarness.h>
@@ -36,7 +36,7 @@
   std::vector<OverdueRequest> overdue;
 };
 
-TEST(RequestTimer, TellsTheTimeUntilTheFirstAnswerIsAcknowledged) {
+TEST(RequestTimer, MeasuresUntilTheFirstAnswerIsAcknowledged) {
   CHECK_FALSE(record(packet(1, 100, 500, 176)).has_value());
   now += milliseconds(45);
   const auto response = record(packet(1, 276, 1700, 0));
@@ -45,7 +45,7 @@
   CHECK_FALSE(record(packet(1, 276, 2900, 0)).has_value());
 }
 
-TEST(RequestTimer, TimesEachRequestOfAFlowWithoutThePausesInBetween) {
+TEST(RequestTimer, TimesEachRequestWithoutPausesInBetween) {
   record(packet(1, 100, 500, 176));
   now += milliseconds(40);
   record(packet(1, 276, 1700, 0));
@@ -69,7 +69,7 @@
   CHECK_TRUE(record(packet(1, 452, 4100, 0)) == milliseconds(51));
 }
 
-TEST(RequestTimer, DoesNotTellTheTimeOfARequestThatWasSentAgain) {
+TEST(RequestTimer, DoesNotTimeARetransmittedRequest) {
   record(packet(1, 100, 500, 176));
   now += milliseconds(200);
   record(packet(1, 100, 500, 176));
@@ -77,7 +77,7 @@
   CHECK_FALSE(record(packet(1, 276, 1700, 0)).has_value());
 }
 
-TEST(RequestTimer, DoesNotTellATimeThatHoldsACallersPause) {
+TEST(RequestTimer, DoesNotTimeARequestWithACallerPause) {
   record(packet(1, 100, 500, 176));
   now += seconds(2);
   CHECK_FALSE(record(packet(1, 276, 1700, 176)).has_value());
@@ -85,19 +85,19 @@
   CHECK_TRUE(record(packet(1, 452, 2900, 0)) == milliseconds(30));
 }
 
-TEST(RequestTimer, DoesNotTellTheTimeOfPacketsThatWaitedForThisNode) {
+TEST(RequestTimer, DoesNotTimeRequestsHandledFromABacklog) {
   timer.record(now, packet(1, 100, 500, 176), kRequestTimeout);
   now += milliseconds(1);
   CHECK_FALSE(timer.record(now, packet(1, 276, 1700, 0), kRequestTimeout).has_value());
 }
 
-TEST(RequestTimer, DoesNotTellTheTimeOfALaterRequestThatPassedAnotherNode) {
+TEST(RequestTimer, DoesNotTimeARequestFollowedByOneThroughAnotherNode) {
   record(packet(1, 100, 500, 176));
   now += seconds(3);
   CHECK_FALSE(record(packet(1, 452, 2900, 0)).has_value());
 }
 
-TEST(RequestTimer, TellsOnceThatARequestIsOverdueAndNotItsLateAnswer) {
+TEST(RequestTimer, ReportsAnOverdueRequestOnceAndNotItsLateAnswer) {
   record(packet(1, 100, 500, 176));
   now += milliseconds(399);
   record(packet(2, 1, 1, 0));
@@ -112,7 +112,7 @@
   CHECK_TRUE(overdue.empty());
 }
 
-TEST(RequestTimer, ForgetsARequestWhoseCallerGaveUp) {
+TEST(RequestTimer, DropsARequestAbandonedByItsCaller) {
   record(packet(1, 100, 500, 176));
   FlowPacket closing = packet(1, 276, 500, 0);
   closing.phase = PacketPhase::kClosing;
@@ -122,7 +122,7 @@
   CHECK_TRUE(overdue.empty());
 }
 
-TEST(RequestTimer, DoesNotTimeWhatAnotherFlowPushedOut) {
+TEST(RequestTimer, DoesNotTimeAnEvictedRequest) {
   record(packet(1, 100, 500, 176));
   record(packet(1 + 1024, 100, 500, 176));
   now += milliseconds(50);
@@ -130,7 +130,7 @@
   CHECK_TRUE(record(packet(1 + 1024, 276, 1700, 0)) == milliseconds(50));
 }
 
-TEST(RequestTimer, WorksWhereNumbersWrapAround) {
+TEST(RequestTimer, HandlesSequenceNumberWraparound) {
   record(packet(1, 0xFFFFFFF0, 0xFFFFFF00, 176));
   now += milliseconds(20);
   CHECK_TRUE(record(packet(1, 160, 100, 0)) == milliseconds(20));
--- a/test/common/token/response_score_test.cc
+++ b/test/common/token/response_score_test.cc
@@ -1,4 +1,4 @@
-/** @file Running figures of how late answers come. */
+/** @file Running statistics of response times. */
 #include "common/token/response_score.h"
 
 #include <CppUTest/TestHarness.h>
@@ -33,7 +33,7 @@
   CHECK_TRUE(score.value(now) > 2.2);
 }
 
-TEST(ResponseScore, TheWorstFadesBelowTheLimitOfSlowHostsWithinFiveSeconds) {
+TEST(ResponseScore, MaximumScoreDecaysBelowTheSlowLimitWithinFiveSeconds) {
   for (int index = 0; index < 20; ++index) {
     score.add(now, 5.0);
   }
@@ -42,7 +42,7 @@
   CHECK_TRUE(score.value(now + seconds(5)) < 2.2);
 }
 
-TEST(ResponseScore, GoodSamplesBringAHostBackSooner) {
+TEST(ResponseScore, GoodSamplesSpeedUpRecovery) {
   for (int index = 0; index < 20; ++index) {
     score.add(now, 5.0);
   }
@@ -53,19 +53,19 @@
   CHECK_TRUE(score.value(now) < 2.2);
 }
 
-TEST(ResponseScore, IsNotDisturbedByTimesThatGoBack) {
+TEST(ResponseScore, ToleratesTimesThatGoBack) {
   score.add(now, 5.0);
   DOUBLES_EQUAL(2.0, score.value(now - seconds(5)), 1e-9);
 }
 
-TEST(ResponseScore, TheUsualTimeIsTheMedianAndOneFifthOfSlowHostsHardlyMovesIt) {
+TEST(ResponseScore, UsualTimeIsHardlyMovedByAFifthOfSlowHosts) {
   for (int index = 0; index < 200; ++index) {
     update(1, index % 5 == 0 ? milliseconds(400) : milliseconds(50));
   }
   DOUBLES_EQUAL(1.0, usual.ratioOf(milliseconds(50)).value(), 0.15);
 }
 
-TEST(ResponseScore, ABurstOfSomeSecondsHardlyMovesTheUsualTime) {
+TEST(ResponseScore, UsualTimeIsHardlyMovedByAShortBurst) {
   update(100, milliseconds(50));
   update(200, milliseconds(150));  // 4 s
   CHECK_TRUE(usual.ratioOf(milliseconds(150)).value() > 1.8);
@@ -73,7 +73,7 @@
   DOUBLES_EQUAL(1.0, usual.ratioOf(milliseconds(150)).value(), 0.1);
 }
 
-TEST(ResponseScore, NothingIsJudgedBeforeEnoughIsKnown) {
+TEST(ResponseScore, ReturnsNothingBeforeEnoughSamples) {
   update(4, milliseconds(50));
   CHECK_FALSE(usual.ratioOf(milliseconds(500)).has_value());
   CHECK_FALSE(usual.timeOf(5.0).has_value());
--- a/test/common/token/silence_detector_test.cc
+++ b/test/common/token/silence_detector_test.cc
@@ -1,4 +1,4 @@
-/** @file Which silent hosts count as dead, and what the log says of it. */
+/** @file Decisions on silent hosts and the evidence reported for the log. */
 #include "common/token/silence_detector.h"
 
 #include <string>
@@ -35,7 +35,9 @@
   TokenHost& host(uint64_t number) {
     return *hosts.find(flowTokenOf(number));
   }
-  /** Three callers' data goes unacknowledged for so long; each sends one copy at the end. */
+  /**
+   * Leaves data of three callers unacknowledged for this long; each retransmits once at the end.
+   */
   void fallSilent(uint64_t number, milliseconds length) {
     const TimePoint sentAt = now;
     now += length;
@@ -45,7 +47,7 @@
   }
 };
 
-TEST(SilenceDetector, TellsOnceWhyAHostCountsAsDead) {
+TEST(SilenceDetector, ReportsADeadHostOnceWithEvidence) {
   host(1).silence.onAnswered(now);
   now += milliseconds(100);
   fallSilent(1, milliseconds(700));
@@ -67,7 +69,7 @@
   LONGS_EQUAL(1, judge.counters()[0][0]);
 }
 
-TEST(SilenceDetector, TellsOfHostsThatAreSparedSinceTooManyAreSilent) {
+TEST(SilenceDetector, ReportsHostsSparedBecauseTooManyAreSilent) {
   now += seconds(1);
   std::vector<SilentHost> silent;
   for (uint64_t number = 1; number <= 3; ++number) {
@@ -81,32 +83,32 @@
   CHECK_FALSE(verdicts[0].sinceAnswer.has_value());
 }
 
-/** Guards against resets of living flows: callers send again 200 ms after their data. */
-TEST(SilenceDetector, CopiesOfOnePauseProveNothingHoweverManyCallersSendThem) {
+/** Guards against resets of working flows: callers retransmit 200 ms after sending their data. */
+TEST(SilenceDetector, IgnoresRetransmissionsFromOneShortPause) {
   fallSilent(1, milliseconds(499));
   CHECK_TRUE(judge.onCopy(now, host(1)).empty());
   now += milliseconds(1);
   LONGS_EQUAL(1, judge.onCopy(now, host(1)).size());
 }
 
-/** Guards against resets of living flows: in a slow round trip all callers send again. */
-TEST(SilenceDetector, ASilenceCountsOnlyAsFarAsOthersAnsweredWhatWasSentLater) {
+/** Guards against resets of working flows: during one slow round trip, all callers retransmit. */
+TEST(SilenceDetector, RequiresAnswersOfOtherHostsToLaterData) {
   const TimePoint sentAt = now;
   fallSilent(1, milliseconds(900));
   judge.onAnswered(now, flowTokenOf(2), sentAt + milliseconds(499));
   CHECK_TRUE(judge.onCopy(now, host(1)).empty());
   CHECK_TRUE(judge.onZoneSilent(now, {{flowTokenOf(4), 900}}).empty());
   judge.onAnswered(now, flowTokenOf(2), sentAt + milliseconds(500));
-  // An answer to earlier data takes nothing back.
+  // An answer to earlier data does not withdraw evidence.
   judge.onAnswered(now, flowTokenOf(2), sentAt);
   LONGS_EQUAL(1, judge.onCopy(now, host(1)).size());
   LONGS_EQUAL(1, judge.onZoneSilent(now, {{flowTokenOf(4), 900}}).size());
   CHECK_TRUE(judge.takeVerdicts()[0].sinceOvertaking == milliseconds(400));
 }
 
-TEST(SilenceDetector, WhereNoOtherHostAnswersThereIsNothingToCompareWith) {
+TEST(SilenceDetector, SkipsTheComparisonIfNoOtherHostAnswers) {
   judge.onAnswered(now, flowTokenOf(2), now);
-  // Its own answers say nothing of others.
+  // The host's own answers are no evidence about other hosts.
   judge.onAnswered(now, flowTokenOf(1), now);
   fallSilent(1, seconds(2));
   CHECK_TRUE(judge.onCopy(now, host(1)).empty());
@@ -114,7 +116,7 @@
   LONGS_EQUAL(1, judge.onCopy(now, host(1)).size());
 }
 
-TEST(SilenceDetector, FewerCallersProveNothing) {
+TEST(SilenceDetector, RequiresAMinimumNumberOfCallers) {
   const TimePoint sentAt = now;
   now += seconds(1);
   host(1).silence.onCopy(now, sentAt, 1);
--- a/test/common/token/silence_evidence_test.cc
+++ b/test/common/token/silence_evidence_test.cc
@@ -1,4 +1,4 @@
-/** @file Data that a host does not acknowledge, as one node sees it. */
+/** @file Data that a host does not acknowledge, as seen by one node. */
 #include "common/token/silence_evidence.h"
 
 #include <CppUTest/TestHarness.h>
@@ -21,7 +21,7 @@
   evidence.onCopy(kStart + milliseconds(200), kStart, 1);
   evidence.onCopy(kStart + milliseconds(250), kStart - milliseconds(50), 2);
   evidence.onCopy(kStart + milliseconds(600), kStart, 1);
-  const HostAckState signs = evidence.signs(7);
+  const HostAckState signs = evidence.ackState(7);
   LONGS_EQUAL(7, signs.token);
   LONGS_EQUAL(3, signs.copies);
   LONGS_EQUAL(2, signs.callers.size());
@@ -29,27 +29,27 @@
   CHECK_FALSE(signs.answeredAt.has_value());
 }
 
-TEST(SilenceEvidence, ASignOfLifeEndsIt) {
+TEST(SilenceEvidence, AcknowledgementEndsSilence) {
   evidence.onCopy(kStart, kStart, 1);
   evidence.onAnswered(kStart + milliseconds(300));
-  LONGS_EQUAL(0, evidence.signs(7).copies);
+  LONGS_EQUAL(0, evidence.ackState(7).copies);
   LONGS_EQUAL(0, evidence.callers());
 }
 
-TEST(SilenceEvidence, DataFromBeforeASignOfLifeWasLost) {
+TEST(SilenceEvidence, IgnoresDataSentBeforeAnAcknowledgement) {
   evidence.onAnswered(kStart + milliseconds(100));
   evidence.onCopy(kStart + milliseconds(200), kStart, 1);
-  LONGS_EQUAL(0, evidence.signs(7).copies);
+  LONGS_EQUAL(0, evidence.ackState(7).copies);
   evidence.onCopy(kStart + milliseconds(400), kStart + milliseconds(200), 1);
-  LONGS_EQUAL(1, evidence.signs(7).copies);
+  LONGS_EQUAL(1, evidence.ackState(7).copies);
 }
 
-TEST(SilenceEvidence, RemembersAFewCallersOnly) {
+TEST(SilenceEvidence, RecordsABoundedNumberOfCallers) {
   for (uint32_t caller = 1; caller <= 1000; ++caller) {
     evidence.onCopy(kStart, kStart, caller);
   }
   LONGS_EQUAL(SilenceEvidence::kMaxCallers, evidence.callers());
-  LONGS_EQUAL(1000, evidence.signs(7).copies);
+  LONGS_EQUAL(1000, evidence.ackState(7).copies);
 }
 
 }  // namespace umberhold
--- a/test/common/token/silent_zones_test.cc
+++ b/test/common/token/silent_zones_test.cc
@@ -1,4 +1,4 @@
-/** @file Zones whose hosts fall silent together. */
+/** @file Detection of zones whose hosts become silent together. */
 #include "common/token/silent_zones.h"
 
 #include <CppUTest/TestHarness.h>
@@ -19,7 +19,7 @@
   }
 };
 
-TEST(SilentZones, AreFoundAfterThreeDifferentHosts) {
+TEST(SilentZones, AreDetectedAfterThreeDistinctHosts) {
   unanswered(1);
   unanswered(1);
   unanswered(1);
@@ -31,7 +31,7 @@
   CHECK_FALSE(zones.isSilent(now, "mapstore", "bole"));
 }
 
-TEST(SilentZones, EndWithAnySignOfLife) {
+TEST(SilentZones, EndWithAnyAnswer) {
   unanswered(1);
   unanswered(2);
   zones.onAnswered("dispatch", "bole");
@@ -45,7 +45,7 @@
   CHECK_TRUE(zones.isEmpty());
 }
 
-TEST(SilentZones, AreTriedAgainEverMoreSeldom) {
+TEST(SilentZones, AreRetriedWithIncreasingBackoff) {
   unanswered(1);
   unanswered(2);
   unanswered(3);
@@ -63,7 +63,7 @@
   }
 }
 
-TEST(SilentZones, AreNotFoundFromHostsThatFellSilentLongApart) {
+TEST(SilentZones, AreNotDetectedFromHostsSilentFarApart) {
   unanswered(1);
   now += milliseconds(1500);
   unanswered(2);
--- a/test/common/token/token_director_overflow_test.cc
+++ b/test/common/token/token_director_overflow_test.cc
@@ -1,4 +1,6 @@
-/** @file Openings that leave the part of a split that has no room, and what shares are afterwards.
+/**
+ * @file Openings that overflow from a part of a traffic split without room, and the resulting
+ * shares.
  */
 #include "common/token/token_director.h"
 
@@ -21,24 +23,24 @@
 constexpr const char* kOtherService = "filing";
 constexpr const char* kSmall = "printer";
 constexpr const char* kLarge = "desk";
-/** The small pool has two hosts of one slot, one node sends: four openings a slot. */
+/** The small pool has two hosts with one slot each, and one node sends: four openings per slot. */
 constexpr uint64_t kSmallLimit = 8;
 constexpr uint32_t kLargeHosts = 20;
 
-TokenOptions optionsOf(OverflowMode mode, double mostPart) {
+TokenOptions optionsOf(OverflowMode mode, double maxFraction) {
   TokenOptions options;
   options.zone = "bole";
-  options.overflow = {mode, mostPart};
+  options.overflow = {mode, maxFraction};
   return options;
 }
 
 }  // namespace
 
-/** A director whose callers open flows of a service that is split evenly over two pools. */
+/** A director with a service that is split evenly over two pools. */
 class OverflowingNode {
  public:
-  explicit OverflowingNode(OverflowMode mode, double mostPart = 1.0, bool repeatable = false)
-      : director_(optionsOf(mode, mostPart), random_) {
+  explicit OverflowingNode(OverflowMode mode, double maxFraction = 1.0, bool repeatable = false)
+      : director_(optionsOf(mode, maxFraction), random_) {
     addService(kService, {{kSmall, 1}, {kLarge, 1}}, repeatable);
     addService(kOtherService, {{kLarge, 1}});
     setHosts(kSmall, 2);
@@ -70,7 +72,7 @@
     director_.setPool(now_, hosts);
   }
   void removePool(const std::string& pool) { director_.removePool(now_, pool); }
-  /** @return the pool that a new flow goes to; "" where it waits or is refused. */
+  /** @return the pool that a new flow goes to; "" if it is queued or refused. */
   std::string open(const std::string& service = kService) { return openAs(++flow_, service); }
   std::string openAs(uint64_t flow, const std::string& service = kService) {
     const FlowDecision decision = director_.decide(
@@ -84,7 +86,7 @@
     overflowFrom_ = std::string(chosen.placement->overflowFrom);
     return std::string(chosen.label.pool);
   }
-  /** The host answers a flow's first request. */
+  /** Answers the first request of a flow. */
   void answer(uint64_t flow, const std::string& service = kService) {
     for (const uint32_t acknowledged : {100U, 700U}) {
       FlowPacket made = packet(service, flow, PacketPhase::kContinuing);
@@ -93,7 +95,7 @@
       director_.decide(now_, made, "");
     }
   }
-  /** Opens flows until the small pool has no room, and keeps the large one's answered. */
+  /** Opens flows until the small pool has no room; flows at the large pool are answered. */
   void fillSmall() {
     uint64_t opened = 0;
     while (opened < kSmallLimit) {
@@ -104,7 +106,9 @@
       }
     }
   }
-  /** @return new flows by pool, "" for those that wait; the large pool answers at once. */
+  /**
+   * @return the number of new flows by pool, "" for queued ones; the large pool answers at once.
+   */
   std::map<std::string, int> openMany(int flows) {
     std::map<std::string, int> counts;
     for (int opened = 0; opened < flows; ++opened) {
@@ -116,8 +120,8 @@
     }
     return counts;
   }
-  /** Callers that don't follow their openings free the room. */
-  void rest(Duration time = milliseconds(500)) { now_ += time; }
+  /** Room is freed because callers do not continue their openings. */
+  void advanceTime(Duration time = milliseconds(500)) { now_ += time; }
   TokenDirector& director() { return director_; }
   TimePoint now() const { return now_; }
   std::vector<uint64_t> flowsAt(const std::string& pool) const { return flows_.at(pool); }
@@ -145,7 +149,7 @@
 
 TEST_GROUP(TokenDirectorOverflow){};
 
-TEST(TokenDirectorOverflow, WhatIsDueToAPoolWithoutRoomGoesToOneThatHasIt) {
+TEST(TokenDirectorOverflow, OverflowsFromAFullPoolToOneWithRoom) {
   OverflowingNode node(OverflowMode::kByRoom);
   node.fillSmall();
   auto counts = node.openMany(100);
@@ -157,7 +161,7 @@
   STRCMP_EQUAL(kSmall, (first + node.overflowFrom()).c_str());
 }
 
-TEST(TokenDirectorOverflow, SwitchedOffWhatIsDueWaits) {
+TEST(TokenDirectorOverflow, QueuesWhenOverflowIsDisabled) {
   OverflowingNode node(OverflowMode::kOff);
   node.fillSmall();
   auto counts = node.openMany(100);
@@ -166,8 +170,8 @@
   STRCMP_EQUAL("", node.overflowFrom().c_str());
 }
 
-/** A part without room must not hold up what is due to the others of its split. */
-TEST(TokenDirectorOverflow, WhatWaitsForAPoolIsPlacedThereAndTakesNoSecondTurn) {
+/** A part without room must not delay flows for the other parts of the split. */
+TEST(TokenDirectorOverflow, QueuedOpeningIsPlacedWithoutASecondCharge) {
   OverflowingNode node(OverflowMode::kOff);
   node.fillSmall();
   std::vector<uint64_t> waiting;
@@ -177,8 +181,8 @@
     }
   }
   LONGS_EQUAL(2, waiting.size());
-  // Callers that don't follow their openings free the room after 150 ms.
-  node.rest(milliseconds(160));
+  // Openings that callers do not continue free their room after 150 ms.
+  node.advanceTime(milliseconds(160));
   LONGS_EQUAL(2, node.director().takeReleased(node.now()).size());
   for (const uint64_t flow : waiting) {
     STRCMP_EQUAL(kSmall, node.openAs(flow).c_str());
@@ -192,7 +196,7 @@
   LONGS_EQUAL(5, counts[kLarge]);
 }
 
-TEST(TokenDirectorOverflow, WhatWaitedForAPoolThatTheSplitNoLongerNamesGoesToAnother) {
+TEST(TokenDirectorOverflow, QueuedOpeningOfARemovedPartGoesToAnotherPool) {
   OverflowingNode node(OverflowMode::kOff);
   node.fillSmall();
   uint64_t waiting = 0;
@@ -200,12 +204,12 @@
     waiting = node.open().empty() ? node.lastFlow() : 0;
   }
   node.addService(kService, {{kLarge, 1}});
-  node.rest(milliseconds(160));
+  node.advanceTime(milliseconds(160));
   LONGS_EQUAL(1, node.director().takeReleased(node.now()).size());
   STRCMP_EQUAL(kLarge, node.openAs(waiting).c_str());
 }
 
-TEST(TokenDirectorOverflow, ServicesWhoseRequestsMayNotRunTwiceCanBeLeftOut) {
+TEST(TokenDirectorOverflow, CanExcludeNonRepeatableServices) {
   OverflowingNode once(OverflowMode::kRepeatable);
   once.fillSmall();
   LONGS_EQUAL(50, once.openMany(100)[""]);
@@ -214,7 +218,7 @@
   LONGS_EQUAL(100, twice.openMany(100)[kLarge]);
 }
 
-TEST(TokenDirectorOverflow, SharesAreExactWithoutShortage) {
+TEST(TokenDirectorOverflow, SharesAreExactWithoutOverflow) {
   OverflowingNode node(OverflowMode::kByRoom);
   std::map<std::string, int> counts;
   for (int flow = 0; flow < 1000; ++flow) {
@@ -225,11 +229,11 @@
   LONGS_EQUAL(500, counts[kLarge]);
 }
 
-TEST(TokenDirectorOverflow, ItEndsAtOnceWhenRoomReturnsAndNothingIsRepaid) {
+TEST(TokenDirectorOverflow, EndsAtOnceWhenRoomReturnsWithoutRepayment) {
   OverflowingNode node(OverflowMode::kByRoom);
   node.fillSmall();
   node.openMany(1000);
-  node.rest();
+  node.advanceTime();
   std::map<std::string, int> counts;
   for (int flow = 0; flow < 20; ++flow) {
     ++counts[node.open()];
@@ -239,19 +243,19 @@
   LONGS_EQUAL(10, counts[kLarge]);
 }
 
-TEST(TokenDirectorOverflow, TheBoundHoldsAndTheRestWaits) {
+TEST(TokenDirectorOverflow, EnforcesTheLimitAndQueuesTheRest) {
   OverflowingNode node(OverflowMode::kByRoom, 0.15);
   node.fillSmall();
   auto counts = node.openMany(400);
-  // 200 were due to the large pool, 0.15 of 400 came on top; the others wait.
+  // 200 flows are the large pool's own share and 0.15 of 400 overflow to it; the others are queued.
   CHECK_TRUE(counts[kLarge] >= 258 && counts[kLarge] <= 262);
   LONGS_EQUAL(400, counts[kLarge] + counts[""]);
 }
 
-TEST(TokenDirectorOverflow, TheOtherPoolsOwnCallersKeepHalfOfItsRoom) {
+TEST(TokenDirectorOverflow, ReservesHalfOfTheOtherPoolForItsOwnCallers) {
   OverflowingNode node(OverflowMode::kByRoom);
   node.fillSmall();
-  // Nobody answers: 80 openings may be under way at the large pool.
+  // No flow is answered: the large pool allows 80 openings in flight.
   std::map<std::string, int> counts;
   for (int flow = 0; flow < 60; ++flow) {
     ++counts[node.open()];
@@ -265,7 +269,7 @@
   LONGS_EQUAL(20, own);
 }
 
-TEST(TokenDirectorOverflow, ACopyOfAnOpeningThatWaitsIsNotPlacedBesideIt) {
+TEST(TokenDirectorOverflow, DoesNotPlaceARetransmissionOfAQueuedOpening) {
   OverflowingNode node(OverflowMode::kByRoom);
   node.fillSmall();
   std::vector<uint64_t> waiting;
@@ -275,16 +279,19 @@
     }
   }
   CHECK_FALSE(waiting.empty());
-  // The large pool has answered meanwhile.
+  // The large pool has answered in the meantime.
   for (const uint64_t flow : node.flowsAt(kLarge)) {
     node.answer(flow);
   }
   STRCMP_EQUAL("", node.openAs(waiting.front()).c_str());
 }
 
-/** A copy that comes after its pool is named no more, gone, or without a host that may take flows
- * was placed beside the opening that waited: the flow got two hosts, or a reset. */
-TEST(TokenDirectorOverflow, ACopyWaitsOnWhateverBecameOfItsPool) {
+/**
+ * Guards against a second placement: a retransmission that arrived after its pool was removed from
+ * the split, deleted or left without an available host was placed in addition to the queued
+ * opening, so that the flow got two hosts or a reset.
+ */
+TEST(TokenDirectorOverflow, RetransmissionStaysQueuedWhenItsPoolChanges) {
   const auto copyAfter = [](const std::function<void(OverflowingNode&)>& change) {
     OverflowingNode node(OverflowMode::kOff);
     node.fillSmall();
@@ -305,7 +312,7 @@
                    }).c_str());
 }
 
-TEST(TokenDirectorOverflow, APoolThatTheSplitNoLongerNamesTakesNothing) {
+TEST(TokenDirectorOverflow, DoesNotOverflowToARemovedPart) {
   OverflowingNode node(OverflowMode::kByRoom);
   node.fillSmall();
   node.openMany(10);
@@ -313,7 +320,7 @@
   LONGS_EQUAL(0, node.openMany(20)[kLarge]);
 }
 
-TEST(TokenDirectorOverflow, APartWhoseWeightBecameNoneTakesNothing) {
+TEST(TokenDirectorOverflow, DoesNotOverflowToAPartWithoutWeight) {
   OverflowingNode node(OverflowMode::kByRoom);
   node.fillSmall();
   node.openMany(10);
@@ -321,7 +328,7 @@
   LONGS_EQUAL(0, node.openMany(20)[kLarge]);
 }
 
-TEST(TokenDirectorOverflow, ChangedWeightsHoldWhileItRuns) {
+TEST(TokenDirectorOverflow, AppliesChangedWeightsDuringOverflow) {
   OverflowingNode node(OverflowMode::kByRoom, 0.1);
   node.fillSmall();
   node.openMany(10);
@@ -330,18 +337,18 @@
   CHECK_TRUE(taken >= 148 && taken <= 152);
 }
 
-TEST(TokenDirectorOverflow, APoolThatLostItsHostsTakesNothing) {
+TEST(TokenDirectorOverflow, DoesNotOverflowToAPoolWithoutHosts) {
   OverflowingNode node(OverflowMode::kByRoom);
   node.fillSmall();
   node.openMany(10);
   node.setHosts(kLarge, 0);
-  // Hosts that vanish may have lost their entry for a moment only; after that they are gone.
-  node.rest(seconds(2));
+  // Vanished hosts may have lost their entry only temporarily; after this time they are gone.
+  node.advanceTime(seconds(2));
   node.fillSmall();
   LONGS_EQUAL(0, node.openMany(20)[kLarge]);
 }
 
-TEST(TokenDirectorOverflow, APoolThatDrainsTakesNothing) {
+TEST(TokenDirectorOverflow, DoesNotOverflowToADrainingPool) {
   OverflowingNode node(OverflowMode::kByRoom);
   node.fillSmall();
   node.openMany(10);
@@ -349,7 +356,7 @@
   LONGS_EQUAL(0, node.openMany(20)[kLarge]);
 }
 
-TEST(TokenDirectorOverflow, APoolInAnEvacuatedZoneTakesNothing) {
+TEST(TokenDirectorOverflow, DoesNotOverflowToAnEvacuatedZone) {
   OverflowingNode node(OverflowMode::kByRoom);
   node.fillSmall();
   node.openMany(10);
@@ -357,7 +364,7 @@
   LONGS_EQUAL(0, node.openMany(20)[kLarge]);
 }
 
-TEST(TokenDirectorOverflow, TheShortPoolsHostsGoWhileItRunsAndNoneIsRefused) {
+TEST(TokenDirectorOverflow, RefusesNoFlowWhenTheFullPoolDrains) {
   OverflowingNode node(OverflowMode::kByRoom);
   node.fillSmall();
   node.openMany(10);
--- a/test/common/token/token_director_test.cc
+++ b/test/common/token/token_director_test.cc
@@ -1,4 +1,4 @@
-/** @file Flows without flow state: tokens name hosts, new flows are split and placed. */
+/** @file Flows without flow state: tokens identify hosts, and new flows are split and placed. */
 #include "common/token/token_director.h"
 
 #include <algorithm>
@@ -62,7 +62,7 @@
   FlowDecision open(uint64_t flow) {
     return director.decide(now, packet(PacketPhase::kOpening, flow, 0), "");
   }
-  /** A packet with data, as the caller sends it first or again. */
+  /** Sends a packet with data, for the first time or as a retransmission. */
   FlowDecision data(uint64_t flow, uint32_t token, uint32_t sequence) {
     FlowPacket made = packet(PacketPhase::kContinuing, flow, token);
     made.sequence = sequence;
@@ -71,7 +71,7 @@
     director.onCaughtUp(now);
     return decision;
   }
-  /** @param sequence what follows the caller's data. */
+  /** @param sequence sequence number after the caller's data. */
   void acknowledge(uint64_t flow, uint32_t token, uint32_t acknowledged, uint32_t sequence = 0) {
     FlowPacket made = packet(PacketPhase::kContinuing, flow, token);
     made.sequence = sequence;
@@ -79,7 +79,9 @@
     director.decide(now, made, "");
     director.onCaughtUp(now);
   }
-  /** Sends the data and its copies as a caller does. @return what became of the last. */
+  /**
+   * Sends data and its retransmissions with the timeouts of a caller. @return the last decision.
+   */
   FlowDecision sendCopies(uint64_t flow, uint32_t token, uint32_t copies) {
     milliseconds wait(200);
     FlowDecision last = data(flow, token, 7);
@@ -98,12 +100,12 @@
   FlowDecision next(uint64_t flow, uint32_t token) {
     return director.decide(now, packet(PacketPhase::kContinuing, flow, token), "");
   }
-  /** @return the incarnation that a decision names; 0 where it forwards nothing. */
+  /** @return the incarnation of the host that a decision forwards to; 0 if it does not forward. */
   static uint64_t hostOf(const FlowDecision& decision) {
     const auto* forward = std::get_if<ForwardToHost>(&decision);
     return forward == nullptr ? 0 : forward->incarnation;
   }
-  /** Opens flows that each host answers; @return flows by incarnation. */
+  /** Opens flows that their hosts answer. @return the number of flows by incarnation. */
   std::map<uint64_t, int> openMany(int count) {
     std::map<uint64_t, int> placed;
     for (int index = 0; index < count; ++index) {
@@ -138,10 +140,10 @@
   CHECK_EQUAL(hostOf(opened), hostOf(followed));
 }
 
-TEST(TokenDirector, NeverGuessesTheHostOfAnUnknownToken) {
+TEST(TokenDirector, HoldsPacketsWithAnUnknownToken) {
   CHECK_TRUE(isDropped(next(1, 0)));
   CHECK_TRUE(isHeld(next(1, 12345)));
-  // Other hosts do not get it, however many appear.
+  // Other hosts do not receive it, however many are added.
   director.setPool(now, {"dispatch", {makeHost(1), makeHost(2), makeHost(3)}});
   LONGS_EQUAL(0, director.takeReleased(now).size());
 }
@@ -162,7 +164,7 @@
   LONGS_EQUAL(0, director.takeReleased(now).size());
 }
 
-TEST(TokenDirector, RefusesFlowsOfAHostThatLeftAndWhoseAddressALaterOneHas) {
+TEST(TokenDirector, RefusesFlowsOfAHostWhoseAddressWasReused) {
   HostSpec successor = makeHost(3);
   successor.endpoint = makeHost(1).endpoint;
   now += seconds(1);
@@ -174,7 +176,7 @@
   CHECK_EQUAL(3, hostOf(next(501, flowTokenOf(3))));
 }
 
-TEST(TokenDirector, DoesNotTakeTheOrderOfOneListForTheOrderOfTwoHostsWithOneAddress) {
+TEST(TokenDirector, TreatsHostsWithOneAddressInOneListAsEquallyOld) {
   HostSpec stale = makeHost(3);
   stale.endpoint = makeHost(1).endpoint;
   director.setPool(now, {"mapstore", {stale}});
@@ -205,7 +207,7 @@
   CHECK_EQUAL(10, openMany(10)[3]);
 }
 
-TEST(TokenDirector, SendsAPartOfTheFlowsToOtherZonesWhereItsOwnHasTooFewHosts) {
+TEST(TokenDirector, SendsSomeFlowsToOtherZonesIfOwnHasTooFewHosts) {
   std::vector<HostSpec> hosts = {makeHost(1)};
   for (uint64_t number = 2; number <= 4; ++number) {
     hosts.push_back(makeHost(number, "piassa"));
@@ -221,7 +223,7 @@
   CHECK_TRUE(hostOf(open(1)) != first);
 }
 
-TEST(TokenDirector, PassesOverAHostThatLeavesCallersUnansweredUntilItAnswers) {
+TEST(TokenDirector, SkipsASilentHostUntilItAnswers) {
   director.setPool(now, {"dispatch", {makeHost(1), makeHost(2), makeHost(3)}});
   int repeats = 0;
   while (repeats < 2) {
@@ -235,21 +237,21 @@
   CHECK_TRUE(openMany(30)[1] > 0);
 }
 
-TEST(TokenDirector, KeepsVanishedHostsAsALastResortForAMoment) {
+TEST(TokenDirector, UsesVanishedHostsBrieflyAsALastResort) {
   director.setPool(now, {"dispatch", {}});
   CHECK_TRUE(hostOf(open(1)) != 0);
   now += seconds(2);
   CHECK_TRUE(isRefused(open(2)));
 }
 
-TEST(TokenDirector, StaysSilentWhileAPoolHasNotArrived) {
+TEST(TokenDirector, DropsOpeningsUntilThePoolIsKnown) {
   director.setService(makePickup({{"mapstore", 1}}));
   CHECK_TRUE(isDropped(open(1)));
 }
 
-TEST(TokenDirector, SaysWhatDecidedAPlacement) {
+TEST(TokenDirector, ReturnsThePlacementEvidence) {
   director.setPool(now, {"dispatch", {makeHost(1), makeHost(3, "piassa")}}, 12);
-  now += seconds(2);  // Host 2 has left, and is no last resort any more.
+  now += seconds(2);  // Host 2 has left and no longer serves as a last resort.
   const auto opened = std::get<ForwardToHost>(open(1));
   CHECK_TRUE(opened.label.name == "h-1");
   CHECK_TRUE(opened.label.pool == "dispatch");
@@ -267,7 +269,7 @@
   CHECK_TRUE(std::get<ForwardToHost>(next(1, repeated.token)).placement == nullptr);
 }
 
-TEST(TokenDirector, SaysWhatChangedForItsHosts) {
+TEST(TokenDirector, ReturnsHostChanges) {
   HostSpec draining = makeHost(2);
   draining.state = HostState::kDraining;
   const auto kindsOf = [](const std::vector<HostChange>& changes) {
@@ -290,14 +292,14 @@
   LONGS_EQUAL(3, director.removePool(now, "dispatch").size());
 }
 
-TEST(TokenDirector, FindsServicesByTheirAddressUntilTheyGo) {
+TEST(TokenDirector, FindsServicesByAddressUntilRemoved) {
   CHECK_TRUE(director.find(kAddress, kPort, TransportProtocol::kTcp).has_value());
   CHECK_FALSE(director.find(kAddress, 80, TransportProtocol::kTcp).has_value());
   director.removeService("pickup");
   CHECK_FALSE(director.find(kAddress, kPort, TransportProtocol::kTcp).has_value());
 }
 
-TEST(TokenDirector, RefusesAFlowWhoseHostAcknowledgesNothing) {
+TEST(TokenDirector, RefusesAFlowOfASilentHost) {
   serveRepeatable();
   const auto opened = open(1);
   const uint32_t token = std::get<ForwardToHost>(opened).token;
@@ -306,13 +308,13 @@
   const FlowDecision fourth = data(1, token, 7);
   CHECK_TRUE(std::holds_alternative<RefuseFlow>(fourth));
   CHECK_TRUE(std::get<RefuseFlow>(fourth).reason == RefusalReason::kHostSilent);
-  // New flows go elsewhere meanwhile.
+  // New flows go to the other host in the meantime.
   for (uint64_t flow = 10; flow < 20; ++flow) {
     CHECK_TRUE(hostOf(open(flow)) != hostOf(opened));
   }
 }
 
-TEST(TokenDirector, CopiesOfOtherFlowsShortenTheWait) {
+TEST(TokenDirector, CountsRetransmissionsOfOtherFlows) {
   serveRepeatable();
   director.setPool(now, {"dispatch", {makeHost(1)}});
   const uint32_t token = std::get<ForwardToHost>(open(1)).token;
@@ -326,7 +328,7 @@
   CHECK_TRUE(std::holds_alternative<RefuseFlow>(data(1, token, 7)));
 }
 
-TEST(TokenDirector, AnAnswerOfAnyFlowShowsThatTheHostLives) {
+TEST(TokenDirector, AnyAnswerEndsSilence) {
   serveRepeatable();
   director.setPool(now, {"dispatch", {makeHost(1)}});
   const uint32_t token = std::get<ForwardToHost>(open(1)).token;
@@ -338,12 +340,12 @@
   CHECK_TRUE(std::holds_alternative<ForwardToHost>(data(1, token, 7)));
 }
 
-TEST(TokenDirector, FlowsWhoseRequestsMayRunOnceOnlyAreLeftToTheirHost) {
+TEST(TokenDirector, LeavesNonRepeatableRequestsToTheirHost) {
   const uint32_t token = std::get<ForwardToHost>(open(1)).token;
   CHECK_TRUE(std::holds_alternative<ForwardToHost>(sendCopies(1, token, 6)));
 }
 
-TEST(TokenDirector, ResetsTheFlowsOfAHostThatEndedWithoutWaitingForTheirCallers) {
+TEST(TokenDirector, ResetsFlowsOfATerminatedHostAtOnce) {
   data(1, flowTokenOf(1), 100);
   acknowledge(1, flowTokenOf(1), 600, 200);
   data(2, flowTokenOf(2), 100);
@@ -362,7 +364,7 @@
   CHECK_FALSE(director.hasResets());
 }
 
-TEST(TokenDirector, AHostThatThreeCallersFindSilentIsDead) {
+TEST(TokenDirector, HostSilentToThreeCallersIsDead) {
   serveRepeatable();
   const uint32_t token = flowTokenOf(1);
   acknowledge(9, token, 10);
@@ -372,20 +374,20 @@
     data(flow, token, 7);
   }
   now += milliseconds(200);
-  // All three send again in one pause of the host.
+  // All three callers retransmit during one pause of the host.
   for (uint64_t flow = 1; flow <= 3; ++flow) {
     CHECK_TRUE(std::holds_alternative<ForwardToHost>(data(flow, token, 7)));
   }
   CHECK_FALSE(director.hasResets());
   now += milliseconds(300);
   CHECK_TRUE(std::holds_alternative<RefuseFlow>(data(3, token, 7)));
-  // Those under way may run twice, and flow 9 rests.
+  // Requests in flight are safe to retry, and flow 9 is idle.
   LONGS_EQUAL(4, director.takeResets().size());
   CHECK_TRUE(std::holds_alternative<RefuseFlow>(data(4, token, 7)));
   LONGS_EQUAL(0, openMany(20)[1]);
 }
 
-TEST(TokenDirector, AHostThatIsSilentToTheZoneIsDeadUnlessItAnsweredHereSince) {
+TEST(TokenDirector, HostSilentToTheZoneIsDeadUnlessItAnsweredHere) {
   const uint32_t token = flowTokenOf(1);
   acknowledge(9, token, 10);
   acknowledge(9, token, 600);
@@ -401,7 +403,7 @@
   CHECK_TRUE(openMany(20)[1] > 0);
 }
 
-TEST(TokenDirector, NeverTakesMoreThanHalfOfAPoolForDead) {
+TEST(TokenDirector, NeverMarksMoreThanHalfOfAPoolDead) {
   director.setPool(now, {"dispatch", {makeHost(1), makeHost(2), makeHost(3)}});
   acknowledge(9, flowTokenOf(1), 10);
   acknowledge(9, flowTokenOf(1), 600);
@@ -412,7 +414,7 @@
   CHECK_TRUE(director.hasResets());
 }
 
-TEST(TokenDirector, TellsOfHostsThatAcknowledgedOrDidNotOnce) {
+TEST(TokenDirector, ReportsEachAcknowledgementStateOnce) {
   data(1, flowTokenOf(1), 7);
   now += milliseconds(200);
   data(1, flowTokenOf(1), 7);
@@ -425,7 +427,7 @@
   CHECK_TRUE(director.takeAckStates().empty());
 }
 
-TEST(TokenDirector, PlacesFewNewFlowsAtAHostWhoseAnswersComeFarTooLate) {
+TEST(TokenDirector, PlacesFewNewFlowsOnAVerySlowHost) {
   director.setPool(now, {"dispatch", {makeHost(1), makeHost(2), makeHost(3)}});
   const auto serve = [this](uint64_t incarnation, milliseconds answerTime) {
     const uint32_t token = flowTokenOf(incarnation);
@@ -446,7 +448,7 @@
   LONGS_EQUAL(1, director.takeSlownessChanges().size());
 }
 
-TEST(TokenDirector, TimesTheWorkOfHostsWhileTheyHaveFreeSlots) {
+TEST(TokenDirector, MeasuresProcessingTimesOnlyWithFreeSlots) {
   const auto serve = [&](uint32_t slots, milliseconds response) {
     HostSpec spec = makeHost(1);
     spec.slots = slots;
@@ -464,13 +466,13 @@
   const auto free = serve(2, milliseconds(40));
   CHECK_TRUE(free.back().workRatio.has_value());
   DOUBLES_EQUAL(1.0, *free.back().workRatio, 0.05);
-  // Of a pool that doesn't say its slots nothing is known.
+  // Nothing is known about a pool with unknown slots.
   CHECK_FALSE(serve(0, milliseconds(40)).back().workRatio.has_value());
-  // One slot, used for nearly the whole time: requests wait for it.
+  // One slot that is almost always busy: requests wait for it.
   CHECK_FALSE(serve(1, milliseconds(400)).back().workRatio.has_value());
 }
 
-TEST(TokenDirector, JudgesTheTimesOfAHostByItsSpeed) {
+TEST(TokenDirector, NormalizesResponseTimesBySpeed) {
   const auto score = [&](uint32_t percent) {
     director.applySpeeds(now, {{flowTokenOf(1), percent, 50}});
     for (uint32_t request = 0; request < 40; ++request) {
@@ -496,7 +498,7 @@
   CHECK_FALSE(changes[1].low);
 }
 
-TEST(TokenDirector, KeepsWhatIsUsualAcrossConfigurations) {
+TEST(TokenDirector, KeepsUsualTimesAcrossConfigurations) {
   serveRepeatable();
   const uint32_t token = flowTokenOf(1);
   for (int index = 0; index < 6; ++index) {
@@ -514,8 +516,10 @@
   DOUBLES_EQUAL(170.0 / 70.0, samples[0].ratio, 0.01);
 }
 
-/** A host that is down resets its callers directly: a node sees only that they never go on. */
-TEST(TokenDirector, PassesOverAHostWhoseCallersNeverGoOn) {
+/**
+ * A host that is down resets its callers directly, so a node only sees that they never continue.
+ */
+TEST(TokenDirector, SkipsAHostWhoseCallersNeverContinue) {
   director.setPool(now, {"dispatch", {makeHost(1), makeHost(2), makeHost(3)}});
   std::map<uint64_t, int> placed;
   for (int index = 0; index < 60; ++index) {
@@ -529,11 +533,12 @@
     now += milliseconds(20);
     director.onCaughtUp(now);
   }
-  // Two openings are needed, and some were under way; without it a host that looks idle draws most.
+  // Detection takes two openings, and some were already in flight. Without detection, the host
+  // would attract most flows because it looks idle.
   CHECK_TRUE(placed[1] <= 8);
 }
 
-TEST(TokenDirector, LeavesAZoneWhoseHostsFallSilentTogetherAndReturnsWithASignOfLife) {
+TEST(TokenDirector, AvoidsASilentZoneUntilAHostAnswers) {
   std::vector<HostSpec> hosts;
   for (uint64_t number = 1; number <= 40; ++number) {
     hosts.push_back(makeHost(number, number <= 20 ? "bole" : "piassa"));
@@ -555,14 +560,14 @@
     return toBole;
   };
   LONGS_EQUAL(40, run(40, true));
-  // 20 hosts would take two openings each.
+  // Detecting 20 hosts separately would take two openings each.
   CHECK_TRUE(run(40, false) <= 12);
   run(100, true);
   CHECK_TRUE(run(40, true) >= 30);
 }
 
-/** An idle host draws the most flows, also right after its start. */
-TEST(TokenDirector, GivesAColdHostFewFlowsUntilItsTimeIsOver) {
+/** An idle host attracts the most flows, also right after its start. */
+TEST(TokenDirector, SendsFewFlowsToAColdHost) {
   HostSpec cold = makeHost(3);
   cold.coldMilliseconds = 2000;
   const HostPool pool{"dispatch", {makeHost(1), makeHost(2), cold}, {4.0, 2000}};
@@ -575,7 +580,7 @@
   for (int step = 0; step < 19; ++step) {
     now += milliseconds(100);
     toCold += openMany(10)[3];
-    // A change of another host tells nothing new of this one.
+    // A change of another host does not restart the cold phase of this one.
     director.setPool(now, pool);
   }
   CHECK_TRUE(toCold <= 1);
@@ -583,7 +588,7 @@
   CHECK_TRUE(openMany(60)[3] >= 20);
 }
 
-TEST(TokenDirector, HostsOfAZoneThatIsTakenBackCountAsCold) {
+TEST(TokenDirector, HostsOfARestoredZoneCountAsCold) {
   director.setPool(now, {"dispatch", {makeHost(1), makeHost(2, "piassa")}, {4.0, 2000}});
   director.setEvacuatedZones(now, {{"bole"}});
   LONGS_EQUAL(0, openMany(20)[1]);
@@ -593,7 +598,7 @@
   CHECK_TRUE(openMany(20)[1] >= 15);
 }
 
-TEST(TokenDirector, RefusesWhereEveryHostIsInAnEvacuatedZone) {
+TEST(TokenDirector, RefusesIfAllHostsAreInEvacuatedZones) {
   director.setEvacuatedZones(now, {{"bole"}});
   CHECK_TRUE(isRefused(open(++flows)));
   director.setEvacuatedZones(now, {});
--- a/test/common/token/token_director_waiting_test.cc
+++ b/test/common/token/token_director_waiting_test.cc
@@ -1,5 +1,7 @@
-/** @file Packets that the director lets wait: openings while hosts have enough to do, and packets
- * whose host has no entry yet. */
+/**
+ * @file Packets that the director holds: openings while hosts are at capacity, and packets whose
+ * host has no entry yet.
+ */
 #include "common/token/token_director.h"
 
 #include <string>
@@ -16,7 +18,7 @@
 
 constexpr const char* kUrgent = "confirm";
 constexpr const char* kUsual = "alert";
-/** Two hosts of one slot, four openings for each slot, one node in one zone. */
+/** Two hosts with one slot each, four openings per slot, one node in one zone. */
 constexpr uint64_t kLimit = 8;
 
 }  // namespace
@@ -85,7 +87,7 @@
     made.acknowledged = acknowledged;
     CHECK_TRUE(std::holds_alternative<ForwardToHost>(director.decide(now, made, "")));
   }
-  /** A request of 100 ms on an open flow. */
+  /** Sends a request on an open flow and answers it after 100 ms. */
   void serve(const std::string& service, uint64_t flow, uint32_t token, uint32_t request) {
     FlowPacket made = packet(service, flow, PacketPhase::kContinuing);
     made.token = token;
@@ -109,8 +111,8 @@
   }
 };
 
-// The load: flows that stay open bring requests that no node may hold back.
-TEST(TokenDirectorWaiting, TheLessUrgentServiceWaitsForWhatItsOpenFlowsUse) {
+// Requests on open flows cannot be held back, so they reduce the limit for new flows.
+TEST(TokenDirectorWaiting, OpenFlowsReduceTheLimitOfTheLowerPriorityService) {
   addService(kUsual, 2, 500);
   addService(kUrgent, 1, 500);
   const uint32_t usual = openAtHost(kUsual, 1);
@@ -119,21 +121,22 @@
     serve(kUsual, 1, usual, request);
     serve(kUrgent, 2, urgent, request);
   }
-  // Two slots, a third of 500 ms for tries of 100 ms: hardly more than the two that are under way.
+  // Two slots and a third of 500 ms for requests of 100 ms: hardly more than the two already in
+  // flight.
   openAtHost(kUsual, 10);
   CHECK_TRUE(std::holds_alternative<HoldPacket>(open(kUsual, 11)));
   openAtHost(kUrgent, 20);
   openAtHost(kUrgent, 21);
 }
 
-TEST(TokenDirectorWaiting, WhatHostsCanNotBeginToWorkOnWaits) {
+TEST(TokenDirectorWaiting, QueuesOpeningsAboveCapacity) {
   fill();
   CHECK_TRUE(std::holds_alternative<HoldPacket>(open(kUsual, 20)));
   LONGS_EQUAL(0, director.takeReleased(now).size());
   CHECK_TRUE(director.nextRelease().has_value());
 }
 
-TEST(TokenDirectorWaiting, TheMoreUrgentServiceGoesFirst) {
+TEST(TokenDirectorWaiting, HigherPriorityServiceIsReleasedFirst) {
   uint32_t token = 0;
   for (uint64_t flow = 1; flow <= kLimit; ++flow) {
     token = openAtHost(kUsual, flow);
@@ -149,7 +152,7 @@
   CHECK_TRUE(std::holds_alternative<HoldPacket>(open(kUsual, 20)));
 }
 
-TEST(TokenDirectorWaiting, WhatHasWaitedTooLongIsRefused) {
+TEST(TokenDirectorWaiting, RefusesOpeningsThatWaitedTooLong) {
   fill();
   open(kUsual, 20);
   now += milliseconds(199);
@@ -161,7 +164,7 @@
   CHECK_TRUE(std::get<RefuseFlow>(decision).reason == RefusalReason::kHostsBusy);
 }
 
-TEST(TokenDirectorWaiting, FlowsThatAreOpenAreNotHeldUp) {
+TEST(TokenDirectorWaiting, DoesNotHoldOpenFlows) {
   const uint32_t token = openAtHost(kUsual, 50);
   acknowledge(kUsual, 50, token, 100);
   acknowledge(kUsual, 50, token, 700);
@@ -173,7 +176,7 @@
   CHECK_TRUE(std::holds_alternative<ForwardToHost>(director.decide(now, data, "")));
 }
 
-TEST(TokenDirectorWaiting, ACopyOfAnOpeningThatWasPlacedDoesNotWait) {
+TEST(TokenDirectorWaiting, DoesNotQueueARetransmissionOfAPlacedOpening) {
   const uint32_t first = openAtHost(kUsual, 50);
   for (uint64_t flow = 1; flow < kLimit; ++flow) {
     acknowledge(kUsual, flow, openAtHost(kUsual, flow), 100);
@@ -182,15 +185,15 @@
   CHECK_TRUE(openAtHost(kUsual, 50) != first);
 }
 
-TEST(TokenDirectorWaiting, NothingWaitsWhereHostsDoNotTellTheirSlots) {
+TEST(TokenDirectorWaiting, QueuesNothingIfSlotsAreUnknown) {
   setHosts(0);
   for (uint64_t flow = 1; flow <= 100; ++flow) {
     openAtHost(kUsual, flow);
   }
 }
 
-/** A node that has started in an outage of the store hears of hosts that live only later. */
-TEST(TokenDirectorWaiting, PacketsWaitForAHostThatIsNotKnownYet) {
+/** A node that started during an outage of the store learns of live hosts only later. */
+TEST(TokenDirectorWaiting, HoldsPacketsForAnUnknownHost) {
   FlowPacket early = packet(kUsual, 500, PacketPhase::kContinuing);
   early.token = flowTokenOf(3);
   CHECK_TRUE(std::holds_alternative<HoldPacket>(director.decide(now, early, "early")));
@@ -205,7 +208,7 @@
   LONGS_EQUAL(0, director.takeReleased(now).size());
 }
 
-TEST(TokenDirectorWaiting, PacketsDoNotWaitForAHostLongerThanTheirCallersDo) {
+TEST(TokenDirectorWaiting, DropsHeldPacketsAfterTheCallerTimeout) {
   FlowPacket early = packet(kUsual, 500, PacketPhase::kContinuing);
   early.token = flowTokenOf(3);
   director.decide(now, early, "early");
