--- a/source/common/health/host_observations.h
+++ b/source/common/health/host_observations.h
@@ -44,7 +44,8 @@
 
   void add(const std::vector<HostSample>& samples);
   /**
-   * @param now determines the sequence number. @return the samples collected since the last report.
+   * @param now determines the sequence number.
+   * @return the samples collected since the last report.
    */
   HostReport takeReport(TimePoint now);
 
--- a/source/common/token/dead_host_flows.h
+++ b/source/common/token/dead_host_flows.h
@@ -30,7 +30,10 @@
 
   /** @param packet a packet of a flow whose host is not known to be dead. */
   void record(TimePoint now, const FlowPacket& packet) { recent_.record(now, packet); }
-  /** Resets all flows of hosts that have terminated. @param tokens flow tokens of these hosts. */
+  /**
+   * Resets all flows of hosts that have terminated.
+   * @param tokens flow tokens of these hosts.
+   */
   void onEnded(TimePoint now, const std::set<uint32_t>& tokens);
   /**
    * Handles the restart of a host under the same token. Flows that were last seen before the
--- a/source/common/token/flow_placement.h
+++ b/source/common/token/flow_placement.h
@@ -35,7 +35,10 @@
 /** Not thread safe. */
 class FlowPlacement {
  public:
-  /** @param zone the zone of this node. @param random borrowed; must outlive the object. */
+  /**
+   * @param zone the zone of this node.
+   * @param random borrowed; must outlive the object.
+   */
   FlowPlacement(std::string zone, PlacementOptions options, RandomSource& random);
 
   /**
@@ -96,8 +99,8 @@
     /** @return whether the zone's capacity is computed without this host. */
     bool isImpaired() const { return silent || avoided || host->slow || vanished; }
     /**
-     * @return the rank of the host; lower ranks are preferred. @param leavesZone whether hosts of
-     * the own zone rank after others.
+     * @return the rank of the host; lower ranks are preferred.
+     * @param leavesZone whether hosts of the own zone rank after others.
      */
     double rank(bool leavesZone) const;
   };
--- a/source/common/token/group_shares.h
+++ b/source/common/token/group_shares.h
@@ -35,8 +35,8 @@
   /** @return the pool that the next flow would go to first; nullptr if no group has a share. */
   const std::string* next() const;
   /**
-   * Starts the selection for a new flow. @return the groups that have a share, highest credit
-   * first.
+   * Starts the selection for a new flow.
+   * @return the groups that have a share, highest credit first.
    */
   std::vector<Turn> begin();
   /** @return the index in pools() of the pool if it has a share; nothing otherwise. */
--- a/source/common/token/host_estimate.h
+++ b/source/common/token/host_estimate.h
@@ -45,14 +45,14 @@
   }
 
   /**
-   * Records the end of a request, or a request that is far overdue. @param ratio its response time
-   * as a multiple of the service's usual one.
+   * Records the end of a request, or a request that is far overdue.
+   * @param ratio its response time as a multiple of the service's usual one.
    */
   void onResponse(TimePoint now, double ratio) { responses_.add(now, ratio); }
 
   /**
-   * Sets the score on which the nodes of the zone agree. @param score a multiple of the usual
-   * response time as of `at`.
+   * Sets the score on which the nodes of the zone agree.
+   * @param score a multiple of the usual response time as of `at`.
    */
   void onShared(TimePoint at, double score) { shared_.set(at, score); }
 
--- a/source/common/token/host_life.h
+++ b/source/common/token/host_life.h
@@ -53,12 +53,12 @@
  */
 inline std::optional<TimePoint> startTimeOf(const HostSpec& host, const WallClock& clock) {
   /** Exceeds the uptime of any machine; keeps the arithmetic in range. */
-  constexpr uint64_t kLongestAge = 1000ULL * 60 * 60 * 24 * 365;
+  constexpr uint64_t kMaxAge = 1000ULL * 60 * 60 * 24 * 365;
   const uint64_t born = host.bornMilliseconds;
   if (born == 0 || born > clock.unixMilliseconds) {
     return std::nullopt;
   }
-  const uint64_t age = std::min(clock.unixMilliseconds - born, kLongestAge);
+  const uint64_t age = std::min(clock.unixMilliseconds - born, kMaxAge);
   return clock.at - std::chrono::milliseconds(static_cast<int64_t>(age));
 }
 
--- a/source/common/token/opening_watch.h
+++ b/source/common/token/opening_watch.h
@@ -44,7 +44,8 @@
    */
   std::optional<Duration> sinceOpening(TimePoint now, FlowHash flow, uint32_t token) const;
   /**
-   * Records a packet of an established flow. @return whether it is the first one after the opening.
+   * Records a packet of an established flow.
+   * @return whether it is the first one after the opening.
    */
   bool onFollowed(FlowHash flow, uint32_t token);
   /**
@@ -53,8 +54,9 @@
    */
   void forgetHost(uint32_t token);
   /**
-   * Called when all packets that had arrived are handled. @return tokens of hosts with an opening
-   * that its caller did not continue; each opening is reported once.
+   * Called when all packets that had arrived are handled.
+   * @return tokens of hosts with an opening that its caller did not continue; each opening is
+   * reported once.
    */
   std::vector<uint32_t> onCaughtUp(TimePoint now);
 
--- a/source/common/token/request_timer.h
+++ b/source/common/token/request_timer.h
@@ -54,8 +54,8 @@
    */
   void forgetHost(uint32_t token);
   /**
-   * Called when all packets that had arrived are handled. @return requests that became overdue;
-   * each is reported once.
+   * Called when all packets that had arrived are handled.
+   * @return requests that became overdue; each is reported once.
    */
   std::vector<OverdueRequest> onCaughtUp(TimePoint now);
 
--- a/source/common/token/response_score.h
+++ b/source/common/token/response_score.h
@@ -37,7 +37,10 @@
     value_ = before + sampleWeight_ * (std::min(ratio, kMaxSample) - before);
     at_ = std::max(now, at_);
   }
-  /** Replaces the value without adding a sample. @param at may lie in the past. */
+  /**
+   * Replaces the value without adding a sample.
+   * @param at may lie in the past.
+   */
   void set(TimePoint at, double value) {
     value_ = std::min(value, kMaxSample);
     at_ = at;
@@ -55,8 +58,8 @@
 
   /**
    * Without samples, the maximum score falls below 2.2 after 1.7 half-lives. With 1.2 s, flows
-   * returned to slow hosts too early, which cost 0.004 of the worth on days with slow hosts
-   * (docs/DECISION_QUALITY.md).
+   * returned to slow hosts too early, which reduced the decision quality by 0.004 on days with slow
+   * hosts (docs/DECISION_QUALITY.md).
    */
   static constexpr Duration kHalfLife = std::chrono::milliseconds(2500);
 
--- a/source/common/token/silence_detector.cc
+++ b/source/common/token/silence_detector.cc
@@ -20,7 +20,7 @@
 constexpr double kMaxDeadFraction = 0.5;
 /** Older answers are no evidence about the current state of the path. */
 constexpr Duration kAnswerLifetime = std::chrono::seconds(2);
-/** Maximum number of decisions kept for the log; without a log, nothing consumes them. */
+/** Maximum number of verdicts kept for the log; without a log, nothing consumes them. */
 constexpr size_t kMaxVerdicts = 256;
 
 }  // namespace
--- a/source/common/token/silence_detector.h
+++ b/source/common/token/silence_detector.h
@@ -50,7 +50,7 @@
 /** @return the snake_case name of an outcome. */
 std::string_view toString(SilenceOutcome outcome);
 
-/** One decision with the evidence of this node; for logs. */
+/** One verdict with the evidence of this node; for logs. */
 struct SilenceVerdict {
   SilenceOutcome outcome = SilenceOutcome::kDead;
   SilenceSource source = SilenceSource::kNode;
@@ -76,7 +76,7 @@
   size_t silent = 0;
 };
 
-/** Number of decisions by SilenceOutcome and SilenceSource. */
+/** Number of verdicts by SilenceOutcome and SilenceSource. */
 using SilenceCounters = std::array<std::array<uint64_t, static_cast<size_t>(SilenceSource::kCount)>,
                                    static_cast<size_t>(SilenceOutcome::kCount)>;
 
@@ -87,7 +87,8 @@
   explicit SilenceDetector(TokenHosts& hosts) : hosts_(hosts) {}
 
   /**
-   * Records an answer of a host. @param sentAt first transmission of the data that was answered.
+   * Records an answer of a host.
+   * @param sentAt first transmission of the data that was answered.
    */
   void onAnswered(TimePoint now, uint32_t token, TimePoint sentAt);
   /**
@@ -100,18 +101,18 @@
    */
   bool isOvertaken(TimePoint now, uint32_t token, TimePoint since) const;
   /**
-   * Handles a retransmission of data that a host left unacknowledged. @return the host's token if
-   * the host counts as dead.
+   * Handles a retransmission of data that a host left unacknowledged.
+   * @return the host's token if the host counts as dead.
    */
   std::set<uint32_t> onCopy(TimePoint now, const TokenHost& host);
   /**
-   * Handles hosts that are silent to all nodes of the zone. @return tokens of those that count as
-   * dead.
+   * Handles hosts that are silent to all nodes of the zone.
+   * @return tokens of those that count as dead.
    */
   std::set<uint32_t> onZoneSilent(TimePoint now, const std::vector<SilentHost>& silentHosts);
 
   /**
-   * @return the decisions since the last call; each host's decision is reported once while it
+   * @return the verdicts since the last call; each host's verdict is reported once while it
    * lasts.
    */
   std::vector<SilenceVerdict> takeVerdicts() { return std::exchange(verdicts_, {}); }
@@ -145,7 +146,7 @@
   /** The host that answered last, and the last one that differs from it. */
   LatestAnswer latest_;
   LatestAnswer previous_;
-  /** Recorded decisions that have not expired yet, by flow token. */
+  /** Recorded verdicts that have not expired yet, by flow token. */
   std::unordered_map<uint32_t, ActiveVerdict> activeVerdicts_;
   std::vector<SilenceVerdict> verdicts_;
   SilenceCounters counters_{};
--- a/source/common/token/silence_evidence.h
+++ b/source/common/token/silence_evidence.h
@@ -48,8 +48,9 @@
   static constexpr size_t kMaxCallers = 3;
 
   /**
-   * Records a retransmission. @param sentAt time of the first transmission. @param caller address
-   * of the caller.
+   * Records a retransmission.
+   * @param sentAt time of the first transmission.
+   * @param caller address of the caller.
    */
   void onCopy(TimePoint now, TimePoint sentAt, uint32_t caller) {
     if (answeredAt_ && sentAt <= *answeredAt_) {
--- a/source/common/token/silent_zones.h
+++ b/source/common/token/silent_zones.h
@@ -20,7 +20,10 @@
 /** Not thread safe. */
 class SilentZones {
  public:
-  /** Records that a host left an opening or data unanswered. @param host its flow token. */
+  /**
+   * Records that a host left an opening or data unanswered.
+   * @param host its flow token.
+   */
   void onUnanswered(TimePoint now, const std::string& pool, const std::string& zone, uint32_t host);
   /** Records an answer of a host of the zone. */
   void onAnswered(const std::string& pool, const std::string& zone);
--- a/source/common/token/token_director.cc
+++ b/source/common/token/token_director.cc
@@ -344,7 +344,7 @@
 void TokenDirector::recordRoundTrip(TimePoint now, const FlowPacket& packet) {
   const auto roundTrip = openings_.sinceOpening(now, packet.hash, packet.token);
   if (roundTrip) {
-    silenceJudge_.onAnswered(now, packet.token, now - *roundTrip);
+    silenceDetector_.onAnswered(now, packet.token, now - *roundTrip);
   }
   const auto service = roundTrip ? services_.find(packet.service) : services_.end();
   if (service != services_.end()) {
@@ -478,7 +478,7 @@
     recordAnswered(now, host);
   }
   if (progress.answeredSentAt) {
-    silenceJudge_.onAnswered(now, host.token, *progress.answeredSentAt);
+    silenceDetector_.onAnswered(now, host.token, *progress.answeredSentAt);
   }
   if (progress.copies < 2) {
     return false;
@@ -486,9 +486,9 @@
   recordUnanswered(now, host);
   host.silence.onCopy(now, progress.firstAt, packet.key.caller.address);
   queueAckState(host);
-  resetFlowsOf(now, silenceJudge_.onCopy(now, host));
+  resetFlowsOf(now, silenceDetector_.onCopy(now, host));
   return progress.copies >= kMinCopiesOfSilentHost && host.estimate.isDeadSince(progress.firstAt) &&
-         silenceJudge_.isOvertaken(now, host.token, progress.firstAt) &&
+         silenceDetector_.isOvertaken(now, host.token, progress.firstAt) &&
          isRepeatable(packet.service);
 }
 
@@ -516,7 +516,7 @@
 }
 
 void TokenDirector::applySilentHosts(TimePoint now, const std::vector<SilentHost>& silentHosts) {
-  resetFlowsOf(now, silenceJudge_.onZoneSilent(now, silentHosts));
+  resetFlowsOf(now, silenceDetector_.onZoneSilent(now, silentHosts));
 }
 
 void TokenDirector::resetFlowsOf(TimePoint now, const std::set<uint32_t>& tokens) {
--- a/source/common/token/token_director.h
+++ b/source/common/token/token_director.h
@@ -146,9 +146,9 @@
   std::vector<SpeedChange> takeSpeedChanges() { return std::exchange(speedChanges_, {}); }
   /** Handles hosts that are silent to all nodes of the zone. */
   void applySilentHosts(TimePoint now, const std::vector<SilentHost>& silentHosts);
-  /** @return the decisions on silent hosts since the last call. */
-  std::vector<SilenceVerdict> takeSilenceVerdicts() { return silenceJudge_.takeVerdicts(); }
-  const SilenceCounters& silenceCounters() const { return silenceJudge_.counters(); }
+  /** @return the verdicts on silent hosts since the last call. */
+  std::vector<SilenceVerdict> takeSilenceVerdicts() { return silenceDetector_.takeVerdicts(); }
+  const SilenceCounters& silenceCounters() const { return silenceDetector_.counters(); }
   /** @return the acknowledgement state of the hosts for which it changed since the last call. */
   std::vector<HostAckState> takeAckStates();
 
@@ -197,13 +197,13 @@
    */
   void handleChanges(TimePoint now, const std::vector<HostChange>& changes);
   /**
-   * Handles the restart of a host under the same token. @param startedAt start time by this node's
-   * clock, if known.
+   * Handles the restart of a host under the same token.
+   * @param startedAt start time by this node's clock, if known.
    */
   void handleRestart(TimePoint now, uint32_t token, std::optional<TimePoint> startedAt);
   /**
-   * @param remaining remaining duration of the cold phase. @return whether the host was not cold
-   * before.
+   * @param remaining remaining duration of the cold phase.
+   * @return whether the host was not cold before.
    */
   bool beginCold(TimePoint now, const TokenPool& pool, TokenHost& host, Duration remaining);
   FlowDecision openFlow(TimePoint now, const FlowPacket& packet, std::string_view bytes);
@@ -230,8 +230,8 @@
    */
   const std::string* poolWaitedFor(const ServiceEntry& service, const FlowPacket& packet) const;
   /**
-   * Handles a pool without room whose turn it is. @return the pool that takes the flow instead;
-   * nullptr if there is none.
+   * Handles a pool without room whose turn it is.
+   * @return the pool that takes the flow instead; nullptr if there is none.
    */
   const std::string* overflowPool(TimePoint now, ServiceEntry& service, const std::string& due);
   PoolSize poolSizeOf(TimePoint now, const TokenPool& pool);
@@ -249,20 +249,20 @@
    */
   FlowDecision holdForHost(TimePoint now, const FlowPacket& packet, std::string_view bytes);
   /**
-   * Records what the packet shows about its host. @return whether to refuse the flow because its
-   * host is silent and the request is safe to retry.
+   * Records what the packet shows about its host.
+   * @return whether to refuse the flow because its host is silent and the request is safe to retry.
    */
   bool recordProgress(TimePoint now, const FlowPacket& packet, TokenHost& host);
   /**
-   * Records that the caller continues a flow that may have been opened recently. @return whether it
-   * was.
+   * Records that the caller continues a flow that may have been opened recently.
+   * @return whether it was.
    */
   bool recordOpened(TimePoint now, const FlowPacket& packet);
   /** Records the round-trip time if this is the first packet after the opening of its flow. */
   void recordRoundTrip(TimePoint now, const FlowPacket& packet);
   /**
-   * Records the response time of the host if this packet shows it. @param opened whether this is
-   * the first request of its flow.
+   * Records the response time of the host if this packet shows it.
+   * @param opened whether this is the first request of its flow.
    */
   void recordResponse(TimePoint now, const FlowPacket& packet, TokenHost& host, bool opened);
   /** Records the end of a request, or a request that is far overdue. */
@@ -276,7 +276,7 @@
   /** @param tokens tokens of hosts that count as dead. */
   void resetFlowsOf(TimePoint now, const std::set<uint32_t>& tokens);
   bool isRepeatable(ServiceId service) const;
-  /** Record that the host left a caller without an answer, or answered. */
+  /** Records that the host left a caller without an answer, or answered. */
   void recordUnanswered(TimePoint now, TokenHost& host);
   void recordAnswered(TimePoint now, TokenHost& host);
   /**
@@ -314,7 +314,7 @@
   std::vector<std::string> released_;
   FlowProgress progress_;
   RequestTimer timer_;
-  SilenceDetector silenceJudge_{hosts_};
+  SilenceDetector silenceDetector_{hosts_};
   DeadHostFlows deadHostFlows_;
   std::vector<HostSample> samples_;
   std::vector<SpeedChange> speedChanges_;
--- a/test/common/health/zone_silence_test.cc
+++ b/test/common/health/zone_silence_test.cc
@@ -122,12 +122,12 @@
 
 TEST(ZoneSilence, CollectorRepeatsSilentHostsFirstAndReportsAnswersOnce) {
   AckStateCollector gatherer;
-  std::vector<HostAckState> signs;
+  std::vector<HostAckState> states;
   for (uint32_t token = 1; token <= 2 * kMaxReportedSigns; ++token) {
-    signs.push_back({token, now, 0, {}, {}, {}});
+    states.push_back({token, now, 0, {}, {}, {}});
   }
-  signs.push_back({5000, std::nullopt, 2, {11, 12}, now - milliseconds(400), now});
-  gatherer.add(signs);
+  states.push_back({5000, std::nullopt, 2, {11, 12}, now - milliseconds(400), now});
+  gatherer.add(states);
   now += milliseconds(100);
   const auto first = gatherer.take(now);
   LONGS_EQUAL(kMaxReportedSigns, first.size());
--- a/test/common/speed/speed_learner_test.cc
+++ b/test/common/speed/speed_learner_test.cc
@@ -43,8 +43,8 @@
     return host % 3 == 2 ? 1.7 : 0.7;
   }
   /**
-   * Each node samples each host about once in two seconds. @param speed returns the speed of a
-   * host.
+   * Each node samples each host about once in two seconds.
+   * @param speed returns the speed of a host.
    */
   template <class Speed>
   void simulate(Duration time, const Speed& speed) {
--- a/test/common/token/host_lives_test.cc
+++ b/test/common/token/host_lives_test.cc
@@ -189,11 +189,11 @@
 TEST(HostRestart, ReportsTheEndOfSilenceAfterARestart) {
   director.takeAckStates();
   restart();
-  const auto signs = director.takeAckStates();
-  LONGS_EQUAL(1, signs.size());
-  CHECK_TRUE(signs[0].token == token);
-  LONGS_EQUAL(0, signs[0].copies);
-  CHECK_TRUE(signs[0].answeredAt == now);
+  const auto states = director.takeAckStates();
+  LONGS_EQUAL(1, states.size());
+  CHECK_TRUE(states[0].token == token);
+  LONGS_EQUAL(0, states[0].copies);
+  CHECK_TRUE(states[0].answeredAt == now);
 }
 
 TEST(HostRestart, IgnoresSpeedsFromBeforeTheRestart) {
--- a/test/common/token/request_timer_property.cc
+++ b/test/common/token/request_timer_property.cc
@@ -30,7 +30,10 @@
     packet_.acknowledged = 5000;
   }
 
-  /** One request with its answer. @return the time after it. */
+  /**
+   * One request with its answer.
+   * @return the time after it.
+   */
   TimePoint exchange(TimePoint now) {
     now += milliseconds(*rc::gen::inRange(0, 3000));
     const TimePoint sentAt = now;
--- a/test/common/token/silence_detector_test.cc
+++ b/test/common/token/silence_detector_test.cc
@@ -1,4 +1,4 @@
-/** @file Decisions on silent hosts and the evidence reported for the log. */
+/** @file Verdicts on silent hosts and the evidence reported for the log. */
 #include "common/token/silence_detector.h"
 
 #include <string>
--- a/test/common/token/silence_evidence_test.cc
+++ b/test/common/token/silence_evidence_test.cc
@@ -21,12 +21,12 @@
   evidence.onCopy(kStart + milliseconds(200), kStart, 1);
   evidence.onCopy(kStart + milliseconds(250), kStart - milliseconds(50), 2);
   evidence.onCopy(kStart + milliseconds(600), kStart, 1);
-  const HostAckState signs = evidence.ackState(7);
-  LONGS_EQUAL(7, signs.token);
-  LONGS_EQUAL(3, signs.copies);
-  LONGS_EQUAL(2, signs.callers.size());
-  CHECK_TRUE(signs.since == kStart - milliseconds(50));
-  CHECK_FALSE(signs.answeredAt.has_value());
+  const HostAckState state = evidence.ackState(7);
+  LONGS_EQUAL(7, state.token);
+  LONGS_EQUAL(3, state.copies);
+  LONGS_EQUAL(2, state.callers.size());
+  CHECK_TRUE(state.since == kStart - milliseconds(50));
+  CHECK_FALSE(state.answeredAt.has_value());
 }
 
 TEST(SilenceEvidence, AcknowledgementEndsSilence) {
--- a/test/common/token/token_director_test.cc
+++ b/test/common/token/token_director_test.cc
@@ -80,7 +80,8 @@
     director.onCaughtUp(now);
   }
   /**
-   * Sends data and its retransmissions with the timeouts of a caller. @return the last decision.
+   * Sends data and its retransmissions with the timeouts of a caller.
+   * @return the last decision.
    */
   FlowDecision sendCopies(uint64_t flow, uint32_t token, uint32_t copies) {
     milliseconds wait(200);
@@ -105,7 +106,10 @@
     const auto* forward = std::get_if<ForwardToHost>(&decision);
     return forward == nullptr ? 0 : forward->incarnation;
   }
-  /** Opens flows that their hosts answer. @return the number of flows by incarnation. */
+  /**
+   * Opens flows that their hosts answer.
+   * @return the number of flows by incarnation.
+   */
   std::map<uint64_t, int> openMany(int count) {
     std::map<uint64_t, int> placed;
     for (int index = 0; index < count; ++index) {
@@ -420,10 +424,10 @@
   data(1, flowTokenOf(1), 7);
   acknowledge(2, flowTokenOf(2), 10);
   acknowledge(2, flowTokenOf(2), 600);
-  const auto signs = director.takeAckStates();
-  LONGS_EQUAL(2, signs.size());
-  LONGS_EQUAL(1, signs[0].copies);
-  CHECK_TRUE(signs[1].answeredAt == now);
+  const auto states = director.takeAckStates();
+  LONGS_EQUAL(2, states.size());
+  LONGS_EQUAL(1, states[0].copies);
+  CHECK_TRUE(states[1].answeredAt == now);
   CHECK_TRUE(director.takeAckStates().empty());
 }
 
