--- a/test/common/token/living_hosts_property.cc
+++ b/test/common/token/living_hosts_property.cc
@@ -237,7 +237,7 @@
   void share() {
     for (uint32_t index = 0; index < kNodes; ++index) {
       collectors_[index].add(nodes_[index]->takeAckStates());
-      silence_.merge(now_, index, collectors_[index].applyResets(now_));
+      silence_.merge(now_, index, collectors_[index].take(now_));
       nodes_[index]->applySilentHosts(now_, silence_.silentHosts(now_));
     }
   }
