--- a/source/common/health/observation_exchange.cc
+++ b/source/common/health/observation_exchange.cc
@@ -9,37 +9,37 @@
 namespace umberhold {
 namespace {
 
-/** How long after the last report a node still counts as one that is asked. */
-constexpr Duration kAskedFor = std::chrono::seconds(5);
-/** How often a node that is asked adds its own samples, as others do by their polls. */
+/** How long a peer's last report marks this node as the one that its peers query. */
+constexpr Duration kPeerReportLifetime = std::chrono::seconds(5);
+/** How often a queried node merges its own samples, corresponding to the polls of other nodes. */
 constexpr Duration kOwnInterval = std::chrono::seconds(1);
 /** The same while a host leaves data unacknowledged. */
 constexpr Duration kUrgentInterval = std::chrono::milliseconds(100);
 
-bool isUrgent(const std::vector<HostSigns>& signs) {
-  return std::any_of(signs.begin(), signs.end(),
-                     [](const HostSigns& sign) { return sign.copies > 0; });
+bool isUrgent(const std::vector<HostAckState>& states) {
+  return std::any_of(states.begin(), states.end(),
+                     [](const HostAckState& state) { return state.copies > 0; });
 }
 
 }  // namespace
 
 ObservationExchange::ObservationExchange(std::string_view nodeName)
-    : gatherer_(hashBytes(nodeName)) {}
+    : sampleCollector_(hashBytes(nodeName)) {}
 
 void ObservationExchange::add(TimePoint now, const std::vector<HostSample>& samples,
-                              const std::vector<HostSigns>& signs) {
-  const bool urgent = isUrgent(signs);
-  bool isAsked = false;
+                              const std::vector<HostAckState>& states) {
+  const bool urgent = isUrgent(states);
+  bool isQueriedByPeers = false;
   {
     const std::lock_guard lock(mutex_);
-    gatherer_.add(samples);
-    signs_.add(signs);
-    isAsked = askedAt_ && now - *askedAt_ <= kAskedFor;
-    if (isAsked && now - mergedOwnAt_ >= (urgent ? kUrgentInterval : kOwnInterval)) {
+    sampleCollector_.add(samples);
+    ackStateCollector_.add(states);
+    isQueriedByPeers = lastPeerReportAt_ && now - *lastPeerReportAt_ <= kPeerReportLifetime;
+    if (isQueriedByPeers && now - mergedOwnAt_ >= (urgent ? kUrgentInterval : kOwnInterval)) {
       mergeOwn(now);
     }
   }
-  if (urgent && !isAsked && notifyUrgent_) {
+  if (urgent && !isQueriedByPeers && notifyUrgent_) {
     notifyUrgent_();
   }
 }
@@ -47,32 +47,32 @@
 void ObservationExchange::mergeOwn(TimePoint now) {
   mergedOwnAt_ = now;
   mergeReport(now, takeOwnReport(now));
-  news_ = newsNow(now);
+  pendingUpdate_ = currentUpdate(now);
 }
 
 HostReport ObservationExchange::takeOwnReport(TimePoint now) {
-  HostReport report = gatherer_.takeReport(now);
-  report.livenessReports = signs_.take(now);
+  HostReport report = sampleCollector_.takeReport(now);
+  report.signs = ackStateCollector_.take(now);
   return report;
 }
 
 ReportOutcome ObservationExchange::mergeReport(TimePoint now, const HostReport& report) {
   const ReportOutcome outcome = zone_.merge(now, report);
-  if (outcome == ReportOutcome::kTaken) {
-    silence_.merge(now, report.reporter, report.livenessReports);
+  if (outcome == ReportOutcome::kAccepted) {
+    silence_.merge(now, report.reporter, report.signs);
   }
   return outcome;
 }
 
-ZoneNews ObservationExchange::newsNow(TimePoint now) {
-  ZoneNews news{zone_.standings(now), silence_.silentHosts(now), {}};
-  news.speeds = zone_.speeds(now, mostSpeedsBeside(news.standings.size()));
-  return news;
+ZoneUpdate ObservationExchange::currentUpdate(TimePoint now) {
+  ZoneUpdate update{zone_.standings(now), silence_.silentHosts(now), {}};
+  update.speeds = zone_.speeds(now, maxSpeedsBeside(update.standings.size()));
+  return update;
 }
 
-std::optional<ZoneNews> ObservationExchange::takeNews() {
+std::optional<ZoneUpdate> ObservationExchange::takeUpdate() {
   const std::lock_guard lock(mutex_);
-  return std::exchange(news_, std::nullopt);
+  return std::exchange(pendingUpdate_, std::nullopt);
 }
 
 HostReport ObservationExchange::takeReport(TimePoint now) {
@@ -80,23 +80,23 @@
   return takeOwnReport(now);
 }
 
-void ObservationExchange::learn(ZoneNews news) {
+void ObservationExchange::onPeerUpdate(ZoneUpdate update) {
   const std::lock_guard lock(mutex_);
-  news_ = std::move(news);
+  pendingUpdate_ = std::move(update);
 }
 
 void ObservationExchange::merge(TimePoint now, std::string_view bytes) {
   const auto report = decodeHostReport(bytes);
   const std::lock_guard lock(mutex_);
-  askedAt_ = now;
+  lastPeerReportAt_ = now;
   const ReportOutcome outcome =
       isOk(report) ? mergeReport(now, valueOf(report)) : ReportOutcome::kMalformed;
   ++counters_[static_cast<size_t>(outcome)];
 }
 
-ZoneNews ObservationExchange::news(TimePoint now) {
+ZoneUpdate ObservationExchange::zoneUpdate(TimePoint now) {
   const std::lock_guard lock(mutex_);
-  return newsNow(now);
+  return currentUpdate(now);
 }
 
 ReportCounters ObservationExchange::counters() const {
--- a/source/common/placement/blended_load.cc
+++ b/source/common/placement/blended_load.cc
@@ -31,10 +31,10 @@
 /** @return the reported load, scaled by the change in flow count since the report. */
 double correctedLoad(const LoadInput& host) {
   const double reported = host.report->loadPercent / kPercent;
-  if (host.report->flowsThen < kMinFlowsForScaling) {
+  if (host.report->flowsAtReport < kMinFlowsForScaling) {
     return reported;
   }
-  const double scale = host.flows / host.report->flowsThen;
+  const double scale = host.flows / host.report->flowsAtReport;
   return reported * std::clamp(scale, 1.0 / kMaxScale, kMaxScale);
 }
 
--- a/test/common/health/host_observations_test.cc
+++ b/test/common/health/host_observations_test.cc
@@ -1,4 +1,6 @@
-/** @file What nodes of a zone see of hosts, put together; and what is no good report. */
+/**
+ * @file Aggregation of the host observations of a zone's nodes, and rejection of invalid reports.
+ */
 #include "common/health/host_observations.h"
 
 #include <string>
@@ -32,7 +34,7 @@
   }
 };
 
-TEST(HostObservations, NamesAHostThatSeveralNodesSeeAnsweringLate) {
+TEST(HostObservations, ReturnsAHostThatSeveralNodesReportAsSlow) {
   for (uint64_t reporter = 1; reporter <= 4; ++reporter) {
     merge(reporter, kSlowHost, 450);
     merge(reporter, kUsualHost, 110);
@@ -45,7 +47,7 @@
   LONGS_EQUAL(300, standings[0].ageMilliseconds);
 }
 
-TEST(HostObservations, OneNodeAloneNamesNobodyHoweverOftenItReports) {
+TEST(HostObservations, SingleNodeEjectsNoHostHoweverOftenItReports) {
   for (int count = 0; count < 50; ++count) {
     merge(1, kSlowHost, 500);
     now += milliseconds(10);
@@ -53,14 +55,14 @@
   CHECK_TRUE(zone.standings(now).empty());
 }
 
-TEST(HostObservations, OneWrongNodeAmongWellOnesNamesNobody) {
+TEST(HostObservations, SingleFaultyNodeEjectsNoHost) {
   for (uint64_t reporter = 1; reporter <= 6; ++reporter) {
     merge(reporter, kSlowHost, reporter == 1 ? 500 : 100);
   }
   CHECK_TRUE(zone.standings(now).empty());
 }
 
-TEST(HostObservations, ForgetsWhatIsOld) {
+TEST(HostObservations, DropsOldReports) {
   merge(1, kSlowHost, 500);
   merge(2, kSlowHost, 500);
   LONGS_EQUAL(1, zone.standings(now).size());
@@ -68,40 +70,40 @@
   CHECK_TRUE(zone.standings(now).empty());
 }
 
-TEST(HostObservations, TakesAReportOnceAndNoOlderOne) {
+TEST(HostObservations, AcceptsAReportOnceAndNoOlderOne) {
   const HostReport first = report(1, kSlowHost, 500);
   const HostReport second = report(1, kSlowHost, 100);
-  CHECK_TRUE(zone.merge(now, second) == ReportOutcome::kTaken);
+  CHECK_TRUE(zone.merge(now, second) == ReportOutcome::kAccepted);
   CHECK_TRUE(zone.merge(now, second) == ReportOutcome::kRepeated);
   CHECK_TRUE(zone.merge(now, first) == ReportOutcome::kRepeated);
-  now += seconds(4);  // A node that was replaced may count from an earlier number again.
-  CHECK_TRUE(zone.merge(now, first) == ReportOutcome::kTaken);
+  now += seconds(4);  // A replaced node may start again with a lower sequence number.
+  CHECK_TRUE(zone.merge(now, first) == ReportOutcome::kAccepted);
 }
 
-TEST(HostObservations, RefusesFiguresThatNoNodeCanHaveMeasured) {
+TEST(HostObservations, RejectsValuesOutOfRange) {
   CHECK_TRUE(zone.merge(now, {1, 1, {{kSlowHost, 1, 501}}, {}}) == ReportOutcome::kInvalid);
   CHECK_TRUE(zone.merge(now, {1, 2, {{kSlowHost, 0, 300}}, {}}) == ReportOutcome::kInvalid);
   HostReport tooLong{1, 3, {}, {}};
-  for (uint32_t token = 0; token <= kMostReportedHosts; ++token) {
+  for (uint32_t token = 0; token <= kMaxReportedHosts; ++token) {
     tooLong.hosts.push_back({token + 1, 1, 100});
   }
   CHECK_TRUE(zone.merge(now, tooLong) == ReportOutcome::kInvalid);
-  CHECK_TRUE(merge(1, kSlowHost, 500) == ReportOutcome::kTaken);
+  CHECK_TRUE(merge(1, kSlowHost, 500) == ReportOutcome::kAccepted);
 }
 
-TEST(HostObservations, NamesTheLatestFirstAndABoundedNumber) {
+TEST(HostObservations, ReturnsABoundedNumberSlowestFirst) {
   for (uint32_t token = 1; token <= 600; ++token) {
     for (uint64_t reporter = 1; reporter <= 2; ++reporter) {
       merge(reporter, token, token == 77 ? 500 : 400);
     }
   }
   const auto standings = zone.standings(now);
-  LONGS_EQUAL(kMostStandings, standings.size());
+  LONGS_EQUAL(kMaxStandings, standings.size());
   LONGS_EQUAL(77, standings[0].token);
 }
 
-TEST(HostObservations, AReportHoldsTheMeansOfABoundedNumberOfHosts) {
-  SampleGatherer gatherer(5);
+TEST(HostObservations, ReportContainsMeansOfABoundedNumberOfHosts) {
+  SampleCollector gatherer(5);
   gatherer.add({{kSlowHost, 2.0}, {kSlowHost, 1000.0}, {kUsualHost, 1.0}});
   const HostReport report = gatherer.takeReport(now);
   LONGS_EQUAL(5, report.reporter);
@@ -116,11 +118,11 @@
     many.push_back({token, 1.0});
   }
   gatherer.add(many);
-  LONGS_EQUAL(kMostReportedHosts, gatherer.takeReport(now).hosts.size());
+  LONGS_EQUAL(kMaxReportedHosts, gatherer.takeReport(now).hosts.size());
 }
 
-TEST(HostObservations, AReportHoldsTheWorkOfRequestsThatDidNotWait) {
-  SampleGatherer gatherer(5);
+TEST(HostObservations, ReportContainsProcessingTimesOfUnqueuedRequests) {
+  SampleCollector gatherer(5);
   gatherer.add({{kSlowHost, 2.0, 1.0}, {kSlowHost, 2.0, 4.0}, {kSlowHost, 9.0, std::nullopt}});
   gatherer.add({{kUsualHost, 1.0, std::nullopt}});
   for (const HostObservation& seen : gatherer.takeReport(now).hosts) {
@@ -129,27 +131,27 @@
   CHECK_TRUE(zone.merge(now, {1, 1, {{kSlowHost, 1, 100, 401}}, {}}) == ReportOutcome::kInvalid);
 }
 
-TEST(HostObservations, ANodeThatAsksHearsHowFastHostsAre) {
+TEST(HostObservations, QueryingNodeReceivesSpeeds) {
   ObservationExchange exchange("front-1");
   for (uint64_t reporter = 1; reporter <= 6; ++reporter) {
     const HostReport report{reporter, 1, {{kSlowHost, 2, 100, 200}}, {}};
     exchange.merge(now, valueOf(encodeHostReport(report)));
   }
-  const auto speeds = exchange.news(now).speeds;
+  const auto speeds = exchange.zoneUpdate(now).speeds;
   LONGS_EQUAL(1, speeds.size());
   LONGS_EQUAL(kSlowHost, speeds[0].token);
   CHECK_TRUE(speeds[0].percentOfUsual < 60);
 }
 
-TEST(HostObservations, SpeedsTakeTheBytesThatStandingsLeave) {
-  LONGS_EQUAL(kMostLearnedSpeeds, mostSpeedsBeside(0));
-  LONGS_EQUAL(12, mostSpeedsBeside(kMostStandings - 10));
-  LONGS_EQUAL(0, mostSpeedsBeside(kMostStandings));
+TEST(HostObservations, SpeedsFitIntoTheSpaceLeftByStandings) {
+  LONGS_EQUAL(kMaxLearnedSpeeds, maxSpeedsBeside(0));
+  LONGS_EQUAL(12, maxSpeedsBeside(kMaxStandings - 10));
+  LONGS_EQUAL(0, maxSpeedsBeside(kMaxStandings));
   const auto bytesOf = [](size_t standings, size_t speeds) {
     PeerChanges changes;
-    uint64_t number = 0;  // Tokens that can't be compressed.
+    uint64_t number = 0;  // Tokens that cannot be compressed.
     for (size_t index = 0; index < standings; ++index) {
-      changes.slowHosts.push_back({flowTokenOf(++number), 500, 3000});
+      changes.standings.push_back({flowTokenOf(++number), 500, 3000});
     }
     for (size_t index = 0; index < speeds; ++index) {
       changes.speeds.push_back({flowTokenOf(++number), 400, 127});
@@ -158,59 +160,59 @@
   };
   constexpr size_t kStandingBytes = 12;
   constexpr size_t kListHeads = 4;
-  const size_t most = bytesOf(0, 0) + kListHeads + kStandingBytes * kMostStandings;
-  for (size_t standings = 0; standings <= kMostStandings; ++standings) {
-    CHECK_TRUE(bytesOf(standings, mostSpeedsBeside(standings)) <= most);
+  const size_t most = bytesOf(0, 0) + kListHeads + kStandingBytes * kMaxStandings;
+  for (size_t standings = 0; standings <= kMaxStandings; ++standings) {
+    CHECK_TRUE(bytesOf(standings, maxSpeedsBeside(standings)) <= most);
   }
 }
 
-TEST(HostObservations, ANodeThatIsAskedAddsWhatItSeesItself) {
+TEST(HostObservations, QueriedNodeAddsItsOwnSamples) {
   ObservationExchange exchange("front-1");
   const auto encoded = encodeHostReport({1, 1, {{kSlowHost, 1, 500}}, {}});
   exchange.merge(now, valueOf(encoded));
-  CHECK_TRUE(exchange.news(now).standings.empty());
+  CHECK_TRUE(exchange.zoneUpdate(now).standings.empty());
   exchange.add(now, {{kSlowHost, 5.0}}, {});
-  const auto news = exchange.takeNews();
+  const auto news = exchange.takeUpdate();
   CHECK_TRUE(news.has_value());
   LONGS_EQUAL(1, news->standings.size());
-  CHECK_FALSE(exchange.takeNews().has_value());
+  CHECK_FALSE(exchange.takeUpdate().has_value());
 }
 
-TEST(HostObservations, RefusesAReportWithTooManySigns) {
+TEST(HostObservations, RejectsAReportWithTooManySigns) {
   HostReport tooLong{1, 1, {}, {}};
-  tooLong.livenessReports.resize(kMostReportedSigns + 1);
+  tooLong.signs.resize(kMaxReportedSigns + 1);
   CHECK_TRUE(zone.merge(now, tooLong) == ReportOutcome::kInvalid);
 }
 
-TEST(HostObservations, ANodeWhoseCallersGetNoAcknowledgementSaysSoAtOnce) {
+TEST(HostObservations, MissingAcknowledgementTriggersAnUrgentReport) {
   ObservationExchange exchange("front-1");
   int urgent = 0;
-  exchange.setUrgent([&] { ++urgent; });
+  exchange.setUrgentCallback([&] { ++urgent; });
   exchange.add(now, {}, {{kSlowHost, now, 0, {}, {}, {}}});
   LONGS_EQUAL(0, urgent);
   exchange.add(now, {}, {{kSlowHost, now, 1, {11}, now, now}});
   LONGS_EQUAL(1, urgent);
-  LONGS_EQUAL(1, exchange.takeReport(now).livenessReports.size());
+  LONGS_EQUAL(1, exchange.takeReport(now).signs.size());
 }
 
-TEST(HostObservations, ANodeThatIsAskedNamesHostsThatAreSilentToItAndAnother) {
+TEST(HostObservations, QueriedNodeReturnsHostsSilentToItAndAnother) {
   ObservationExchange exchange("front-1");
   const HostReport other{1, 1, {}, {{kSlowHost, kNeverAnswered, 2, {11}, 600}}};
   exchange.merge(now, valueOf(encodeHostReport(other)));
-  CHECK_TRUE(exchange.news(now).silentHosts.empty());
+  CHECK_TRUE(exchange.zoneUpdate(now).silentHosts.empty());
   exchange.add(now, {}, {{kSlowHost, std::nullopt, 1, {12}, now - milliseconds(300), now}});
-  const auto news = exchange.takeNews();
+  const auto news = exchange.takeUpdate();
   CHECK_TRUE(news.has_value());
   LONGS_EQUAL(1, news->silentHosts.size());
   LONGS_EQUAL(600, news->silentHosts[0].silentMilliseconds);
 }
 
-TEST(HostObservations, WhatIsNoReportIsCountedAndChangesNothing) {
+TEST(HostObservations, MalformedReportIsCountedAndIgnored) {
   ObservationExchange exchange("front-1");
   exchange.merge(now, "no report");
   exchange.merge(now, std::string(3000, '\x91'));
   LONGS_EQUAL(2, exchange.counters()[static_cast<size_t>(ReportOutcome::kMalformed)]);
-  CHECK_TRUE(exchange.news(now).standings.empty());
+  CHECK_TRUE(exchange.zoneUpdate(now).standings.empty());
 }
 
 }  // namespace umberhold
