--- a/source/common/shard/local_shard.cc
+++ b/source/common/shard/local_shard.cc
@@ -10,7 +10,8 @@
 namespace {
 
 /**
- * Number of best-ranked members that are asked for state, in addition to the best one of each zone.
+ * Number of best-ranked members that are queried for state, in addition to the best one of each
+ * zone.
  */
 constexpr size_t kRankedCandidates = 4;
 /**
@@ -66,7 +67,8 @@
   // While the nodes that hold newer state may be beyond a network partition, outdated state would
   // send their flows to other hosts. If they are dead, it is the best state left.
   const bool allowOutdated = !context_.mayHaveRivals(now);
-  // After a process pause a node releases its shards to itself and asks whether it still owns them.
+  // After a process pause a node releases its shards to itself and queries whether it still owns
+  // them.
   const bool fencedByPeer = fenced_ && successor_ != context_.self();
   const bool superseded = fencedByPeer || (handedOver_ && !fenced_);
   HeldState best;
@@ -148,7 +150,7 @@
     const bool firstOwner = nothing->allAnswered && !nothing->memberDied && !context_.memberDied;
     // While a whole zone is unreachable, state that is not found here probably still exists there.
     // A recent death may be the first sign of a partition, and healing takes a while. A node that
-    // joined in the meantime has not observed any of this, but the members that it asks have.
+    // joined in the meantime has not observed any of this, but the members that it queries have.
     if ((context_.mayHaveRivals(now) || nothing->mayHaveRivals) && !fresh) {
       startTakeover(now);
     } else {
@@ -362,9 +364,9 @@
 }
 
 /**
- * Asks the nodes that may have fetched the state whether they own the shard; an owner replies with
- * its epoch. A leaving node has no other way to detect a newer owner: the last acknowledgement of a
- * fetch may be lost, or the successor may have used a replica's copy instead.
+ * Queries the nodes that may have fetched the state whether they own the shard; an owner replies
+ * with its epoch. A leaving node has no other way to detect a newer owner: the last acknowledgement
+ * of a fetch may be lost, or the successor may have used a replica's copy instead.
  */
 void LocalShard::queryOwner(TimePoint now) {
   if (now - lastNotice_ < kNoticeInterval) {
--- a/source/common/shard/local_shard.h
+++ b/source/common/shard/local_shard.h
@@ -84,7 +84,7 @@
    * tick(), in the order of pendingReplicationSince() across shards.
    */
   void sendReplication(TimePoint now);
-  /** After a pause of the process: asks whether another node has taken over the shard. */
+  /** After a pause of the process: queries whether another node has taken over the shard. */
   void reconfirmOwnership(TimePoint now);
 
   void onTakeoverRequest(TimePoint now, NodeId sender, const TakeoverRequest& request);
--- a/test/common/shard/start_together_test.cc
+++ b/test/common/shard/start_together_test.cc
@@ -16,7 +16,7 @@
 constexpr uint32_t kHosts = 15;
 
 /** @return the number of owned shards whose owner knows all flows: no flow was placed yet. */
-uint32_t shardsThatKnowAllFlows(uint64_t seed, Duration membershipLag) {
+uint32_t shardsWithCompleteFlowList(uint64_t seed, Duration membershipLag) {
   RegionOptions options;
   options.seed = seed;
   options.lags.membership = membershipLag;
@@ -44,11 +44,11 @@
 TEST_GROUP(StartTogether){};
 
 /** Seeds with which an owner took over a replica's copy or its own outdated state. */
-TEST(StartTogether, OwnersOfANewRegionKnowAllFlows) {
+TEST(StartTogether, OwnersOfNewRegionHaveCompleteFlowList) {
   for (const uint64_t seed : {12U, 39U, 43U, 51U}) {
-    CHECK_EQUAL(3U, shardsThatKnowAllFlows(seed, std::chrono::milliseconds(600)));
+    CHECK_EQUAL(3U, shardsWithCompleteFlowList(seed, std::chrono::milliseconds(600)));
   }
   for (const uint64_t seed : {18U, 23U, 26U, 71U}) {
-    CHECK_EQUAL(3U, shardsThatKnowAllFlows(seed, std::chrono::milliseconds(200)));
+    CHECK_EQUAL(3U, shardsWithCompleteFlowList(seed, std::chrono::milliseconds(200)));
   }
 }
