--- a/source/common/health/host_observations.cc
+++ b/source/common/health/host_observations.cc
@@ -85,7 +85,7 @@
 
 ReportOutcome ZoneObservations::merge(TimePoint now, const HostReport& report) {
   const bool isValidReport = report.hosts.size() <= kMaxReportedHosts &&
-                             report.signs.size() <= kMaxReportedSigns &&
+                             report.livenessReports.size() <= kMaxReportedSigns &&
                              std::all_of(report.hosts.begin(), report.hosts.end(), isValid);
   if (!isValidReport) {
     return ReportOutcome::kInvalid;
--- a/source/common/health/observation_exchange.cc
+++ b/source/common/health/observation_exchange.cc
@@ -52,14 +52,14 @@
 
 HostReport ObservationExchange::takeOwnReport(TimePoint now) {
   HostReport report = sampleCollector_.takeReport(now);
-  report.signs = ackStateCollector_.take(now);
+  report.livenessReports = ackStateCollector_.take(now);
   return report;
 }
 
 ReportOutcome ObservationExchange::mergeReport(TimePoint now, const HostReport& report) {
   const ReportOutcome outcome = zone_.merge(now, report);
   if (outcome == ReportOutcome::kAccepted) {
-    silence_.merge(now, report.reporter, report.signs);
+    silence_.merge(now, report.reporter, report.livenessReports);
   }
   return outcome;
 }
--- a/source/common/token/token_director.cc
+++ b/source/common/token/token_director.cc
@@ -336,7 +336,7 @@
 
 bool TokenDirector::recordOpened(TimePoint now, const FlowPacket& packet) {
   const auto service = services_.find(packet.service);
-  return admission_.onFollowed(
+  return admission_.onLaterPacket(
       now, packet,
       service == services_.end() ? std::nullopt : service->second.usualTime.timeOf(kOverdueRatio));
 }
--- a/test/common/health/host_observations_test.cc
+++ b/test/common/health/host_observations_test.cc
@@ -151,7 +151,7 @@
     PeerChanges changes;
     uint64_t number = 0;  // Tokens that cannot be compressed.
     for (size_t index = 0; index < standings; ++index) {
-      changes.standings.push_back({flowTokenOf(++number), 500, 3000});
+      changes.slowHosts.push_back({flowTokenOf(++number), 500, 3000});
     }
     for (size_t index = 0; index < speeds; ++index) {
       changes.speeds.push_back({flowTokenOf(++number), 400, 127});
@@ -180,7 +180,7 @@
 
 TEST(HostObservations, RejectsAReportWithTooManySigns) {
   HostReport tooLong{1, 1, {}, {}};
-  tooLong.signs.resize(kMaxReportedSigns + 1);
+  tooLong.livenessReports.resize(kMaxReportedSigns + 1);
   CHECK_TRUE(zone.merge(now, tooLong) == ReportOutcome::kInvalid);
 }
 
@@ -192,7 +192,7 @@
   LONGS_EQUAL(0, urgent);
   exchange.add(now, {}, {{kSlowHost, now, 1, {11}, now, now}});
   LONGS_EQUAL(1, urgent);
-  LONGS_EQUAL(1, exchange.takeReport(now).signs.size());
+  LONGS_EQUAL(1, exchange.takeReport(now).livenessReports.size());
 }
 
 TEST(HostObservations, QueriedNodeReturnsHostsSilentToItAndAnother) {
