--- a/source/common/health/host_observations.cc
+++ b/source/common/health/host_observations.cc
@@ -148,10 +148,9 @@
     standings.push_back({token, static_cast<uint32_t>(std::lround(score * kPercent)),
                          static_cast<uint32_t>(age.count())});
   }
-  std::sort(standings.begin(), standings.end(),
-            [](const SlowHost& left, const SlowHost& right) {
-              return left.percentOfUsual > right.percentOfUsual;
-            });
+  std::sort(standings.begin(), standings.end(), [](const SlowHost& left, const SlowHost& right) {
+    return left.percentOfUsual > right.percentOfUsual;
+  });
   standings.resize(std::min(standings.size(), kMaxStandings));
   return standings;
 }
--- a/source/common/health/zone_silence.cc
+++ b/source/common/health/zone_silence.cc
@@ -49,9 +49,10 @@
     reported.callers.resize(std::min(reported.callers.size(), kMaxReportedCallers));
     reported.silentMilliseconds = state.copies == 0 ? 0 : millisecondsSince(state.since, now);
   }
-  std::stable_sort(report.begin(), report.end(), [](const HostLivenessReport& left, const HostLivenessReport& right) {
-    return left.copies > right.copies;
-  });
+  std::stable_sort(report.begin(), report.end(),
+                   [](const HostLivenessReport& left, const HostLivenessReport& right) {
+                     return left.copies > right.copies;
+                   });
   report.resize(std::min(report.size(), kMaxReportedSigns));
   std::erase_if(pending_, [now](const auto& named) {
     return named.second.copies == 0 || now - named.second.lastCopyAt > kWindow;
@@ -59,7 +60,8 @@
   return report;
 }
 
-void ZoneSilence::merge(TimePoint now, uint64_t reporter, const std::vector<HostLivenessReport>& signs) {
+void ZoneSilence::merge(TimePoint now, uint64_t reporter,
+                        const std::vector<HostLivenessReport>& signs) {
   for (const HostLivenessReport& sign : signs) {
     Host& host = hosts_[sign.token];
     if (sign.answeredAgoMilliseconds != kNeverAnswered) {
--- a/source/common/packet/refusal_builder.cc
+++ b/source/common/packet/refusal_builder.cc
@@ -13,7 +13,8 @@
 namespace {
 
 constexpr uint8_t kAnswerTimeToLive = 64;
-/** Minimum number of bytes after the IP header that an ICMP error quotes; they include the ports. */
+/** Minimum number of bytes after the IP header that an ICMP error quotes; they include the ports.
+ */
 constexpr size_t kQuotedBytes = 8;
 constexpr uint8_t kPortUnreachable = 3;
 constexpr uint32_t kFirstMulticastAddress = 0xE0000000U;
--- a/source/common/platform/host_presence.cc
+++ b/source/common/platform/host_presence.cc
@@ -12,7 +12,8 @@
 
 /** @return whether both hosts report a start time and the first one's is earlier. */
 bool hasEarlierStart(const HostSpec& host, const HostSpec& other) {
-  return host.startedAtMilliseconds != 0 && host.startedAtMilliseconds < other.startedAtMilliseconds;
+  return host.startedAtMilliseconds != 0 &&
+         host.startedAtMilliseconds < other.startedAtMilliseconds;
 }
 
 /**
--- a/source/common/server/packet_transport.h
+++ b/source/common/server/packet_transport.h
@@ -16,7 +16,9 @@
   PacketTransport(UdpPort& port, const Endpoint& returnGateway)
       : port_(port), returnGateway_(returnGateway) {}
 
-  void sendToHost(const Endpoint& host, std::string_view packet) override { port_.send(host, packet); }
+  void sendToHost(const Endpoint& host, std::string_view packet) override {
+    port_.send(host, packet);
+  }
   void sendToNode(const Endpoint& relay, std::string_view packet) override {
     port_.send(relay, packet);
   }
--- a/source/common/server/token_node.cc
+++ b/source/common/server/token_node.cc
@@ -29,7 +29,9 @@
   /** @param port borrowed. @param callerPort where callers take answers of the service. */
   DirectOutput(UdpPort& port, uint16_t callerPort) : port_(port), callerPort_(callerPort) {}
 
-  void sendToHost(const Endpoint& host, std::string_view packet) override { port_.send(host, packet); }
+  void sendToHost(const Endpoint& host, std::string_view packet) override {
+    port_.send(host, packet);
+  }
   void sendToNode(const Endpoint& relay, std::string_view packet) override {
     port_.send(relay, packet);
   }
--- a/source/common/server/token_node_metrics.cc
+++ b/source/common/server/token_node_metrics.cc
@@ -108,7 +108,8 @@
       counterFamily("umberhold_peer_questions_total", "Questions to and from peers by outcome")
           .add(static_cast<double>(store.peerConfirmations), {metricLabel("outcome", "confirmed")})
           .add(static_cast<double>(store.peerFailures), {metricLabel("outcome", "failed")})
-          .add(static_cast<double>(store.answeredPeerRequests), {metricLabel("outcome", "answered")})
+          .add(static_cast<double>(store.answeredPeerRequests),
+               {metricLabel("outcome", "answered")})
           .take());
   families.push_back(
       counterOf("umberhold_host_copies_total",
--- a/source/common/shard/known_flows.cc
+++ b/source/common/shard/known_flows.cc
@@ -66,16 +66,17 @@
                                                     ByteBudget& lists) {
   const bool nothingNew = announced_ && waiting_.empty();
   const bool full = waiting_.size() >= kBatchFlows;
-  const Duration interval =
-      full || !announced_ || budget.isAtLeastHalfFull(now) ? kMinimumBatchInterval : kPartialBatchDelay;
+  const Duration interval = full || !announced_ || budget.isAtLeastHalfFull(now)
+                                ? kMinimumBatchInterval
+                                : kPartialBatchDelay;
   const Duration delay = inFlight_ ? kResendInterval : (flushRequested_ ? Duration(0) : interval);
   if (state_ == State::kStopped || nothingNew || now - lastSend_ < delay) {
     return std::nullopt;
   }
   const size_t count = std::min(waiting_.size(), kBatchFlows);
   const auto bytes = static_cast<double>(kFixedBytes + kFingerprintBytes * count);
-  const bool paid =
-      budget.tryConsume(now, bytes) || (first_ < firstPlacedNumber_ && lists.tryConsume(now, bytes));
+  const bool paid = budget.tryConsume(now, bytes) ||
+                    (first_ < firstPlacedNumber_ && lists.tryConsume(now, bytes));
   if (!paid) {
     return std::nullopt;
   }
--- a/source/common/shard/shard_director.cc
+++ b/source/common/shard/shard_director.cc
@@ -352,7 +352,7 @@
 }
 
 void ShardDirector::onFlowRemoved(uint32_t shardSlot, const FlowEntry& entry,
-                                    RemovalCause /*cause*/) {
+                                  RemovalCause /*cause*/) {
   for (auto& [id, shard] : shards_) {
     if (shard->flowSlot() == shardSlot) {
       shard->onFlowForgotten(now_, entry);
--- a/source/common/token/host_life.h
+++ b/source/common/token/host_life.h
@@ -43,7 +43,7 @@
     return HostGeneration::kSame;
   }
   return reported.startedAtMilliseconds > known.startedAtMilliseconds ? HostGeneration::kNewer
-                                                            : HostGeneration::kOlder;
+                                                                      : HostGeneration::kOlder;
 }
 
 /**
--- a/test/platform/store/object_translation_test.cc
+++ b/test/platform/store/object_translation_test.cc
@@ -168,7 +168,8 @@
   const auto batch = objects.changesSince(before);
   CHECK_TRUE(batch.has_value());
   LONGS_EQUAL(1, batch->changes.size());
-  CHECK_TRUE(std::get<DeletedObject>(batch->changes[0]) == (DeletedObject{Collection::kServices, "r-b"}));
+  CHECK_TRUE(std::get<DeletedObject>(batch->changes[0]) ==
+             (DeletedObject{Collection::kServices, "r-b"}));
   LONGS_EQUAL(1, serviceCount());
 }
 
--- a/test/platform/store/peer_question_test.cc
+++ b/test/platform/store/peer_question_test.cc
@@ -27,7 +27,8 @@
   HostReport report{UINT64_MAX, UINT64_MAX, {}, {}};
   report.hosts.assign(kMaxReportedHosts, {UINT32_MAX, 1000, 500});
   const std::vector<uint32_t> callers(kMaxReportedCallers, UINT32_MAX);
-  report.livenessReports.assign(kMaxReportedSigns, {UINT32_MAX, kNeverAnswered, 1000, callers, 60000});
+  report.livenessReports.assign(kMaxReportedSigns,
+                                {UINT32_MAX, kNeverAnswered, 1000, callers, 60000});
   const std::string path = pathOf({UINT64_MAX, valueOf(encodeHostReport(report))});
   CHECK_TRUE(path.size() + 200 < kPollHttpHeadBytes);
   CHECK_EQUAL(std::string::npos, path.find_first_of(" ?#%\r\n+="));
