--- a/source/common/admin/accepted_change_observer.h
+++ b/source/common/admin/accepted_change_observer.h
@@ -1,15 +1,15 @@
-/** @file Who wants to know of changes that are definitely in the store. */
+/** @file Observer of changes that are confirmed to be in the store. */
 #pragma once
 
 #include "common/platform/platform_store.h"
 
 namespace umberhold {
 
-/** Is notified of accepted changes, from any thread and possibly more than once. */
+/** Receives accepted changes. The calls may come from any thread, and more than once per change. */
 class AcceptedChangeObserver {
  public:
   virtual ~AcceptedChangeObserver() = default;
-  /** @param object as it is in the store at its version; other changes may have followed. */
+  /** @param object its state in the store at its version; later changes may exist already. */
   virtual void onChangeAccepted(const StoredObject& object) = 0;
 };
 
--- a/source/common/admin/admin_api.cc
+++ b/source/common/admin/admin_api.cc
@@ -14,19 +14,19 @@
 constexpr std::string_view kBearer = "Bearer ";
 constexpr uint32_t kBusyRetrySeconds = 1;
 
-/** Counts a running change for as long as it lives. */
-class RunningChange {
+/** Counts a running change during its own lifetime. */
+class ChangeSlot {
  public:
-  explicit RunningChange(std::atomic<uint32_t>& count) : count_(count), before_(count++) {}
-  ~RunningChange() { --count_; }
-  RunningChange(const RunningChange&) = delete;
-  RunningChange& operator=(const RunningChange&) = delete;
+  explicit ChangeSlot(std::atomic<uint32_t>& count) : count_(count), previousCount_(count++) {}
+  ~ChangeSlot() { --count_; }
+  ChangeSlot(const ChangeSlot&) = delete;
+  ChangeSlot& operator=(const ChangeSlot&) = delete;
 
-  bool fits() const { return before_ < kMaxConcurrentChanges; }
+  bool isWithinLimit() const { return previousCount_ < kMaxConcurrentChanges; }
 
  private:
   std::atomic<uint32_t>& count_;
-  const uint32_t before_;
+  const uint32_t previousCount_;
 };
 
 AdminResponse busyAnswer(const AdminRequest& request) {
@@ -80,8 +80,8 @@
   if (isRead(request)) {
     return routeRead(request, segments);
   }
-  const RunningChange running(changesRunning_);
-  if (!running.fits()) {
+  const ChangeSlot running(changesRunning_);
+  if (!running.isWithinLimit()) {
     return busyAnswer(request);
   }
   return routeChange(request, segments);
--- a/source/common/admin/admin_api.h
+++ b/source/common/admin/admin_api.h
@@ -12,13 +12,14 @@
 
 namespace umberhold {
 
-/** Changes that one node works on at once; more get Retry-After. */
+/** Maximum number of changes that a node runs concurrently; further ones get Retry-After. */
 constexpr uint32_t kMaxConcurrentChanges = 8;
 
-/** Thread safe. */
+/** Authenticates and routes requests. Thread safe. */
 class AdminApi : public AdminHandler {
  public:
-  /** All references are borrowed. @param token every request must bear it; empty refuses all. */
+  /** All references are borrowed. @param token bearer token that every request must carry; if
+   * it is empty, all requests are refused. */
   AdminApi(std::string token, PlatformStore& store, ChangeCoordinator& changes, NodeStatus& node,
            PolicyEngine& policies, CallClock& clock);
 
--- a/source/common/admin/api_context.cc
+++ b/source/common/admin/api_context.cc
@@ -29,10 +29,10 @@
   return "unknown";
 }
 
-/** Turns each outcome of a change into its answer. */
-class OutcomeAnswer {
+/** Converts each outcome of a change to its response. */
+class OutcomeResponse {
  public:
-  explicit OutcomeAnswer(const ChangeRequest& request) : request_(request) {}
+  explicit OutcomeResponse(const ChangeRequest& request) : request_(request) {}
 
   AdminResponse operator()(const ChangeAccepted& accepted) const {
     Poco::JSON::Object object;
@@ -166,9 +166,9 @@
 }
 
 std::string authorOf(const AdminRequest& request) {
-  constexpr size_t kLongestAuthor = 64;
+  constexpr size_t kMaxAuthorLength = 64;
   const auto author = request.findQuery("author");
-  return author ? std::string(author->substr(0, kLongestAuthor)) : "unnamed";
+  return author ? std::string(author->substr(0, kMaxAuthorLength)) : "unnamed";
 }
 
 AdminResponse toResponse(const NodeStatusError& error) {
@@ -203,7 +203,7 @@
 }
 
 AdminResponse toResponse(const ChangeOutcome& outcome, const ChangeRequest& request) {
-  return std::visit(OutcomeAnswer(request), outcome);
+  return std::visit(OutcomeResponse(request), outcome);
 }
 
 AdminResponse errorAnswer(ApiErrorCode code, const std::string& message) {
--- a/source/common/admin/api_context.h
+++ b/source/common/admin/api_context.h
@@ -1,4 +1,4 @@
-/** @file What the routes of the admin API work on, and how they read a request. */
+/** @file Dependencies of the admin API's routes, and helpers that parse requests. */
 #pragma once
 
 #include <mutex>
@@ -16,44 +16,46 @@
 
 namespace umberhold {
 
-/** Everything that routes use; all borrowed. */
+/** Dependencies shared by all routes; all borrowed. */
 struct ApiContext {
   PlatformStore& store;
   ChangeCoordinator& changes;
   NodeStatus& node;
   PolicyEngine& policies;
   CallClock& clock;
-  /** Held while the policy engine compiles: it need not be thread safe. */
+  /** Held while the policy engine compiles, because the engine need not be thread safe. */
   std::mutex policiesMutex;
 };
 
 /** @return the segments of a path, without empty ones. */
 std::vector<std::string> splitPath(const std::string& path);
 
-/** @return the version in the If-Match header, with or without quotes; nothing where there is none.
+/**
+ * @return the version in the If-Match header, with or without quotes, or nothing if the header is
+ * absent.
  */
 Result<std::optional<uint64_t>, ApiError> expectedVersionOf(const AdminRequest& request);
 
 /** @return whether the query parameter is "true" or "1". */
 bool isSet(const AdminRequest& request, std::string_view parameter);
 
-/** @return a whole number that the text is in full, or nothing. */
+/** @return the whole text as a decimal integer, or nothing if it is not one. */
 std::optional<uint64_t> parseNumber(std::string_view text);
 
-/** @return the caller's request id, or a fresh one. */
+/** @return the request id of the client, or a newly generated one. */
 std::string requestIdOf(const AdminRequest& request);
 
-/** @return who asks, for people; from the query parameter "author". */
+/** @return the informational name of the operator, from the query parameter "author". */
 std::string authorOf(const AdminRequest& request);
 
-/** @return 503 for a question that the node did not answer, 404 for an unknown thing. */
+/** @return 503 if the node did not answer, 404 if the item is unknown, 400 if unsupported. */
 AdminResponse toResponse(const NodeStatusError& error);
-/** @return 503 with Retry-After, or 404. */
+/** @return 404 if the object does not exist, otherwise 503 with Retry-After. */
 AdminResponse toResponse(const StoreError& error);
-/** @return the answer to a change. @param kind and @param name of the changed object. */
+/** @return the response to a change with this outcome. */
 AdminResponse toResponse(const ChangeOutcome& outcome, const ChangeRequest& request);
 
-/** @return a plain error. */
+/** @return an error response without details. */
 AdminResponse errorAnswer(ApiErrorCode code, const std::string& message);
 
 }  // namespace umberhold
--- a/source/common/admin/api_error.h
+++ b/source/common/admin/api_error.h
@@ -1,4 +1,4 @@
-/** @file Errors of the admin API: typed here, JSON with a stable code on the wire. */
+/** @file Typed errors of the admin API; on the wire they are JSON with a stable code. */
 #pragma once
 
 #include <cstdint>
@@ -12,34 +12,34 @@
 
 namespace umberhold {
 
-/** Why a request was not answered as asked. */
+/** Reason why a request failed. */
 enum class ApiErrorCode : uint8_t {
-  /** The path, a parameter or the body can't be understood. */
+  /** The path, a parameter or the body can't be parsed. */
   kBadRequest,
   /** The bearer token is missing or wrong. */
   kUnauthorized,
   kNotFound,
   kMethodNotAllowed,
-  /** The object is not at the version that the change is based on. */
+  /** The object is not at the version on which the change is based. */
   kConflict,
-  /** The proposed configuration is wrong; see the details. */
+  /** The proposed configuration is invalid; the details list the errors. */
   kInvalid,
-  /** The change does not say which version it is based on. */
+  /** The change does not state the version on which it is based. */
   kVersionRequired,
-  /** The request id belongs to another change, or is none. */
+  /** The request id is malformed or belongs to another change. */
   kRequestIdRefused,
-  /** The store refuses the request as such. */
+  /** The store rejected the request itself. */
   kStoreRefused,
-  /** The store or the node can't answer now; nothing was changed. */
+  /** The store or the node is temporarily unavailable; nothing was changed. */
   kUnavailable,
-  /** The change may be in or not: ask for the request id later. */
+  /** The change may or may not be applied; the client queries the request id later. */
   kOutcomeUnknown,
 };
 
 /** @return the snake_case label of a code. */
 std::string_view toString(ApiErrorCode code);
 
-/** One thing that is wrong with the request. */
+/** One error in a request. */
 struct ApiErrorDetail {
   std::string code;
   std::string object;
@@ -47,7 +47,7 @@
   std::string detail;
 };
 
-/** The newest change of an object that is not at the expected version. */
+/** Latest change of an object that is not at the expected version. */
 struct ApiConflict {
   /** 0: the object does not exist. */
   uint64_t currentVersion = 0;
@@ -56,21 +56,21 @@
   std::string requestId;
 };
 
-/** An error answer. */
+/** An error response. */
 struct ApiError {
   ApiErrorCode code = ApiErrorCode::kBadRequest;
   std::string message;
   std::vector<ApiErrorDetail> details;
-  /** Id of the change that failed, where there was one. */
+  /** Request id of the failed change; empty if there is none. */
   std::string requestId;
   std::optional<ApiConflict> conflict;
-  /** When to come back. */
+  /** Delay after which the client may retry. */
   std::optional<uint32_t> retryAfterSeconds;
 };
 
-/** @return the HTTP answer: {"error": {"code", "message", "details": [...], ...}}. */
+/** @return the HTTP response: {"error": {"code", "message", "details": [...], ...}}. */
 AdminResponse toResponse(const ApiError& error);
-/** @return the answer to a change that validation refused. */
+/** @return the response to a change that failed validation. */
 AdminResponse toResponse(const ValidationErrors& errors);
 /** @return 200 with a JSON body. */
 AdminResponse jsonAnswer(std::string body);
--- a/source/common/admin/api_json.h
+++ b/source/common/admin/api_json.h
@@ -1,4 +1,4 @@
-/** @file JSON pieces that several routes of the admin API answer with. */
+/** @file JSON fragments shared by several routes of the admin API. */
 #pragma once
 
 #include <string>
@@ -13,11 +13,11 @@
 
 namespace umberhold {
 
-/** @return the object's text. */
+/** @return the object serialized as JSON text. */
 std::string toText(const Poco::JSON::Object& object);
 /** Adds one element per change: {"request_id", "author", "summary", "at"}. */
 void addHistory(Poco::JSON::Array& array, const std::vector<ChangeEntry>& history);
-/** Sets the members of one change. */
+/** Sets the fields of one change in the object. */
 void setChange(Poco::JSON::Object& object, const ChangeEntry& entry);
 
 }  // namespace umberhold
--- a/source/common/admin/api_kind.h
+++ b/source/common/admin/api_kind.h
@@ -1,4 +1,4 @@
-/** @file The kinds of objects that operators handle by name. */
+/** @file Kinds of objects that the admin API exposes by name. */
 #pragma once
 
 #include <optional>
@@ -9,7 +9,7 @@
 
 namespace umberhold {
 
-/** A kind of object that has routes of its own. */
+/** A kind of object with its own routes. */
 struct ApiKind {
   Collection collection = Collection::kServices;
   ObjectKind kind = ObjectKind::kService;
@@ -22,7 +22,7 @@
 constexpr ApiKind kServiceKind{Collection::kServices, ObjectKind::kService, "service", "services"};
 constexpr ApiKind kPolicyKind{Collection::kPolicies, ObjectKind::kPolicy, "policy", "policies"};
 
-/** @return the kind of a path segment or of its singular, or nothing. */
+/** @return the kind with this plural or singular label, or nothing. */
 std::optional<ApiKind> parseApiKind(const std::string& text);
 
 }  // namespace umberhold
--- a/source/common/admin/call_clock.h
+++ b/source/common/admin/call_clock.h
@@ -1,22 +1,21 @@
-/** @file Time for blocking calls of the admin API; injected, so that tests neither wait nor race.
- */
+/** @file Clock for the blocking calls of the admin API; injectable, for deterministic tests. */
 #pragma once
 
 #include "common/base/time.h"
 
 namespace umberhold {
 
-/** A clock that can also wait. Thread safe. */
+/** A clock that also sleeps. Thread safe. */
 class CallClock {
  public:
   virtual ~CallClock() = default;
   virtual TimePoint now() = 0;
-  /** @return wall time, only kept for people to read. */
+  /** @return wall-clock time; informational only, never used for ordering. */
   virtual UnixSeconds unixNow() = 0;
   virtual void sleepFor(Duration duration) = 0;
 };
 
-/** The clocks of the machine. */
+/** The operating system's clocks. */
 class SystemCallClock : public CallClock {
  public:
   TimePoint now() override;
--- a/source/common/admin/change_attempt.cc
+++ b/source/common/admin/change_attempt.cc
@@ -10,7 +10,7 @@
 namespace umberhold {
 namespace {
 
-/** @return the object with the change in its history; not yet at its new version. */
+/** @return the changed object, with the change in its history, still at the base version. */
 StoredObject withChange(const ChangeRequest& request, const StoredObject& base, UnixSeconds now) {
   StoredObject changed;
   changed.collection = request.collection;
@@ -28,7 +28,7 @@
   return changed;
 }
 
-/** @return whether the update may follow on this state of the object. */
+/** @return whether the object is in the state that the change expects. */
 bool isExpected(const ChangeRequest& request, const StoredObject& current) {
   if (request.expectedVersion == 0) {
     return current.version == 0 || isDeleted(current);
@@ -36,29 +36,29 @@
   return current.version == request.expectedVersion && !isDeleted(current);
 }
 
-/** @return whether the history holds every change that followed on the version. */
-bool reachesBackTo(const std::vector<ChangeEntry>& history, uint64_t version) {
+/** @return whether the history contains every change made since the version. */
+bool coversChangesSince(const std::vector<ChangeEntry>& history, uint64_t version) {
   const bool complete = history.size() < kHistoryLength;
   return complete || std::any_of(history.begin(), history.end(), [&](const ChangeEntry& entry) {
            return entry.baseVersion && *entry.baseVersion <= version;
          });
 }
 
-/** @return the object as it is once the change is in. */
+/** @return the state of the object once the change is applied. */
 StoredObject wantedObject(const ChangeRequest& request) {
   StoredObject wanted = withChange(request, {}, 0);
-  // Any version but 0, which would say that the object does not exist.
+  // Any version except 0, which means that the object does not exist.
   wanted.version = 1;
   return wanted;
 }
 
-/** Both in order. @return the keys of the first that the second has not. */
-std::vector<ClaimKey> without(const std::vector<ClaimKey>& keys,
-                              const std::vector<ClaimKey>& others) {
-  std::vector<ClaimKey> rest;
-  std::set_difference(keys.begin(), keys.end(), others.begin(), others.end(),
-                      std::back_inserter(rest));
-  return rest;
+/** Both lists must be sorted. @return the keys of the first that the second lacks. */
+std::vector<ClaimKey> keyDifference(const std::vector<ClaimKey>& keys,
+                                    const std::vector<ClaimKey>& excluded) {
+  std::vector<ClaimKey> difference;
+  std::set_difference(keys.begin(), keys.end(), excluded.begin(), excluded.end(),
+                      std::back_inserter(difference));
+  return difference;
 }
 
 std::string describe(const ClaimKey& key) {
@@ -71,8 +71,8 @@
 ChangeAttempt::ChangeAttempt(AttemptContext context, const ChangeRequest& request, bool repeated)
     : context_(context),
       request_(request),
-      wantedKeys_(claimKeysIn(wantedObject(request))),
-      mayBeIn_(repeated),
+      requiredKeys_(claimKeysIn(wantedObject(request))),
+      mayBeApplied_(repeated),
       deadline_(context.clock.now() + context.limits.deadline),
       random_(context.seed),
       backOff_(context.limits.backOff, random_),
@@ -81,10 +81,10 @@
 ChangeOutcome ChangeAttempt::resolve() {
   const std::optional<StoredObject> current = readCurrent();
   if (!current) {
-    return unknown(lastDetail_);
+    return unknown(lastErrorDetail_);
   }
-  const std::optional<ChangeOutcome> shown = outcomeShownBy(*current);
-  return shown ? *shown : unknown("it is not in the object's history so far");
+  const std::optional<ChangeOutcome> decided = outcomeFromState(*current);
+  return decided ? *decided : unknown("it is not in the object's history so far");
 }
 
 ChangeOutcome ChangeAttempt::run() {
@@ -93,8 +93,8 @@
     if (outcome) {
       return *outcome;
     }
-    if (!waitForNextTry()) {
-      return givenUp();
+    if (!waitForNextAttempt()) {
+      return outcomeAtTimeout();
     }
   }
 }
@@ -104,22 +104,22 @@
   if (!current) {
     return std::nullopt;
   }
-  std::optional<ChangeOutcome> shown = outcomeShownBy(*current);
-  if (shown && std::holds_alternative<ChangeConflict>(*shown)) {
+  std::optional<ChangeOutcome> decided = outcomeFromState(*current);
+  if (decided && std::holds_alternative<ChangeConflict>(*decided)) {
     return conflict(*current);
   }
-  if (shown) {
-    return shown;
+  if (decided) {
+    return decided;
   }
   const auto claimed = claimAll(*current);
   return isOk(claimed) ? tryUpdate(*current) : errorOf(claimed);
 }
 
-std::optional<ChangeOutcome> ChangeAttempt::outcomeShownBy(const StoredObject& current) const {
+std::optional<ChangeOutcome> ChangeAttempt::outcomeFromState(const StoredObject& current) const {
   if (const auto entry = findEntry(current, request_.requestId)) {
     return foundInHistory(current, *entry);
   }
-  if (mayBeIn_ && mayHaveLeftHistory(current)) {
+  if (mayBeApplied_ && mayBeEvictedFromHistory(current)) {
     return unknown("the object's history no longer reaches back to the change");
   }
   if (!isExpected(request_, current)) {
@@ -128,9 +128,10 @@
   return std::nullopt;
 }
 
-bool ChangeAttempt::mayHaveLeftHistory(const StoredObject& current) const {
-  const uint64_t base = request_.expectedVersion != 0 ? request_.expectedVersion : triedVersion_;
-  return current.version != base && !reachesBackTo(current.history, base);
+bool ChangeAttempt::mayBeEvictedFromHistory(const StoredObject& current) const {
+  const uint64_t base =
+      request_.expectedVersion != 0 ? request_.expectedVersion : attemptedVersion_;
+  return current.version != base && !coversChangesSince(current.history, base);
 }
 
 std::optional<StoredObject> ChangeAttempt::readCurrent() {
@@ -141,7 +142,7 @@
   if (errorOf(answer).code == StoreErrorCode::kNotFound) {
     return StoredObject{};
   }
-  noteFailure(errorOf(answer));
+  recordFailure(errorOf(answer));
   return std::nullopt;
 }
 
@@ -151,7 +152,7 @@
     claimedBase_ = current.version;
   }
   const Claimant claimant{request_.name, current.version, request_.requestId, request_.author};
-  for (const ClaimKey& key : without(wantedKeys_, claimKeysIn(current))) {
+  for (const ClaimKey& key : keyDifference(requiredKeys_, claimKeysIn(current))) {
     if (claimed_.contains(key)) {
       continue;
     }
@@ -173,31 +174,31 @@
     return blockedBy(key, held->service);
   }
   if (const auto* pending = std::get_if<ClaimPending>(&failure)) {
-    storeWait_.reset();
-    lastDetail_ = describe(key) + " is being taken for service '" + pending->service + "'";
+    storeRetryAfter_.reset();
+    lastErrorDetail_ = describe(key) + " is being taken for service '" + pending->service + "'";
     return std::nullopt;
   }
   const StoreError& error = std::get<StoreError>(failure);
-  if (error.code == StoreErrorCode::kRejected && !mayBeIn_) {
+  if (error.code == StoreErrorCode::kRejected && !mayBeApplied_) {
     return ChangeRefused{ChangeRefusal::kStoreRefused, error.detail};
   }
-  noteFailure(error);
+  recordFailure(error);
   return std::nullopt;
 }
 
 std::optional<ChangeOutcome> ChangeAttempt::blockedBy(const ClaimKey& key,
                                                       const std::string& service) {
   const ChangeBlocked blocked{key, service};
-  if (!mayBeIn_) {
+  if (!mayBeApplied_) {
     return blocked;
   }
-  // The change may have come in, and the key may have been given up, since the object was read.
+  // Since the object was read, the change may have been applied and the key released again.
   const std::optional<StoredObject> current = readCurrent();
   if (!current) {
     return std::nullopt;
   }
-  const std::optional<ChangeOutcome> shown = outcomeShownBy(*current);
-  return shown ? *shown : blocked;
+  const std::optional<ChangeOutcome> decided = outcomeFromState(*current);
+  return decided ? *decided : blocked;
 }
 
 void ChangeAttempt::releaseAll(const std::vector<ClaimKey>& keys, uint64_t version) {
@@ -223,30 +224,30 @@
     case StoreErrorCode::kUnavailable:
       break;
     case StoreErrorCode::kRejected:
-      if (!mayBeIn_) {
+      if (!mayBeApplied_) {
         return ChangeRefused{ChangeRefusal::kStoreRefused, error.detail};
       }
       break;
     case StoreErrorCode::kAnswerLost:
     case StoreErrorCode::kMalformedAnswer:
     case StoreErrorCode::kTooOld:
-      mayBeIn_ = true;
-      triedVersion_ = current.version;
+      mayBeApplied_ = true;
+      attemptedVersion_ = current.version;
       break;
   }
-  noteFailure(error);
+  recordFailure(error);
   return std::nullopt;
 }
 
 ChangeOutcome ChangeAttempt::onUpdated(const StoredObject& current, const StoredObject& changed) {
   ChangeOutcome outcome = accepted(changed);
-  releaseAll(without(claimKeysIn(current), wantedKeys_), changed.version);
+  releaseAll(keyDifference(claimKeysIn(current), requiredKeys_), changed.version);
   return outcome;
 }
 
 ChangeOutcome ChangeAttempt::conflict(const StoredObject& current) {
-  const std::vector<ClaimKey> taken(claimed_.begin(), claimed_.end());
-  releaseAll(without(taken, claimKeysIn(current)), current.version);
+  const std::vector<ClaimKey> acquired(claimed_.begin(), claimed_.end());
+  releaseAll(keyDifference(acquired, claimKeysIn(current)), current.version);
   return conflictWith(current);
 }
 
@@ -265,18 +266,18 @@
   return ChangeAccepted{object.version};
 }
 
-void ChangeAttempt::noteFailure(const StoreError& error) {
-  lastDetail_ = error.detail;
-  storeWait_ = error.retryAfter;
+void ChangeAttempt::recordFailure(const StoreError& error) {
+  lastErrorDetail_ = error.detail;
+  storeRetryAfter_ = error.retryAfter;
 }
 
-bool ChangeAttempt::waitForNextTry() {
+bool ChangeAttempt::waitForNextAttempt() {
   while (const auto budgetWait = context_.pacing.takeRetry()) {
     if (!sleepWithinDeadline(*budgetWait)) {
       return false;
     }
   }
-  return sleepWithinDeadline(backOff_.next(storeWait_));
+  return sleepWithinDeadline(backOff_.next(storeRetryAfter_));
 }
 
 bool ChangeAttempt::sleepWithinDeadline(Duration wait) {
@@ -287,19 +288,19 @@
   return true;
 }
 
-ChangeOutcome ChangeAttempt::givenUp() const {
-  if (mayBeIn_) {
-    return unknown(lastDetail_);
+ChangeOutcome ChangeAttempt::outcomeAtTimeout() const {
+  if (mayBeApplied_) {
+    return unknown(lastErrorDetail_);
   }
-  return ChangeUnavailable{comeBackAfter(), lastDetail_};
+  return ChangeUnavailable{retryDelay(), lastErrorDetail_};
 }
 
 ChangeUnknown ChangeAttempt::unknown(const std::string& detail) const {
-  return ChangeUnknown{request_.requestId, comeBackAfter(), detail};
+  return ChangeUnknown{request_.requestId, retryDelay(), detail};
 }
 
-Duration ChangeAttempt::comeBackAfter() const {
-  return std::max(storeWait_.value_or(Duration{}), context_.limits.backOff.maxDelay);
+Duration ChangeAttempt::retryDelay() const {
+  return std::max(storeRetryAfter_.value_or(Duration{}), context_.limits.backOff.maxDelay);
 }
 
 }  // namespace umberhold
--- a/source/common/admin/change_attempt.h
+++ b/source/common/admin/change_attempt.h
@@ -1,4 +1,4 @@
-/** @file One run of a change against the store, up to its outcome. */
+/** @file Runs one change against the store until its outcome is decided. */
 #pragma once
 
 #include <optional>
@@ -17,7 +17,7 @@
 
 namespace umberhold {
 
-/** What an attempt works with; all but the seed is borrowed. */
+/** Dependencies of an attempt; all but the seed are borrowed. */
 struct AttemptContext {
   PlatformStore& store;
   CallClock& clock;
@@ -28,74 +28,77 @@
   uint64_t seed;
 };
 
-/** What an attempt has learned so far. Blocks; not thread safe; run once. */
+/** Executes one change and tracks its state. Blocking; not thread safe; for a single run. */
 class ChangeAttempt {
  public:
   /**
    * @param request borrowed.
-   * @param repeated an earlier call with the same request id may have reached the store.
+   * @param repeated whether an earlier call with the same request id may have reached the store.
    */
   ChangeAttempt(AttemptContext context, const ChangeRequest& request, bool repeated);
   ChangeAttempt(const ChangeAttempt&) = delete;
   ChangeAttempt& operator=(const ChangeAttempt&) = delete;
 
-  /** Reads once and tells what that shows. */
+  /** Reads the object once. @return the outcome that its state shows, or unknown. */
   ChangeOutcome resolve();
-  /** Tries until the outcome is known or time is over. */
+  /** Retries until the outcome is decided or the deadline passes. */
   ChangeOutcome run();
 
  private:
-  /** Reads the object and, where it is as expected, tries the update. @return nothing to go on. */
+  /**
+   * Reads the object and, if it is in the expected state, sends the update.
+   * @return the outcome, or nothing if another attempt is needed.
+   */
   std::optional<ChangeOutcome> step();
-  /** @return what the object's state decides, or nothing where the update may still come in. */
-  std::optional<ChangeOutcome> outcomeShownBy(const StoredObject& current) const;
-  /** @return whether the change could have been in and be displaced by later ones. */
-  bool mayHaveLeftHistory(const StoredObject& current) const;
+  /** @return the outcome that the object's state decides, or nothing if it is still open. */
+  std::optional<ChangeOutcome> outcomeFromState(const StoredObject& current) const;
+  /** @return whether the change may be applied but evicted from the history by later changes. */
+  bool mayBeEvictedFromHistory(const StoredObject& current) const;
   std::optional<StoredObject> readCurrent();
 
-  /** Takes the claims of what the change brings into the object. */
+  /** Acquires the claims for all keys that the change adds to the object. */
   Result<Ok, std::optional<ChangeOutcome>> claimAll(const StoredObject& current);
-  /** @return the outcome of a change whose claim failed; nothing to go on. */
+  /** @return the outcome of a change whose claim failed, or nothing if a retry may help. */
   std::optional<ChangeOutcome> onClaimFailed(const ClaimKey& key, const ClaimFailure& failure);
-  /** @return the outcome of a change that another service blocks. */
+  /** @return the outcome of a change that needs a key of another service. */
   std::optional<ChangeOutcome> blockedBy(const ClaimKey& key, const std::string& service);
-  /** Gives back what the object no longer holds, as long as there is time. */
+  /** Releases the claims of these keys until the deadline passes. */
   void releaseAll(const std::vector<ClaimKey>& keys, uint64_t version);
 
   std::optional<ChangeOutcome> tryUpdate(const StoredObject& current);
   ChangeOutcome onUpdated(const StoredObject& current, const StoredObject& changed);
-  /** Gives back the claims that this attempt took in vain. @param current the object now. */
+  /** Releases the claims that this attempt acquired. @param current the current object. */
   ChangeOutcome conflict(const StoredObject& current);
   ChangeOutcome foundInHistory(const StoredObject& current, const ChangeEntry& entry) const;
-  /** Tells the observer; @return the outcome. */
+  /** Notifies the observer. @return the outcome. */
   ChangeOutcome accepted(const StoredObject& object) const;
 
-  void noteFailure(const StoreError& error);
-  /** Waits before the next try. @return whether there is time and budget for one. */
-  bool waitForNextTry();
+  void recordFailure(const StoreError& error);
+  /** Waits for the retry budget and the backoff. @return false if the deadline comes first. */
+  bool waitForNextAttempt();
   bool sleepWithinDeadline(Duration wait);
-  ChangeOutcome givenUp() const;
+  ChangeOutcome outcomeAtTimeout() const;
   ChangeUnknown unknown(const std::string& detail) const;
-  Duration comeBackAfter() const;
+  Duration retryDelay() const;
 
   const AttemptContext context_;
   const ChangeRequest& request_;
-  /** What the object holds once the change is in, in order. */
-  const std::vector<ClaimKey> wantedKeys_;
-  /** An update was sent whose effect is not known. */
-  bool mayBeIn_;
-  /** Version that the last such update of this run expected. */
-  uint64_t triedVersion_ = 0;
+  /** Keys that the object holds once the change is applied, sorted. */
+  const std::vector<ClaimKey> requiredKeys_;
+  /** Whether an update was sent whose effect is unknown. */
+  bool mayBeApplied_;
+  /** Version that the last update with unknown effect in this run expected. */
+  uint64_t attemptedVersion_ = 0;
   const TimePoint deadline_;
   RandomSource random_;
   BackOff backOff_;
   ClaimKeeper claims_;
-  /** Keys whose claims hold for changes based on claimedBase_. */
+  /** Keys whose claims are valid for changes based on claimedBase_. */
   std::set<ClaimKey> claimed_;
   uint64_t claimedBase_ = 0;
-  /** What the store last asked for. */
-  std::optional<Duration> storeWait_;
-  std::string lastDetail_;
+  /** Retry delay that the store requested last. */
+  std::optional<Duration> storeRetryAfter_;
+  std::string lastErrorDetail_;
 };
 
 }  // namespace umberhold
--- a/source/common/admin/change_coordinator.cc
+++ b/source/common/admin/change_coordinator.cc
@@ -8,7 +8,7 @@
 namespace umberhold {
 namespace {
 
-constexpr uint32_t kReadTries = 3;
+constexpr uint32_t kMaxReadAttempts = 3;
 
 }  // namespace
 
@@ -49,7 +49,7 @@
                                                          const std::string& name) {
   RandomSource random(nextSeed());
   BackOff backOff(limits_.backOff, random);
-  for (uint32_t tried = 1;; ++tried) {
+  for (uint32_t attempts = 1;; ++attempts) {
     auto answer = store_.get(collection, name);
     if (isOk(answer)) {
       if (isDeleted(valueOf(answer))) {
@@ -57,7 +57,7 @@
       }
       return answer;
     }
-    if (errorOf(answer).code == StoreErrorCode::kNotFound || tried == kReadTries) {
+    if (errorOf(answer).code == StoreErrorCode::kNotFound || attempts == kMaxReadAttempts) {
       return answer;
     }
     clock_.sleepFor(backOff.next());
--- a/source/common/admin/change_coordinator.h
+++ b/source/common/admin/change_coordinator.h
@@ -1,12 +1,12 @@
 /**
- * @file Brings changes of operators into the platform's store, and tells the truth about each.
+ * @file Applies changes of operators to the platform's store and determines the outcome of each.
  *
- * A change is a conditional update of one object that carries a request id in the object's history.
- * An answer of the store that was lost is resolved by reading the object back: the id is in the
- * history, or the object still has the expected version (then the same update is tried again;
- * whichever of the two comes first makes the other fail), or it has moved on without us. Objects
- * are never removed (platform/deletion_marker.h), so a version never comes back and a late update
- * can't slip in.
+ * A change is a conditional update of one object; it records its request id in the object's
+ * history. If the store's answer is lost, the object is read back: either the id is in the history;
+ * or the object still has the expected version, and the same update is sent again (whichever of the
+ * two is applied first makes the other fail); or another change was applied instead. Objects are
+ * never removed (platform/deletion_marker.h), so a version never recurs and a delayed update can't
+ * be applied to a newer state.
  */
 #pragma once
 
@@ -24,19 +24,19 @@
 
 namespace umberhold {
 
-/** Why a look-up gave nothing. */
+/** Reason why a lookup found nothing. */
 enum class LookupFailure : uint8_t {
-  /** No history holds the id: the change is not in, unless many changes have followed it. */
+  /** No history contains the id: the change is not applied, unless many changes followed it. */
   kNotInHistory,
   kStoreUnavailable,
 };
 
 class ChangeAttempt;
 
-/** Thread safe, where the store and the clock are. */
+/** Thread safe if the store and the clock are. */
 class ChangeCoordinator : private RetryPacing {
  public:
-  /** All are borrowed. @param seed for the jitter of the waits. */
+  /** All are borrowed. @param seed for the jitter of the delays. */
   ChangeCoordinator(PlatformStore& store, CallClock& clock, uint64_t seed,
                     ChangeLimits limits = {});
 
@@ -44,24 +44,24 @@
   void setObserver(AcceptedChangeObserver* observer) { observer_ = observer; }
 
   /**
-   * Runs the change to its outcome; blocks for up to the deadline.
-   * @param repeated an earlier call with the same request id may have reached the store.
+   * Runs the change until its outcome is decided; blocks until the deadline at most.
+   * @param repeated whether an earlier call with the same request id may have reached the store.
    */
   ChangeOutcome submit(const ChangeRequest& request, bool repeated = false);
 
   /**
-   * Tells what became of a change that an earlier call may have sent, without sending it again.
-   * The answer is unknown as long as the change may still come in.
+   * Returns the outcome of a change that an earlier call may have sent, without sending it again.
+   * The outcome is unknown as long as the change may still be applied.
    */
   ChangeOutcome resolve(const ChangeRequest& request);
 
-  /** Reads an object as operators see it; a deleted one is kNotFound. Tried a few times. */
+  /** Reads an object with a few retries; a deleted object yields kNotFound. */
   Result<StoredObject, StoreError> read(Collection collection, const std::string& name);
 
-  /** Looks for the request id in the history of one object. */
+  /** Searches the history of one object for the request id. */
   Result<FoundChange, LookupFailure> find(Collection collection, const std::string& name,
                                           const std::string& requestId);
-  /** Looks for the request id in every object; reads whole collections, so only for people. */
+  /** Searches every object for the request id. Reads whole collections: for manual queries only. */
   Result<FoundChange, LookupFailure> findAnywhere(const std::string& requestId);
 
  private:
@@ -80,7 +80,7 @@
   RetryBudget retryBudget_;
 };
 
-/** @return the conflict that a change meets which expected another state of the object. */
+/** @return the conflict for a change that expected another state of the object. */
 ChangeConflict conflictWith(const StoredObject& current);
 
 /** @return the entry with the request id, or nothing. */
--- a/source/common/admin/change_limits.h
+++ b/source/common/admin/change_limits.h
@@ -1,4 +1,4 @@
-/** @file How long and how often changes are tried. */
+/** @file Deadlines and retry limits of changes. */
 #pragma once
 
 #include <optional>
@@ -8,22 +8,20 @@
 
 namespace umberhold {
 
-/** How long and how often the coordinator tries. */
+/** Deadline, backoff and retry budget of the coordinator. */
 struct ChangeLimits {
-  /** From the call to its answer, the last call to the store apart. */
+  /** From the call to its result; the last call to the store may exceed it. */
   Duration deadline = std::chrono::seconds(8);
   BackOffOptions backOff{std::chrono::milliseconds(50), std::chrono::seconds(1)};
-  /** Shared by all changes, so that a store that is down is not asked more often with more of them.
-   */
+  /** Shared by all changes, so that more changes cause no more calls to an unavailable store. */
   RetryBudgetOptions retries{20, std::chrono::milliseconds(250)};
 };
 
-/** Paces the retries of all changes of a node together. Thread safe. */
+/** Limits the rate of retries over all changes of a node. Thread safe. */
 class RetryPacing {
  public:
   virtual ~RetryPacing() = default;
-  /** Takes a retry off the budget. @return nothing, or how long to wait where there is none left.
-   */
+  /** Takes a retry from the budget. @return nothing, or the time to wait if it is exhausted. */
   virtual std::optional<Duration> takeRetry() = 0;
 };
 
--- a/source/common/admin/claim_keeper.cc
+++ b/source/common/admin/claim_keeper.cc
@@ -9,22 +9,25 @@
 namespace umberhold {
 namespace {
 
-/** Longer than a change takes whose store answers; drawn again for each claim, so that two that
- * wait for each other don't move each other on at once. */
-constexpr Duration kShortestPatience = std::chrono::milliseconds(1500);
-constexpr Duration kLongestPatience = std::chrono::milliseconds(3000);
+/**
+ * Range of the timeout after which an unchanged claim is stale. Longer than a change takes if the
+ * store answers; random for each claim, so that two changes that wait for each other don't bump
+ * each other's services at the same time.
+ */
+constexpr Duration kMinStaleTimeout = std::chrono::milliseconds(1500);
+constexpr Duration kMaxStaleTimeout = std::chrono::milliseconds(3000);
 
-/** Begins the history entry of a service that was moved on. */
-constexpr const char* kMoveOnIdPrefix = "claim:";
+/** Prefix of the request id in the history entry that a version bump adds to a service. */
+constexpr const char* kVersionBumpIdPrefix = "claim:";
 
 bool holds(const StoredObject& service, const ClaimKey& key) {
   const std::vector<ClaimKey> keys = claimKeysIn(service);
   return std::binary_search(keys.begin(), keys.end(), key);
 }
 
-/** @return an id that belongs to no operator's change. */
-std::string moveOnId(const Claimant& claimant) {
-  return kMoveOnIdPrefix + claimant.requestId;
+/** @return a request id that no change of an operator has. */
+std::string versionBumpId(const Claimant& claimant) {
+  return kVersionBumpIdPrefix + claimant.requestId;
 }
 
 }  // namespace
@@ -41,22 +44,22 @@
     : store_(store), clock_(clock), random_(random) {}
 
 Result<Ok, ClaimFailure> ClaimKeeper::acquire(const ClaimKey& key, const Claimant& claimant) {
-  const bool maybeFree = !watched_.contains(key);
-  if (maybeFree) {
+  const bool maybeUnclaimed = !observations_.contains(key);
+  if (maybeUnclaimed) {
     auto created = write(key, 0, claimant);
     const auto* failure = isOk(created) ? nullptr : std::get_if<StoreError>(&errorOf(created));
     if (failure == nullptr || failure->code != StoreErrorCode::kConflict) {
       return created;
     }
   }
-  const auto seen = read(key);
-  if (!isOk(seen)) {
-    return ClaimFailure{errorOf(seen)};
+  const auto observed = read(key);
+  if (!isOk(observed)) {
+    return ClaimFailure{errorOf(observed)};
   }
-  if (!valueOf(seen)) {
+  if (!valueOf(observed)) {
     return write(key, 0, claimant);
   }
-  const SeenClaim& found = *valueOf(seen);
+  const ObservedClaim& found = *valueOf(observed);
   const bool isOwn = found.claim.service == claimant.service;
   if (isOwn && found.claim.base >= claimant.base) {
     return Ok{};
@@ -67,50 +70,53 @@
   return takeOver(found, claimant);
 }
 
-Result<Ok, ClaimFailure> ClaimKeeper::takeOver(const SeenClaim& seen, const Claimant& claimant) {
-  // The service is read after the claim: what was sent under the claim is based on its base at
-  // most.
-  const auto read = readService(seen.claim.service);
+Result<Ok, ClaimFailure> ClaimKeeper::takeOver(const ObservedClaim& observed,
+                                               const Claimant& claimant) {
+  // The service is read after the claim: updates sent under the claim are based on the claim's
+  // base at most.
+  const auto read = readService(observed.claim.service);
   if (!isOk(read)) {
     return ClaimFailure{errorOf(read)};
   }
   const StoredObject& holder = valueOf(read);
-  if (holds(holder, seen.key)) {
-    return ClaimFailure{ClaimHeld{seen.claim.service}};
+  if (holds(holder, observed.key)) {
+    return ClaimFailure{ClaimHeld{observed.claim.service}};
   }
-  if (holder.version > seen.claim.base) {
-    return write(seen.key, seen.version, claimant);
+  if (holder.version > observed.claim.base) {
+    return write(observed.key, observed.version, claimant);
   }
-  if (!hasBeenStill(seen)) {
-    return ClaimFailure{ClaimPending{seen.claim.service}};
+  if (!isStale(observed)) {
+    return ClaimFailure{ClaimPending{observed.claim.service}};
   }
-  const auto moved = moveOn(holder, seen, claimant);
-  return isOk(moved) ? write(seen.key, seen.version, claimant) : moved;
+  const auto bumped = bumpServiceVersion(holder, observed, claimant);
+  return isOk(bumped) ? write(observed.key, observed.version, claimant) : bumped;
 }
 
-bool ClaimKeeper::hasBeenStill(const SeenClaim& seen) {
-  Watched& watched = watched_[seen.key];
-  if (watched.version != seen.version) {
-    const auto spread = static_cast<uint64_t>((kLongestPatience - kShortestPatience).count());
-    const Duration patience = kShortestPatience + Duration(random_.below(spread));
-    watched = {seen.version, clock_.now(), patience};
+bool ClaimKeeper::isStale(const ObservedClaim& observed) {
+  ClaimObservation& observation = observations_[observed.key];
+  if (observation.version != observed.version) {
+    const auto jitterRange = static_cast<uint64_t>((kMaxStaleTimeout - kMinStaleTimeout).count());
+    const Duration timeout = kMinStaleTimeout + Duration(random_.below(jitterRange));
+    observation = {observed.version, clock_.now(), timeout};
   }
-  return clock_.now() - watched.since >= watched.patience;
+  return clock_.now() - observation.since >= observation.timeout;
 }
 
-Result<Ok, ClaimFailure> ClaimKeeper::moveOn(const StoredObject& holder, const SeenClaim& seen,
-                                             const Claimant& claimant) {
-  StoredObject moved = holder;
-  moved.collection = Collection::kServices;
-  moved.name = seen.claim.service;
+Result<Ok, ClaimFailure> ClaimKeeper::bumpServiceVersion(const StoredObject& holder,
+                                                         const ObservedClaim& observed,
+                                                         const Claimant& claimant) {
+  StoredObject bumped = holder;
+  bumped.collection = Collection::kServices;
+  bumped.name = observed.claim.service;
   if (holder.version == 0) {
-    moved.specification = kDeletionMarker;
-  }
-  moved.history.insert(moved.history.begin(), {moveOnId(claimant), claimant.author,
-                                               claimName(seen.key) + " goes to " + claimant.service,
-                                               clock_.unixNow(), holder.version});
-  moved.history.resize(std::min(moved.history.size(), kHistoryLength));
-  const auto answer = store_.put(moved);
+    bumped.specification = kDeletionMarker;
+  }
+  bumped.history.insert(
+      bumped.history.begin(),
+      {versionBumpId(claimant), claimant.author,
+       claimName(observed.key) + " goes to " + claimant.service, clock_.unixNow(), holder.version});
+  bumped.history.resize(std::min(bumped.history.size(), kHistoryLength));
+  const auto answer = store_.put(bumped);
   if (!isOk(answer)) {
     return ClaimFailure{errorOf(answer)};
   }
@@ -118,11 +124,11 @@
 }
 
 void ClaimKeeper::release(const ClaimKey& key, const std::string& service, uint64_t version) {
-  const auto seen = read(key);
-  if (!isOk(seen) || !valueOf(seen)) {
+  const auto observed = read(key);
+  if (!isOk(observed) || !valueOf(observed)) {
     return;
   }
-  const SeenClaim& found = *valueOf(seen);
+  const ObservedClaim& found = *valueOf(observed);
   if (found.claim.service != service || found.claim.base >= version) {
     return;
   }
@@ -147,16 +153,17 @@
   return Ok{};
 }
 
-Result<std::optional<ClaimKeeper::SeenClaim>, StoreError> ClaimKeeper::read(const ClaimKey& key) {
+Result<std::optional<ClaimKeeper::ObservedClaim>, StoreError> ClaimKeeper::read(
+    const ClaimKey& key) {
   const auto object = store_.get(Collection::kClaims, claimName(key));
   if (isOk(object)) {
     const StoredObject& stored = valueOf(object);
-    // A claim that can't be read names no service, so that the next claimant mends it.
-    return std::optional<SeenClaim>(
-        SeenClaim{key, stored.version, parseClaim(stored.specification).value_or(EndpointClaim{})});
+    // A claim that can't be parsed names no service, so that the next claimant overwrites it.
+    return std::optional<ObservedClaim>(ObservedClaim{
+        key, stored.version, parseClaim(stored.specification).value_or(EndpointClaim{})});
   }
   if (errorOf(object).code == StoreErrorCode::kNotFound) {
-    return std::optional<SeenClaim>{};
+    return std::optional<ObservedClaim>{};
   }
   return errorOf(object);
 }
--- a/source/common/admin/claim_keeper.h
+++ b/source/common/admin/claim_keeper.h
@@ -1,17 +1,17 @@
 /**
- * @file Takes and gives back claims of addresses and hosts (platform/endpoint_claim.h).
+ * @file Acquires and releases claims of addresses and hosts (platform/endpoint_claim.h).
  *
- * Rule: a change that brings a key into a service is sent only after the key's claim was seen or
- * written as this service's, with a base no lower than the version that the change is based on, at
- * a time when that version existed. So a claim can be taken from its service, or removed, once the
- * service does not hold the key and no change that would bring it in can still come:
+ * Rule: a change that adds a key to a service is sent only after the key's claim was read or
+ * written as this service's, with a base no lower than the version on which the change is based,
+ * while that version existed. A claim can therefore be taken from its service, or removed, once the
+ * service does not hold the key and no pending change can still add it:
  *
- * * the service has moved beyond the claim's base: whatever was sent under the claim fails; or
- * * the service is moved on: a rewrite of it as it is (or as deleted) makes everything that is
- * under way fail. That costs a living claimant its change, so it is done only where the claim did
- * not change for a while: its writer is most likely dead.
+ * * the service is at a version above the claim's base: all updates sent under the claim fail; or
+ * * the service's version is bumped: rewriting the object unchanged (or as deleted) makes all
+ * pending updates fail. A claimant that is still running loses its change, so this is done only
+ * if the claim has not changed for a timeout, when its writer has most likely failed.
  *
- * No clock is trusted for safety, and no claim blocks for ever.
+ * Safety depends on no clock, and no claim blocks forever.
  */
 #pragma once
 
@@ -33,72 +33,74 @@
   std::string service;
 };
 
-/** Another service's change to the key is under way, or its writer died: ask again. */
+/** Another service's change of the key is pending, or its writer failed; the caller retries. */
 struct ClaimPending {
   std::string service;
 };
 
-/** Why a claim was not taken. */
+/** Reason why a claim was not acquired. */
 using ClaimFailure = std::variant<ClaimHeld, ClaimPending, StoreError>;
 
-/** The service for which claims are taken, and the change. */
+/** The service that acquires claims, and its change. */
 struct Claimant {
   std::string service;
-  /** Version that the change is based on. */
+  /** Version on which the change is based. */
   uint64_t base = 0;
   std::string requestId;
   std::string author;
 };
 
-/** Lives as long as one change. Blocks. Not thread safe. */
+/** Manages the claims of one change. Blocking. Not thread safe. */
 class ClaimKeeper {
  public:
   /** All are borrowed. */
   ClaimKeeper(PlatformStore& store, CallClock& clock, RandomSource& random);
 
-  /** Takes the key's claim, or sees that the claimant has it. One call where nobody has it. */
+  /** Acquires the key's claim, unless the claimant has it. An unclaimed key costs one call. */
   Result<Ok, ClaimFailure> acquire(const ClaimKey& key, const Claimant& claimant);
 
   /**
-   * Removes the claim of a key that the service does not hold at this version, unless a change that
-   * may bring it in is under way. A failure is harmless: the next claimant takes the claim over.
+   * Removes the claim of a key that the service does not hold at this version, unless a pending
+   * change may add it. A failure is harmless: the next claimant takes the claim over.
    */
   void release(const ClaimKey& key, const std::string& service, uint64_t version);
 
  private:
-  /** A claim as it stands in the store. */
-  struct SeenClaim {
+  /** A claim as read from the store. */
+  struct ObservedClaim {
     ClaimKey key;
     uint64_t version = 0;
     EndpointClaim claim;
   };
-  /** Since when a claim has not changed, as far as this change saw. */
-  struct Watched {
+  /** How long a claim has been unchanged, as observed by this change. */
+  struct ClaimObservation {
     uint64_t version = 0;
     TimePoint since{};
-    Duration patience{};
+    Duration timeout{};
   };
 
   Result<Ok, ClaimFailure> write(const ClaimKey& key, uint64_t expectedVersion,
                                  const Claimant& claimant);
-  /** @return the claim; nothing where there is none. */
-  Result<std::optional<SeenClaim>, StoreError> read(const ClaimKey& key);
-  /** @return the service as the store has it; version 0 where it has none. */
+  /** @return the claim, or nothing if there is none. */
+  Result<std::optional<ObservedClaim>, StoreError> read(const ClaimKey& key);
+  /** @return the service in the store; version 0 if it does not exist. */
   Result<StoredObject, StoreError> readService(const std::string& name);
-  Result<Ok, ClaimFailure> takeOver(const SeenClaim& seen, const Claimant& claimant);
-  /** @return whether the claim was the same for so long that its writer counts as dead. */
-  bool hasBeenStill(const SeenClaim& seen);
-  /** Moves the service on as it is, so that no change under way can bring the key in. */
-  Result<Ok, ClaimFailure> moveOn(const StoredObject& holder, const SeenClaim& seen,
-                                  const Claimant& claimant);
+  Result<Ok, ClaimFailure> takeOver(const ObservedClaim& observed, const Claimant& claimant);
+  /** @return whether the claim has been unchanged for the timeout, so that its writer has failed.
+   */
+  bool isStale(const ObservedClaim& observed);
+  /** Rewrites the service unchanged, so that no pending change can add the key. */
+  Result<Ok, ClaimFailure> bumpServiceVersion(const StoredObject& holder,
+                                              const ObservedClaim& observed,
+                                              const Claimant& claimant);
 
   PlatformStore& store_;
   CallClock& clock_;
   RandomSource& random_;
-  std::map<ClaimKey, Watched> watched_;
+  std::map<ClaimKey, ClaimObservation> observations_;
 };
 
-/** @return what a stored service holds; nothing for a deleted one and for other objects. */
+/** @return the keys of a stored service; empty for a deleted service and for other objects. */
 std::vector<ClaimKey> claimKeysIn(const StoredObject& object);
 
 }  // namespace umberhold
--- a/source/common/admin/host_routes.cc
+++ b/source/common/admin/host_routes.cc
@@ -16,7 +16,7 @@
 
 using HostEdit = std::function<void(HostSpec&)>;
 
-/** What to do to one host. */
+/** A change of one host. */
 struct HostChange {
   std::string service;
   std::string host;
@@ -24,7 +24,7 @@
   HostEdit edit;
 };
 
-/** @return the seconds in the body; 0 where it gives none. */
+/** @return the deadline in the body, seconds; 0 if there is none. */
 Result<int64_t, AdminResponse> deadlineSecondsOf(const std::string& body) {
   if (body.empty()) {
     return int64_t{0};
@@ -37,14 +37,15 @@
       return int64_t{seconds};
     }
   } catch (const Poco::Exception&) {
-    // Answered below, like every other body that is not understood.
+    // Reported below, like every other invalid body.
   }
   return errorAnswer(ApiErrorCode::kBadRequest,
                      "the body must be {\"deadline_seconds\": 0 to 2592000}");
 }
 
-/** @return the service's specification after the edit, or nothing where it has no such host. */
-std::optional<std::string> edited(const StoredObject& object, const HostChange& change) {
+/** @return the service's specification after the edit, or nothing if it has no such host. */
+std::optional<std::string> editedSpecification(const StoredObject& object,
+                                               const HostChange& change) {
   auto service = parseService(object.name, object.specification);
   if (!isOk(service)) {
     return std::nullopt;
@@ -60,21 +61,22 @@
 }
 
 ChangeRequest requestOf(const HostChange& change, const AdminRequest& request) {
-  ChangeRequest asked;
-  asked.collection = Collection::kServices;
-  asked.name = change.service;
-  asked.requestId = requestIdOf(request);
-  asked.author = authorOf(request);
-  asked.summary = change.summary;
-  return asked;
+  ChangeRequest changeRequest;
+  changeRequest.collection = Collection::kServices;
+  changeRequest.name = change.service;
+  changeRequest.requestId = requestIdOf(request);
+  changeRequest.author = authorOf(request);
+  changeRequest.summary = change.summary;
+  return changeRequest;
 }
 
-/** Runs the change once over the service's current version. */
-ChangeOutcome changeOnce(ApiContext& context, ChangeRequest asked, const StoredObject& current,
-                         const std::string& specification, bool repeated) {
-  asked.expectedVersion = current.version;
-  asked.specification = specification;
-  return context.changes.submit(asked, repeated);
+/** Runs the change once, based on the service's current version. */
+ChangeOutcome changeOnce(ApiContext& context, ChangeRequest changeRequest,
+                         const StoredObject& current, const std::string& specification,
+                         bool repeated) {
+  changeRequest.expectedVersion = current.version;
+  changeRequest.specification = specification;
+  return context.changes.submit(changeRequest, repeated);
 }
 
 AdminResponse changeHost(ApiContext& context, const HostChange& change,
@@ -83,33 +85,33 @@
   if (!isOk(expected)) {
     return toResponse(errorOf(expected));
   }
-  const ChangeRequest asked = requestOf(change, request);
+  const ChangeRequest changeRequest = requestOf(change, request);
   const bool repeated = isSet(request, "repeated");
   ChangeOutcome outcome = ChangeConflict{};
   for (uint32_t rebase = 0; rebase < kMaxRebases; ++rebase) {
     const auto current = context.changes.read(Collection::kServices, change.service);
     if (!isOk(current)) {
-      return repeated ? toResponse(context.changes.resolve(asked), asked)
+      return repeated ? toResponse(context.changes.resolve(changeRequest), changeRequest)
                       : toResponse(errorOf(current));
     }
     const StoredObject& state = valueOf(current);
-    if (findEntry(state, asked.requestId)) {
-      return toResponse(context.changes.resolve(asked), asked);
+    if (findEntry(state, changeRequest.requestId)) {
+      return toResponse(context.changes.resolve(changeRequest), changeRequest);
     }
     if (valueOf(expected) && *valueOf(expected) != state.version) {
-      return toResponse(conflictWith(state), asked);
+      return toResponse(conflictWith(state), changeRequest);
     }
-    const std::optional<std::string> specification = edited(state, change);
+    const std::optional<std::string> specification = editedSpecification(state, change);
     if (!specification) {
       return errorAnswer(ApiErrorCode::kNotFound,
                          "service '" + change.service + "' has no host '" + change.host + "'");
     }
-    outcome = changeOnce(context, asked, state, *specification, repeated);
+    outcome = changeOnce(context, changeRequest, state, *specification, repeated);
     if (!std::holds_alternative<ChangeConflict>(outcome) || valueOf(expected)) {
       break;
     }
   }
-  return toResponse(outcome, asked);
+  return toResponse(outcome, changeRequest);
 }
 
 }  // namespace
--- a/source/common/admin/host_routes.h
+++ b/source/common/admin/host_routes.h
@@ -1,4 +1,4 @@
-/** @file Draining a host and taking it back: one host's state, changed in its service object. */
+/** @file Drains and undrains a host by changing its state in the service object. */
 #pragma once
 
 #include "common/admin/api_context.h"
@@ -6,9 +6,9 @@
 namespace umberhold {
 
 /**
- * Sets the host to draining. The body may give {"deadline_seconds": N}: after that the host's
- * remaining flows may be cut; without it they never are. Without If-Match the change is made to
- * whatever the service's current version is.
+ * Sets the host to draining. The body may contain {"deadline_seconds": N}: after that time the
+ * host's remaining flows may be cut; without it they never are. Without If-Match, the change is
+ * based on the service's current version.
  */
 AdminResponse drainHost(ApiContext& context, const std::string& service, const std::string& host,
                         const AdminRequest& request);
--- a/source/common/admin/http_handler.h
+++ b/source/common/admin/http_handler.h
@@ -1,8 +1,9 @@
 /**
- * @file The seam between a node's HTTP server and the admin API mounted in it.
+ * @file Interface between a node's HTTP server and the admin API mounted in it.
  *
  * server/http_server.h owns the sockets and hands every request that is not its own (/metrics,
- * /healthz, /readyz) to the AdminHandler. No HTTP library shows through.
+ * /healthz, /readyz) to the AdminHandler. The interface exposes no HTTP
+ * library.
  */
 #pragma once
 
@@ -22,7 +23,7 @@
   bool operator==(const QueryParameter&) const = default;
 };
 
-/** An HTTP request, as the admin API sees it. */
+/** An HTTP request to the admin API. */
 struct AdminRequest {
   /** "GET", "PUT", "POST", "DELETE". */
   std::string method;
@@ -30,13 +31,13 @@
   std::string path;
   /** In the order of the query string; a name may repeat. */
   std::vector<QueryParameter> query;
-  /** Value of the Authorization header; empty where there was none. */
+  /** Value of the Authorization header; empty if absent. */
   std::string authorization;
-  /** Value of the X-Request-Id header; empty where there was none. */
+  /** Value of the X-Request-Id header; empty if absent. */
   std::string requestId;
-  /** Value of the If-Match header; empty where there was none. */
+  /** Value of the If-Match header; empty if absent. */
   std::string ifMatch;
-  /** At most kAdminBodyLimit bytes; the server answers 413 beyond that. */
+  /** At most kAdminBodyLimit bytes; the server responds to larger bodies with 413. */
   std::string body;
 
   /** @return the first value of the query parameter, or nothing. */
@@ -50,24 +51,24 @@
   }
 };
 
-/** Largest body of a request, bytes. */
+/** Maximum size of a request body, bytes. */
 constexpr size_t kAdminBodyLimit = 4U << 20U;
 
-/** The answer to an AdminRequest. */
+/** The response to an AdminRequest. */
 struct AdminResponse {
   /** HTTP status. */
   int status = 200;
   std::string contentType = "application/json";
   std::string body;
-  /** Sent as Retry-After, where the client may come back. */
+  /** Value of the Retry-After header, if the client may retry. */
   std::optional<uint32_t> retryAfterSeconds;
 };
 
-/** Answers requests; called from several HTTP threads at once, so it must be thread safe. */
+/** Handles requests; called concurrently from several HTTP threads, so it must be thread safe. */
 class AdminHandler {
  public:
   virtual ~AdminHandler() = default;
-  /** @return the final answer; it is sent at once. */
+  /** @return the complete response, which is sent immediately. */
   virtual AdminResponse handle(const AdminRequest& request) = 0;
 };
 
--- a/source/common/admin/node_configuration.h
+++ b/source/common/admin/node_configuration.h
@@ -1,4 +1,4 @@
-/** @file The effective configuration on the node, as validation reads it. */
+/** @file Gives validation access to the effective configuration of the node. */
 #pragma once
 
 #include <set>
@@ -10,15 +10,14 @@
 namespace umberhold {
 
 /**
- * Reads services and policies page by page from the node; nothing is kept. Unreadable while the
- * node still takes the configuration over: a check against half of it would miss clashes.
+ * Reads services and policies page by page from the node, without caching. Unreadable until the
+ * node has synchronized the configuration: a check against a part of it would miss conflicts.
  */
 class NodeConfiguration : public KnownConfiguration {
  public:
   /**
    * @param node borrowed.
-   * @param assumedPolicies policies that count as known, because the same set of changes brings
-   * them.
+   * @param assumedPolicies policies regarded as known, because the same set of changes adds them.
    */
   NodeConfiguration(NodeStatus& node, std::set<std::string> assumedPolicies);
 
--- a/source/common/admin/object_checks.cc
+++ b/source/common/admin/object_checks.cc
@@ -17,7 +17,7 @@
       assumed.insert(parameter.value);
     }
   }
-  // A policy that was accepted a moment ago is in the store before it is effective here.
+  // A recently accepted policy is in the store before it becomes effective on this node.
   const bool stored =
       !service.policy.empty() && isOk(context.changes.read(Collection::kPolicies, service.policy));
   if (stored) {
--- a/source/common/admin/object_checks.h
+++ b/source/common/admin/object_checks.h
@@ -1,4 +1,4 @@
-/** @file Reads proposed objects and checks changes of them; nothing here changes anything. */
+/** @file Parses and validates proposed objects, without side effects. */
 #pragma once
 
 #include <optional>
@@ -10,14 +10,14 @@
 
 namespace umberhold {
 
-/** A proposed object: its specification in normal form, and the service where it is one. */
+/** A proposed object: its specification in canonical form, and the parsed service or policy. */
 struct Proposal {
   std::string specification;
   std::optional<Service> service;
   std::optional<Policy> policy;
 };
 
-/** @return the proposal, or the answer that says what is wrong with the text. */
+/** @return the proposal, or the error response for an invalid text. */
 Result<Proposal, AdminResponse> parseProposal(const ApiKind& kind, const std::string& name,
                                               const std::string& text);
 
@@ -25,7 +25,7 @@
 ValidationResult validate(ApiContext& context, const Proposal& proposal,
                           const std::optional<StoredObject>& current, const AdminRequest& request);
 
-/** Checks whether an object may go. */
+/** Checks whether an object may be deleted. */
 ValidationResult validateDeletion(ApiContext& context, const ApiKind& kind,
                                   const StoredObject& current, const AdminRequest& request);
 
--- a/source/common/admin/object_routes.cc
+++ b/source/common/admin/object_routes.cc
@@ -50,7 +50,7 @@
   return jsonAnswer(toText(answer));
 }
 
-/** Digest in the summary, so that a request id that comes back with another change is noticed. */
+/** The summary contains a digest, so that a request id reused for another change is detected. */
 std::string summaryOf(const std::string& verb, const std::string& specification) {
   std::ostringstream summary;
   summary << verb << " [" << std::hex << hashBytes(specification) << "]";
@@ -73,7 +73,7 @@
                      "If-Match must give the version that the change is based on; 0 creates");
 }
 
-/** @return the live object, nothing where there is none, or the error. */
+/** @return the current object, nothing if it does not exist or is deleted, or the error. */
 Result<std::optional<StoredObject>, AdminResponse> readCurrent(ApiContext& context,
                                                                const ApiKind& kind,
                                                                const std::string& name) {
@@ -89,7 +89,7 @@
 
 using Check = std::function<ValidationResult(const std::optional<StoredObject>&)>;
 
-/** @return the refusal of the check, or nothing. */
+/** @return the error response of a failed check, or nothing. */
 std::optional<AdminResponse> refusalOf(const ValidationResult& checked) {
   if (!isOk(checked)) {
     return unreadableAnswer(errorOf(checked));
@@ -112,7 +112,7 @@
   return changesAnswer(kind, name, valueOf(current), proposal.specification);
 }
 
-/** Reads, checks and, where all is well, nothing: the change may be submitted. */
+/** Checks the change against the current object. @return nothing if it may be submitted. */
 std::optional<AdminResponse> precheck(ApiContext& context, const ChangeRequest& change,
                                       const Check& check) {
   const ApiKind kind = change.collection == Collection::kServices ? kServiceKind : kPolicyKind;
@@ -128,8 +128,8 @@
 }
 
 /**
- * Runs a change after its checks. A repeat must not be judged by what its first run has already
- * changed, nor get an answer that nothing was run where the first run may have been.
+ * Checks and runs a change. A retry must not be rejected because of what its first run already
+ * changed, nor be reported as not run if the first run may have been applied.
  */
 AdminResponse runChange(ApiContext& context, const ChangeRequest& change,
                         const AdminRequest& request, const Check& check) {
@@ -170,7 +170,7 @@
   return jsonAnswer(toText(answer));
 }
 
-/** @return the specification behind a record's payload; empty where it can't be decoded. */
+/** @return the specification in a record's payload; empty if it can't be decoded. */
 std::string specificationOf(const ConfigRecord& record) {
   if (record.key.kind == ObjectKind::kService) {
     const auto service = decodeService(record.payload);
--- a/source/common/admin/request_routes.cc
+++ b/source/common/admin/request_routes.cc
@@ -15,9 +15,9 @@
 using Poco::JSON::Object;
 
 constexpr uint64_t kDefaultLimit = 50;
-constexpr uint64_t kHighestLimit = 500;
+constexpr uint64_t kMaxLimit = 500;
 
-/** The object that a query names, if any. */
+/** The object named in a query. */
 struct NamedObject {
   ApiKind kind;
   std::string name;
@@ -41,7 +41,7 @@
   Collection collection = Collection::kServices;
   std::string name;
   uint64_t objectVersion = 0;
-  bool deletedNow = false;
+  bool objectDeleted = false;
   ChangeEntry entry;
 };
 
@@ -86,7 +86,7 @@
   object->set("kind", kindLabel(change.collection));
   object->set("name", change.name);
   object->set("object_version", static_cast<Poco::UInt64>(change.objectVersion));
-  object->set("object_deleted", change.deletedNow);
+  object->set("object_deleted", change.objectDeleted);
   return object;
 }
 
@@ -121,7 +121,7 @@
 AdminResponse getHistory(ApiContext& context, const AdminRequest& request) {
   const auto text = request.findQuery("limit");
   const auto limit = text ? parseNumber(*text) : kDefaultLimit;
-  if (!limit || *limit == 0 || *limit > kHighestLimit) {
+  if (!limit || *limit == 0 || *limit > kMaxLimit) {
     return errorAnswer(ApiErrorCode::kBadRequest, "limit must be 1 to 500");
   }
   auto read = readChanges(context, namedObjectIn(request));
--- a/source/common/admin/specification_diff.cc
+++ b/source/common/admin/specification_diff.cc
@@ -75,11 +75,11 @@
   std::vector<FieldChange> changes;
   try {
     const Leaves old = leavesOf(before);
-    const Leaves fresh = leavesOf(after);
+    const Leaves updated = leavesOf(after);
     Leaves all = old;
-    all.insert(fresh.begin(), fresh.end());
+    all.insert(updated.begin(), updated.end());
     for (const auto& [path, unused] : all) {
-      FieldChange change{path, find(old, path), find(fresh, path)};
+      FieldChange change{path, find(old, path), find(updated, path)};
       if (change.before != change.after) {
         changes.push_back(std::move(change));
       }
--- a/source/common/admin/specification_diff.h
+++ b/source/common/admin/specification_diff.h
@@ -1,4 +1,4 @@
-/** @file What a change would change, field by field. */
+/** @file Field-by-field difference of two specifications. */
 #pragma once
 
 #include <optional>
@@ -7,7 +7,7 @@
 
 namespace umberhold {
 
-/** One field that differs; JSON texts, nothing where the field is absent on that side. */
+/** One differing field; the values are JSON texts, or nothing if the field is absent. */
 struct FieldChange {
   /** Such as "policy" or "hosts[dispatch-3].weight". */
   std::string field;
@@ -18,8 +18,8 @@
 };
 
 /**
- * Compares two specifications; array elements that have a "name" are matched by it.
- * @param before and @param after JSON objects; an empty text counts as an empty object.
+ * Compares two specifications; array elements with a "name" are matched by name.
+ * @param before and @param after JSON objects; an empty text is an empty object.
  * @return the changes in the order of the field names.
  */
 std::vector<FieldChange> diffSpecifications(const std::string& before, const std::string& after);
--- a/source/common/admin/status_routes.h
+++ b/source/common/admin/status_routes.h
@@ -1,4 +1,4 @@
-/** @file What the node knows: its status, members, coverage of a version, where a flow goes. */
+/** @file Node status, cluster members, coverage of a version, and placement of a flow. */
 #pragma once
 
 #include "common/admin/api_context.h"
--- a/source/common/admin/validation.cc
+++ b/source/common/admin/validation.cc
@@ -65,12 +65,12 @@
   }
 }
 
-void checkRange(ErrorList& errors, const std::string& field, uint64_t value, uint64_t lowest,
-                uint64_t highest) {
-  if (value < lowest || value > highest) {
+void checkRange(ErrorList& errors, const std::string& field, uint64_t value, uint64_t minimum,
+                uint64_t maximum) {
+  if (value < minimum || value > maximum) {
     errors.add(ValidationCode::kOutOfRange, field,
-               std::to_string(value) + " is not " + std::to_string(lowest) + " to " +
-                   std::to_string(highest));
+               std::to_string(value) + " is not " + std::to_string(minimum) + " to " +
+                   std::to_string(maximum));
   }
 }
 
@@ -90,7 +90,7 @@
   checkRange(errors, hostField(index, "weight"), host.weight, 0, kMaxHostWeight);
 }
 
-/** Names, their hashes and endpoints must differ within the service. */
+/** Checks that names, their hashes and endpoints are unique within the service. */
 void checkHostsDiffer(ErrorList& errors, const std::string& owner,
                       const std::vector<HostSpec>& hosts) {
   std::unordered_map<HostId, std::string> names;
@@ -142,10 +142,10 @@
   }
 }
 
-/** Compares a proposed service with the others, one by one. */
-class OtherServices {
+/** Checks a proposed service for conflicts with other services. */
+class ServiceConflictChecker {
  public:
-  OtherServices(const Service& proposed, ErrorList& errors)
+  ServiceConflictChecker(const Service& proposed, ErrorList& errors)
       : proposed_(proposed), id_(serviceIdOf(proposed.name)), errors_(errors) {
     for (size_t index = 0; index < proposed.hosts.size(); ++index) {
       hostIndex_.emplace(proposed.hosts[index].endpoint, index);
@@ -191,7 +191,7 @@
   });
 }
 
-void checkHostGoes(ErrorList& errors, const HostSpec& host, const ValidationOptions& options) {
+void checkHostRemoval(ErrorList& errors, const HostSpec& host, const ValidationOptions& options) {
   if (!isDrained(host, options.now)) {
     errors.add(ValidationCode::kHostNotDrained, "hosts",
                "host '" + host.name +
@@ -206,9 +206,9 @@
   }
 }
 
-/** What a change must leave alone so that established flows survive it. */
-void checkKeepsFlows(ErrorList& errors, const Service& proposed, const Service& current,
-                     const ValidationOptions& options) {
+/** Checks that the change leaves everything unchanged on which established flows depend. */
+void checkFlowsPreserved(ErrorList& errors, const Service& proposed, const Service& current,
+                         const ValidationOptions& options) {
   checkUnchanged(errors, "region", proposed.region == current.region);
   checkUnchanged(errors, "address", proposed.address == current.address);
   checkUnchanged(errors, "port", proposed.port == current.port);
@@ -216,7 +216,7 @@
   checkUnchanged(errors, "shards", proposed.shardCount == current.shardCount);
   for (const HostSpec& host : current.hosts) {
     if (!hasHost(proposed, host)) {
-      checkHostGoes(errors, host, options);
+      checkHostRemoval(errors, host, options);
     }
   }
 }
@@ -286,7 +286,7 @@
                                  const ValidationOptions& options) {
   ErrorList errors = errorsOfService(proposed.name);
   errors.addAll(validateServiceAlone(proposed));
-  OtherServices others(proposed, errors);
+  ServiceConflictChecker others(proposed, errors);
   const auto visited =
       known.forEachService([&](const Service& other) { others.compareWith(other); });
   if (!isOk(visited)) {
@@ -302,7 +302,7 @@
     }
   }
   if (current != nullptr && !options.mayCutFlows) {
-    checkKeepsFlows(errors, proposed, *current, options);
+    checkFlowsPreserved(errors, proposed, *current, options);
   }
   return errors.take();
 }
@@ -311,7 +311,7 @@
   ErrorList errors = errorsOfService(current.name);
   if (!options.mayCutFlows) {
     for (const HostSpec& host : current.hosts) {
-      checkHostGoes(errors, host, options);
+      checkHostRemoval(errors, host, options);
     }
   }
   return errors.take();
--- a/source/common/admin/validation.h
+++ b/source/common/admin/validation.h
@@ -1,8 +1,8 @@
 /**
- * @file Checks a proposed change of the configuration against everything that is known.
+ * @file Validates a proposed configuration change against the known configuration.
  *
- * The known configuration is what is effective on the node that checks; two changes that were
- * accepted within the same seconds on different nodes are not seen by each other's check.
+ * The known configuration is the effective one on the validating node: changes that different
+ * nodes accept within a few seconds are not validated against each other.
  */
 #pragma once
 
@@ -20,19 +20,19 @@
 
 namespace umberhold {
 
-/** What is wrong with a proposed change. */
+/** Kinds of validation errors. */
 enum class ValidationCode : uint8_t {
-  /** Not 1 to 63 characters of a-z, 0-9, '-' and '.', or beginning or ending with '-' or '.'. */
+  /** Not 1 to 63 characters of a-z, 0-9, '-' and '.', or starts or ends with '-' or '.'. */
   kInvalidName,
-  /** Another name has the same hash; choose another one. */
+  /** Another name has the same hash; a different name is required. */
   kNameHashCollision,
   /** The address is 0.0.0.0, broadcast or multicast, or the port is 0. */
   kInvalidEndpoint,
   /** Another service has the same address, port and protocol. */
   kAddressInUse,
-  /** Two hosts of the service have one name. */
+  /** Two hosts of the service have the same name. */
   kDuplicateHostName,
-  /** Two hosts of the service have one endpoint. */
+  /** Two hosts of the service have the same endpoint. */
   kDuplicateHostEndpoint,
   /** A host of another service has the same endpoint: packets could reach the wrong service. */
   kHostEndpointInUse,
@@ -41,40 +41,40 @@
   kOutOfRange,
   kUnknownPolicy,
   kPolicyTooLong,
-  /** The policy's source does not compile, or fails on sample values. */
+  /** The policy's source does not compile, or fails on sample inputs. */
   kPolicyInvalid,
-  /** A service still names the policy that is to be deleted. */
+  /** A service still refers to the policy to be deleted. */
   kPolicyInUse,
-  /** A host that is not drained would go, and its established flows with it. */
+  /** The change would remove a host that is not drained, and cut its established flows. */
   kHostNotDrained,
   /** A change of this field would cut established flows. */
   kImmutableField,
-  /** A service has hosts of its own beside groups, or two groups of one pool. */
+  /** A service has both hosts and groups, or two groups with the same pool. */
   kInvalidGroups,
 };
 
 /** @return the snake_case label of a code. */
 std::string_view toString(ValidationCode code);
 
-/** One thing that is wrong. */
+/** One validation error. */
 struct ValidationError {
   ValidationCode code = ValidationCode::kInvalidName;
-  /** The object that was proposed. */
+  /** The proposed object. */
   RecordKey object;
-  /** Where in its specification, such as "hosts[2].endpoint"; empty for the whole. */
+  /** Path in its specification, such as "hosts[2].endpoint"; empty for the whole object. */
   std::string field;
-  /** For people. */
+  /** Human-readable description. */
   std::string detail;
 };
 
 using ValidationErrors = std::vector<ValidationError>;
 
-/** The known configuration could not be read as a whole: nothing was decided. */
+/** The known configuration could not be read completely, so there is no validation result. */
 struct ConfigurationUnreadable {
   std::string detail;
 };
 
-/** Everything wrong with a change (empty: nothing), or why that can't be known. */
+/** All errors of a change (empty if it is valid), or the reason why validation failed. */
 using ValidationResult = Result<ValidationErrors, ConfigurationUnreadable>;
 
 /** Read access to the whole known configuration. */
@@ -98,18 +98,18 @@
 constexpr uint32_t kMaxConnectionLimit = 1'000'000;
 constexpr uint32_t kMaxHostWeight = 1000;
 
-/** How strictly a change is checked. */
+/** Options of the validation. */
 struct ValidationOptions {
   UnixSeconds now = 0;
-  /** The operator accepts that established flows are cut. */
+  /** Whether the change may cut established flows. */
   bool mayCutFlows = false;
 };
 
-/** Checks the service for itself, without the rest of the configuration. */
+/** Validates the service without the rest of the configuration. */
 ValidationErrors validateServiceAlone(const Service& proposed);
-/** Checks a pool's name and hosts, without the rest of the configuration. */
+/** Validates a pool's name and hosts, without the rest of the configuration. */
 ValidationErrors validateHostPool(const HostPool& proposed);
-/** @param current the service as it is now; nullptr for a new one. */
+/** @param current the current state of the service; nullptr for a new one. */
 ValidationResult validateService(const Service& proposed, const Service* current,
                                  const KnownConfiguration& known, const ValidationOptions& options);
 ValidationErrors validateServiceDeletion(const Service& current, const ValidationOptions& options);
--- a/source/common/ctl/admin_client.cc
+++ b/source/common/ctl/admin_client.cc
@@ -13,20 +13,20 @@
 constexpr int kServerErrorStatus = 500;
 constexpr BackOffOptions kBackOff{std::chrono::milliseconds(200), std::chrono::seconds(3)};
 
-/** The tries of one request. */
-class Tries {
+/** State of the attempts of one request. */
+class Attempts {
  public:
-  Tries(AdminRequest request, bool changes) : request_(std::move(request)), changes_(changes) {}
+  Attempts(AdminRequest request, bool changes) : request_(std::move(request)), changes_(changes) {}
 
   const AdminRequest& request() const { return request_; }
 
-  /** @return the definite answer of a try, or nothing where another try may help. */
-  std::optional<ClientResult> judge(const Result<AdminResponse, TransportError>& answer) {
+  /** @return the definite result of an attempt, or nothing if a retry may help. */
+  std::optional<ClientResult> classify(const Result<AdminResponse, TransportError>& answer) {
     if (!isOk(answer)) {
       detail_ = errorOf(answer).detail;
       retryAfter_.reset();
       if (errorOf(answer).code == TransportErrorCode::kAnswerLost) {
-        noteMayBeRun();
+        recordPossibleExecution();
       }
       return std::nullopt;
     }
@@ -35,39 +35,39 @@
       return response;
     }
     if (response.status >= kServerErrorStatus && response.status != kUnavailableStatus) {
-      noteMayBeRun();
+      recordPossibleExecution();
     }
     detail_ = response.body;
     retryAfter_ = std::chrono::seconds(response.retryAfterSeconds.value_or(0));
     return std::nullopt;
   }
 
-  ClientResult givenUp() const {
-    if (mayBeRun_) {
+  ClientResult resultAtTimeout() const {
+    if (mayBeExecuted_) {
       return AnswerLost{request_.requestId, detail_};
     }
-    return NoServer{detail_};
+    return ServersUnavailable{detail_};
   }
 
   std::optional<Duration> retryAfter() const { return retryAfter_; }
 
  private:
-  /** A server with another token knows nothing of the change that an earlier one may have run. */
+  /** A 401 response from a later server doesn't show whether an earlier attempt was executed. */
   bool isDefinite(int status) const {
-    const bool refusedAtTheDoor = status == kUnauthorizedStatus && mayBeRun_;
-    return status < kServerErrorStatus && !refusedAtTheDoor;
+    const bool unauthorizedRetry = status == kUnauthorizedStatus && mayBeExecuted_;
+    return status < kServerErrorStatus && !unauthorizedRetry;
   }
 
-  void noteMayBeRun() {
-    if (changes_ && !mayBeRun_) {
-      mayBeRun_ = true;
+  void recordPossibleExecution() {
+    if (changes_ && !mayBeExecuted_) {
+      mayBeExecuted_ = true;
       request_.query.push_back({"repeated", "true"});
     }
   }
 
   AdminRequest request_;
   const bool changes_;
-  bool mayBeRun_ = false;
+  bool mayBeExecuted_ = false;
   std::optional<Duration> retryAfter_;
   std::string detail_ = "no server given";
 };
@@ -99,25 +99,25 @@
 
 ClientResult AdminClient::send(AdminRequest request, bool changes) {
   request.authorization = "Bearer " + token_;
-  Tries tries(std::move(request), changes);
+  Attempts attempts(std::move(request), changes);
   BackOff backOff(kBackOff, random_);
   const TimePoint deadline = clock_.now() + limits_.deadline;
   while (!servers_.empty()) {
-    for (size_t tried = 0; tried < servers_.size(); ++tried) {
-      const size_t server = (next_ + tried) % servers_.size();
-      const auto answer = transport_.send(servers_[server], tries.request());
-      if (auto definite = tries.judge(answer)) {
-        next_ = server;
+    for (size_t offset = 0; offset < servers_.size(); ++offset) {
+      const size_t server = (preferredServer_ + offset) % servers_.size();
+      const auto answer = transport_.send(servers_[server], attempts.request());
+      if (auto definite = attempts.classify(answer)) {
+        preferredServer_ = server;
         return std::move(*definite);
       }
     }
-    const Duration wait = backOff.next(tries.retryAfter());
+    const Duration wait = backOff.next(attempts.retryAfter());
     if (clock_.now() + wait >= deadline) {
       break;
     }
     clock_.sleepFor(wait);
   }
-  return tries.givenUp();
+  return attempts.resultAtTimeout();
 }
 
 }  // namespace umberhold
--- a/source/common/ctl/admin_client.h
+++ b/source/common/ctl/admin_client.h
@@ -1,9 +1,9 @@
 /**
- * @file The admin API behind several servers: tries the next one when a server can't answer.
+ * @file Client of the admin API of several servers, with failover to the next server.
  *
- * A change keeps its request id over all tries, and once a try may have been run, later ones say so
- * (query parameter "repeated"). From then on only a definite answer ends the change: a refusal of a
- * later try as "unavailable" is no proof that the first one was not run.
+ * A change keeps its request id over all attempts. Once an attempt may have been executed, later
+ * attempts carry the query parameter "repeated". From then on only a definite response ends the
+ * change: "unavailable" in response to a later attempt does not prove that the first one failed.
  */
 #pragma once
 
@@ -20,40 +20,40 @@
 
 namespace umberhold {
 
-/** No server could answer; nothing was run. */
-struct NoServer {
+/** No server responded; nothing was executed. */
+struct ServersUnavailable {
   std::string detail;
 };
 
-/** The change may be in or not. */
+/** The response was lost: the change may or may not be applied. */
 struct AnswerLost {
   std::string requestId;
   std::string detail;
 };
 
-/** An answer of a server, or why there is none. */
-using ClientResult = std::variant<AdminResponse, NoServer, AnswerLost>;
+/** The response of a server, or the reason why there is none. */
+using ClientResult = std::variant<AdminResponse, ServersUnavailable, AnswerLost>;
 
-/** How long the client tries. */
+/** Limits on the attempts of the client. */
 struct ClientLimits {
   Duration deadline = std::chrono::seconds(30);
 };
 
-/** Not thread safe. */
+/** Sends requests with retries and failover. Not thread safe. */
 class AdminClient {
  public:
-  /** All but the values are borrowed. @param servers tried in this order, from the first. */
+  /** All references are borrowed. @param servers in the order of the attempts. */
   AdminClient(std::vector<Endpoint> servers, std::string token, AdminTransport& transport,
               CallClock& clock, RandomSource& random, ClientLimits limits = {});
 
-  /** Reads; tries every server until one answers. */
+  /** Sends a read request to the servers in turn until one responds. */
   ClientResult read(AdminRequest request);
-  /** Changes; request.requestId must be set. */
+  /** Sends a change; request.requestId must be set. */
   ClientResult change(AdminRequest request);
-  /** Reads from one server in a single try. @param server below serverCount(). */
+  /** Reads from one server in a single attempt. @param server index below serverCount(). */
   Result<AdminResponse, TransportError> readAt(size_t server, AdminRequest request);
   size_t serverCount() const { return servers_.size(); }
-  /** @return how long the client tries. */
+  /** @return the maximum duration of all attempts of a request. */
   Duration deadline() const { return limits_.deadline; }
 
  private:
@@ -65,8 +65,8 @@
   CallClock& clock_;
   RandomSource& random_;
   const ClientLimits limits_;
-  /** Server that answered last. */
-  size_t next_ = 0;
+  /** Index of the server that responded last; the first one to try. */
+  size_t preferredServer_ = 0;
 };
 
 }  // namespace umberhold
--- a/source/common/ctl/admin_transport.h
+++ b/source/common/ctl/admin_transport.h
@@ -1,4 +1,4 @@
-/** @file How umberholdctl reaches the admin API of one node. */
+/** @file Transport between umberholdctl and one node's admin API. */
 #pragma once
 
 #include <cstdint>
@@ -11,21 +11,21 @@
 
 namespace umberhold {
 
-/** Why a request has no answer. */
+/** Reason why a request has no response. */
 enum class TransportErrorCode : uint8_t {
-  /** Nothing was sent. */
+  /** The request was not sent. */
   kNotSent,
-  /** Sent, but no whole answer came: the request may have been run. */
+  /** The request was sent, but no complete response arrived: it may have been executed. */
   kAnswerLost,
 };
 
-/** A request without an answer. */
+/** A request without a response. */
 struct TransportError {
   TransportErrorCode code = TransportErrorCode::kNotSent;
   std::string detail;
 };
 
-/** Sends one request to one node, once. */
+/** Sends a single request to a node, without retries. */
 class AdminTransport {
  public:
   virtual ~AdminTransport() = default;
@@ -33,10 +33,10 @@
                                                      const AdminRequest& request) = 0;
 };
 
-/** Time for a node to answer; longer than its own deadline for a change (ChangeLimits). */
+/** Response timeout; longer than a node's own deadline for a change (ChangeLimits). */
 constexpr Duration kAnswerTimeout = std::chrono::seconds(15);
 
-/** Over HTTP, with a connection for each request. */
+/** HTTP transport with a new connection for each request. */
 class HttpAdminTransport : public AdminTransport {
  public:
   Result<AdminResponse, TransportError> send(const Endpoint& server,
--- a/source/common/ctl/change_commands.cc
+++ b/source/common/ctl/change_commands.cc
@@ -12,7 +12,7 @@
 namespace umberhold {
 namespace {
 
-constexpr Duration kCoveragePoll = std::chrono::milliseconds(500);
+constexpr Duration kCoveragePollInterval = std::chrono::milliseconds(500);
 
 std::string pathOf(const ApiKind& kind, const std::string& name) {
   return std::string("/v1/") + kind.plural + "/" + name;
@@ -44,40 +44,42 @@
   request.path = "/v1/coverage";
   request.query = {{"version", std::to_string(version)}};
   const ClientResult result = context.client.read(std::move(request));
-  const AdminResponse* answer = goodAnswer(result);
+  const AdminResponse* answer = successfulResponse(result);
   return answer == nullptr ? std::nullopt : parseCoverage(answer->body);
 }
 
 /** Polls until the version is effective on every node. */
-ExitStatus waitInForce(const CommandContext& context, uint64_t version, uint32_t waitSeconds) {
+ExitStatus waitUntilEffective(const CommandContext& context, uint64_t version,
+                              uint32_t waitSeconds) {
   const TimePoint deadline = context.clock.now() + std::chrono::seconds(waitSeconds);
   std::optional<CoverageAnswer> last;
   while (true) {
     const auto coverage = readCoverage(context, version);
     last = coverage ? coverage : last;
     const bool complete = coverage && coverage->complete;
-    if (complete || context.clock.now() + kCoveragePoll >= deadline) {
+    if (complete || context.clock.now() + kCoveragePollInterval >= deadline) {
       std::ostream& out = complete ? context.out : context.errors;
       out << "version " << version << " applied on "
-          << (last ? std::to_string(last->inForce) + " of " + std::to_string(last->nodes)
+          << (last ? std::to_string(last->nodesAtVersion) + " of " + std::to_string(last->nodes)
                    : std::string("an unknown number of nodes"))
           << '\n';
       return complete ? ExitStatus::kOk : ExitStatus::kWaitTimedOut;
     }
-    context.clock.sleepFor(kCoveragePoll);
+    context.clock.sleepFor(kCoveragePollInterval);
   }
 }
 
-/** What a change came to: the version where it is in. */
-struct Changed {
+/** Result of a change; the version is set if the change is applied. */
+struct ChangeResult {
   ExitStatus status = ExitStatus::kOk;
   uint64_t version = 0;
 };
 
-Changed sendChange(const CommandContext& context, const std::string& what, AdminRequest request) {
+ChangeResult sendChange(const CommandContext& context, const std::string& what,
+                        AdminRequest request) {
   const std::string requestId = request.requestId;
   const ClientResult result = context.client.change(std::move(request));
-  const AdminResponse* answer = goodAnswer(result);
+  const AdminResponse* answer = successfulResponse(result);
   if (answer == nullptr) {
     return {reportFailure(context, result), 0};
   }
@@ -90,22 +92,22 @@
 }
 
 /** Applies the documents of one command, in order, up to the first failure. */
-class Application {
+class ApplyRun {
  public:
-  Application(const CommandContext& context, const ApplyCommand& command,
-              const std::vector<Document>& documents)
+  ApplyRun(const CommandContext& context, const ApplyCommand& command,
+           const std::vector<Document>& documents)
       : context_(context), command_(command), documents_(documents) {}
 
   ExitStatus run() {
     for (size_t index = 0; index < documents_.size(); ++index) {
       const ExitStatus status = applyOne(documents_[index]);
       if (status != ExitStatus::kOk) {
-        reportRest(index);
+        reportNotTried(index);
         return status;
       }
     }
     if (command_.wait && !command_.dryRun && newestVersion_ != 0) {
-      return waitInForce(context_, newestVersion_, command_.waitSeconds);
+      return waitUntilEffective(context_, newestVersion_, command_.waitSeconds);
     }
     return ExitStatus::kOk;
   }
@@ -129,32 +131,32 @@
   }
 
   ExitStatus applyOne(const Document& document) {
-    const ClientResult result = tryDry(document);
-    const AdminResponse* answer = goodAnswer(result);
+    const ClientResult result = sendDryRun(document);
+    const AdminResponse* answer = successfulResponse(result);
     if (answer == nullptr) {
       return reportFailure(context_, result);
     }
-    const auto dry = parseDryRun(answer->body);
-    if (!dry) {
+    const auto dryRunAnswer = parseDryRun(answer->body);
+    if (!dryRunAnswer) {
       context_.errors << "error: the answer of the dry run can't be read\n";
       return ExitStatus::kUnavailable;
     }
-    reportChanges(document, *dry);
+    reportChanges(document, *dryRunAnswer);
     if (command_.dryRun) {
       return ExitStatus::kOk;
     }
-    if (dry->changes.empty() && dry->currentVersion != 0) {
-      newestVersion_ = std::max(newestVersion_, dry->currentVersion);
+    if (dryRunAnswer->changes.empty() && dryRunAnswer->currentVersion != 0) {
+      newestVersion_ = std::max(newestVersion_, dryRunAnswer->currentVersion);
       return ExitStatus::kOk;
     }
     AdminRequest request = requestOf(document);
-    request.ifMatch = std::to_string(baseVersion(document, *dry));
-    const Changed changed = sendChange(context_, labelOf(document), std::move(request));
+    request.ifMatch = std::to_string(baseVersion(document, *dryRunAnswer));
+    const ChangeResult changed = sendChange(context_, labelOf(document), std::move(request));
     newestVersion_ = std::max(newestVersion_, changed.version);
     return changed.status;
   }
 
-  ClientResult tryDry(const Document& document) const {
+  ClientResult sendDryRun(const Document& document) const {
     AdminRequest request = requestOf(document);
     request.query.push_back({"dry_run", "true"});
     for (const Document& other : documents_) {
@@ -165,32 +167,34 @@
     return context_.client.read(std::move(request));
   }
 
-  /** Without a version the change may only create: nothing is overwritten unseen. */
-  uint64_t baseVersion(const Document& document, const DryRunAnswer& dry) const {
+  /** Without a version the change may only create an object, so it never overwrites unread state.
+   */
+  uint64_t baseVersion(const Document& document, const DryRunAnswer& dryRunAnswer) const {
     if (command_.ifVersion) {
       return *command_.ifVersion;
     }
-    return command_.overwrite ? dry.currentVersion : document.version.value_or(0);
+    return command_.overwrite ? dryRunAnswer.currentVersion : document.version.value_or(0);
   }
 
-  void reportChanges(const Document& document, const DryRunAnswer& dry) const {
+  void reportChanges(const Document& document, const DryRunAnswer& dryRunAnswer) const {
     if (context_.output == OutputFormat::kJson) {
       return;
     }
-    const bool unchanged = dry.changes.empty() && dry.currentVersion != 0;
+    const bool unchanged = dryRunAnswer.changes.empty() && dryRunAnswer.currentVersion != 0;
     if (unchanged) {
-      context_.out << labelOf(document) << ": unchanged at version " << dry.currentVersion << '\n';
+      context_.out << labelOf(document) << ": unchanged at version " << dryRunAnswer.currentVersion
+                   << '\n';
     } else if (command_.diff || command_.dryRun) {
       context_.out << labelOf(document) << ": "
-                   << (dry.currentVersion == 0
+                   << (dryRunAnswer.currentVersion == 0
                            ? std::string("new")
-                           : "changes to version " + std::to_string(dry.currentVersion))
+                           : "changes to version " + std::to_string(dryRunAnswer.currentVersion))
                    << '\n';
-      printChanges(context_.out, dry.changes);
+      printChanges(context_.out, dryRunAnswer.changes);
     }
   }
 
-  void reportRest(size_t failed) const {
+  void reportNotTried(size_t failed) const {
     for (size_t index = failed + 1; index < documents_.size(); ++index) {
       context_.errors << labelOf(documents_[index]) << ": not tried\n";
     }
@@ -230,7 +234,7 @@
     context.errors << "error: --if-version needs exactly one object\n";
     return ExitStatus::kUsage;
   }
-  return Application(context, command, valueOf(documents)).run();
+  return ApplyRun(context, command, valueOf(documents)).run();
 }
 
 ExitStatus runDelete(const CommandContext& context, const DeleteCommand& command) {
@@ -241,7 +245,7 @@
     read.method = "GET";
     read.path = path;
     const ClientResult result = context.client.read(std::move(read));
-    const AdminResponse* answer = goodAnswer(result);
+    const AdminResponse* answer = successfulResponse(result);
     if (answer == nullptr) {
       return reportFailure(context, result);
     }
@@ -252,10 +256,11 @@
   if (command.force) {
     request.query.push_back({"force", "true"});
   }
-  const Changed changed = sendChange(
+  const ChangeResult changed = sendChange(
       context, std::string(command.kind.singular) + "/" + command.name, std::move(request));
-  const bool waits = changed.status == ExitStatus::kOk && command.wait;
-  return waits ? waitInForce(context, changed.version, command.waitSeconds) : changed.status;
+  const bool shouldWait = changed.status == ExitStatus::kOk && command.wait;
+  return shouldWait ? waitUntilEffective(context, changed.version, command.waitSeconds)
+                    : changed.status;
 }
 
 ExitStatus runDrain(const CommandContext& context, const DrainCommand& command) {
@@ -269,10 +274,11 @@
   if (command.ifVersion) {
     request.ifMatch = std::to_string(*command.ifVersion);
   }
-  const Changed changed =
+  const ChangeResult changed =
       sendChange(context, command.service + "/" + command.host, std::move(request));
-  const bool waits = changed.status == ExitStatus::kOk && command.wait;
-  return waits ? waitInForce(context, changed.version, command.waitSeconds) : changed.status;
+  const bool shouldWait = changed.status == ExitStatus::kOk && command.wait;
+  return shouldWait ? waitUntilEffective(context, changed.version, command.waitSeconds)
+                    : changed.status;
 }
 
 }  // namespace umberhold
--- a/source/common/ctl/command_line.cc
+++ b/source/common/ctl/command_line.cc
@@ -12,7 +12,7 @@
 constexpr const char* kVersionText = "0.1.0";
 constexpr uint32_t kDefaultWaitSeconds = 60;
 constexpr uint32_t kDefaultTimeoutSeconds = 20;
-constexpr uint32_t kDefaultHistory = 20;
+constexpr uint32_t kDefaultHistoryLimit = 20;
 constexpr const char* kDescription =
     "umberholdctl COMMAND: apply -f FILE | get KIND [NAME] | describe service NAME | "
     "delete KIND NAME | drain SERVICE HOST | undrain SERVICE HOST | status | members | "
@@ -23,7 +23,7 @@
 using Words = std::vector<std::string>;
 using CommandResult = Result<Command, UsageError>;
 
-/** Every option; each command takes those that it knows. */
+/** All options; each command uses a subset of them. */
 class Options {
  public:
   Options() : line_(kDescription, ' ', kVersionText) {
@@ -57,7 +57,8 @@
       "", "if-version", "version that the change is based on", false, 0, "version"};
   TCLAP::ValueArg<uint32_t> deadline{
       "", "deadline", "after this a drained host's flows may be cut", false, 0, "seconds"};
-  TCLAP::ValueArg<uint32_t> limit{"", "limit", "changes to show", false, kDefaultHistory, "count"};
+  TCLAP::ValueArg<uint32_t> limit{"",     "limit", "changes to show", false, kDefaultHistoryLimit,
+                                  "count"};
   TCLAP::UnlabeledMultiArg<std::string> words{"command", "command and its arguments", true, "word"};
 
  private:
@@ -248,7 +249,7 @@
     options.parse(arguments);
     return toCommandLine(options);
   } catch (const TCLAP::ExitException&) {
-    return CommandLine{{}, "", OutputFormat::kTable, "", 0, NothingToDo{}};
+    return CommandLine{{}, "", OutputFormat::kTable, "", 0, NoCommand{}};
   } catch (const TCLAP::ArgException& error) {
     return UsageError{error.error() + " " + error.argId()};
   }
--- a/source/common/ctl/command_line.h
+++ b/source/common/ctl/command_line.h
@@ -1,4 +1,4 @@
-/** @file The command line of umberholdctl, as typed commands. */
+/** @file Parses the command line of umberholdctl into typed commands. */
 #pragma once
 
 #include <cstdint>
@@ -76,30 +76,30 @@
   std::optional<ApiKind> kind;
   std::string name;
 };
-/** --help or --version: the text is printed already. */
-struct NothingToDo {};
+/** --help or --version, whose text is already printed. */
+struct NoCommand {};
 
 using Command = std::variant<ApplyCommand, GetCommand, DescribeCommand, DeleteCommand, DrainCommand,
                              StatusCommand, MembersCommand, ExplainCommand, HistoryCommand,
-                             RequestCommand, NothingToDo>;
+                             RequestCommand, NoCommand>;
 
-/** A command with what holds for all commands. */
+/** A command with the options common to all commands. */
 struct CommandLine {
   std::vector<Endpoint> servers;
   std::string tokenFile;
   OutputFormat output = OutputFormat::kTable;
   std::string author;
-  /** How long servers are tried. */
+  /** Maximum duration of all attempts to reach a server. */
   uint32_t timeoutSeconds = 0;
   Command command;
 };
 
-/** The command line is wrong. */
+/** The command line is invalid. */
 struct UsageError {
   std::string detail;
 };
 
-/** @param arguments the program's, its name first. */
+/** @param arguments of the program; the first is its name. */
 Result<CommandLine, UsageError> parseCommandLine(std::vector<std::string> arguments);
 
 }  // namespace umberhold
--- a/source/common/ctl/command_runner.cc
+++ b/source/common/ctl/command_runner.cc
@@ -7,7 +7,7 @@
 namespace umberhold {
 namespace {
 
-constexpr int kGoodStatus = 200;
+constexpr int kHttpOk = 200;
 using Printer = void (*)(std::ostream&, const std::string&);
 
 AdminRequest get(const std::string& path) {
@@ -25,10 +25,10 @@
   }
 }
 
-/** Reads and prints. */
+/** Sends a read request and prints the response. */
 ExitStatus show(const CommandContext& context, AdminRequest request, Printer printer) {
   const ClientResult result = context.client.read(std::move(request));
-  const AdminResponse* answer = goodAnswer(result);
+  const AdminResponse* answer = successfulResponse(result);
   if (answer == nullptr) {
     return reportFailure(context, result);
   }
@@ -36,22 +36,23 @@
   return ExitStatus::kOk;
 }
 
-/** Explains a flow; where its owner can't be asked, the first answer is printed, and why. */
+/** Explains a flow; if its owner can't be queried, prints the first response and the reason. */
 ExitStatus explain(const CommandContext& context, const AdminRequest& request) {
   const ClientResult result = context.client.read(request);
-  const AdminResponse* answer = goodAnswer(result);
+  const AdminResponse* answer = successfulResponse(result);
   if (answer == nullptr) {
     return reportFailure(context, result);
   }
-  const auto elsewhere = parseElsewhere(answer->body);
-  if (!elsewhere) {
+  const auto remoteFlow = parseRemoteFlow(answer->body);
+  if (!remoteFlow) {
     printBody(context, answer->body, printExplanation);
     return ExitStatus::kOk;
   }
-  const auto atOwner = explainAtOwner(context.client, context.clock, request, *elsewhere);
-  printBody(context, isOk(atOwner) ? valueOf(atOwner) : answer->body, printExplanation);
-  if (!isOk(atOwner)) {
-    context.errors << "warning: " << toString(errorOf(atOwner)) << '\n';
+  const auto ownerExplanation = explainByOwner(context.client, context.clock, request, *remoteFlow);
+  printBody(context, isOk(ownerExplanation) ? valueOf(ownerExplanation) : answer->body,
+            printExplanation);
+  if (!isOk(ownerExplanation)) {
+    context.errors << "warning: " << toString(errorOf(ownerExplanation)) << '\n';
   }
   return ExitStatus::kOk;
 }
@@ -94,7 +95,7 @@
     addObject(request, command.kind, command.name);
     return show(context_, std::move(request), printRequest);
   }
-  ExitStatus operator()(const NothingToDo&) const { return ExitStatus::kOk; }
+  ExitStatus operator()(const NoCommand&) const { return ExitStatus::kOk; }
 
  private:
   static void addObject(AdminRequest& request, const std::optional<ApiKind>& kind,
@@ -108,7 +109,7 @@
   const CommandContext& context_;
 };
 
-/** Prints why there is no good answer, and gives its exit status. */
+/** Prints the reason of a failure and returns its exit status. */
 class FailureReport {
  public:
   explicit FailureReport(const CommandContext& context) : context_(context) {}
@@ -121,7 +122,7 @@
     }
     return exitStatusOf(response.status);
   }
-  ExitStatus operator()(const NoServer& none) const {
+  ExitStatus operator()(const ServersUnavailable& none) const {
     context_.errors << "error: no server could answer; nothing was run: " << none.detail
                     << " (unavailable)\n";
     return ExitStatus::kUnavailable;
@@ -147,9 +148,9 @@
   return std::visit(FailureReport(context), result);
 }
 
-const AdminResponse* goodAnswer(const ClientResult& result) {
+const AdminResponse* successfulResponse(const ClientResult& result) {
   const auto* response = std::get_if<AdminResponse>(&result);
-  return response != nullptr && response->status == kGoodStatus ? response : nullptr;
+  return response != nullptr && response->status == kHttpOk ? response : nullptr;
 }
 
 }  // namespace umberhold
--- a/source/common/ctl/command_runner.h
+++ b/source/common/ctl/command_runner.h
@@ -12,7 +12,7 @@
 
 namespace umberhold {
 
-/** Where a command runs; all but the values are borrowed. */
+/** Environment of a command; all references are borrowed. */
 struct CommandContext {
   AdminClient& client;
   CallClock& clock;
@@ -20,22 +20,22 @@
   std::ostream& errors;
   OutputFormat output = OutputFormat::kTable;
   std::string author;
-  /** @return a request id that was never used. */
+  /** @return a new, unique request id. */
   std::function<std::string()> newRequestId;
 };
 
 /** Runs any command. */
 ExitStatus runCommand(const CommandContext& context, const Command& command);
 
-/** The commands that change something (change_commands.cc). */
+/** Commands that make changes (change_commands.cc). */
 ExitStatus runApply(const CommandContext& context, const ApplyCommand& command);
 ExitStatus runDelete(const CommandContext& context, const DeleteCommand& command);
 ExitStatus runDrain(const CommandContext& context, const DrainCommand& command);
 
-/** Prints why there is no good answer. @return its exit status. */
+/** Prints the reason of a failure. @return the exit status. */
 ExitStatus reportFailure(const CommandContext& context, const ClientResult& result);
 
-/** @return the answer, where it is 200. */
-const AdminResponse* goodAnswer(const ClientResult& result);
+/** @return the response if its status is 200, or nullptr. */
+const AdminResponse* successfulResponse(const ClientResult& result);
 
 }  // namespace umberhold
--- a/source/common/ctl/document.cc
+++ b/source/common/ctl/document.cc
@@ -17,7 +17,7 @@
          text.compare(text.size() - ending.size(), ending.size(), ending) == 0;
 }
 
-/** Reads one object of a file; remembers where errors are. */
+/** Converts the objects of a file and reports errors with their location. */
 class DocumentReader {
  public:
   explicit DocumentReader(std::string file) : file_(std::move(file)) {}
@@ -37,15 +37,15 @@
     if (!seen_.emplace(raw.kind, raw.name).second) {
       return error(raw, DocumentErrorCode::kDuplicate, "name", "'" + raw.name + "' stands twice");
     }
-    if (raw.versionIsWrong) {
+    if (raw.versionIsInvalid) {
       return error(raw, DocumentErrorCode::kVersion, "version", "must be a whole number from 0");
     }
     document.name = raw.name;
     document.version = raw.version;
     document.specification = raw.specification;
-    if (const auto wrong = specificationError(document)) {
-      return error(raw, DocumentErrorCode::kSpecification, wrong->path,
-                   wrong->detail + " (" + std::string(toString(wrong->code)) + ")");
+    if (const auto invalid = specificationError(document)) {
+      return error(raw, DocumentErrorCode::kSpecification, invalid->path,
+                   invalid->detail + " (" + std::string(toString(invalid->code)) + ")");
     }
     return document;
   }
--- a/source/common/ctl/document.h
+++ b/source/common/ctl/document.h
@@ -1,10 +1,10 @@
 /**
- * @file Files of objects that an operator applies, in JSON or TOML.
+ * @file Reads files of objects to apply, in JSON or TOML.
  *
  * JSON: one object, or an array of objects, each with "kind" ("service" or "policy"), "name",
- * optionally "version" (the version that the change is based on), and the keys of its specification
- * (docs/PLATFORM_API.md). TOML: tables [[service]] and [[policy]] with the same keys, "kind" left
- * out.
+ * optionally "version" (the version on which the change is based), and the keys of its
+ * specification (docs/PLATFORM_API.md). TOML: tables [[service]] and [[policy]] with the same keys
+ * except "kind".
  */
 #pragma once
 
@@ -19,18 +19,17 @@
 
 namespace umberhold {
 
-/** One object of a file. */
+/** One object in a file. */
 struct Document {
   ObjectKind kind = ObjectKind::kService;
   std::string name;
-  /** Version that the change is based on, where the document gives one. */
+  /** Version on which the change is based, if the document contains it. */
   std::optional<uint64_t> version;
-  /** Specification as JSON text; syntax and keys are checked, the rest is the server's to validate.
-   */
+  /** Specification as JSON text; syntax and keys are checked here, the rest by the server. */
   std::string specification;
 };
 
-/** What is wrong with a file. */
+/** Kinds of errors in a file. */
 enum class DocumentErrorCode : uint8_t {
   kUnreadableFile,
   kUnknownFormat,
@@ -38,20 +37,20 @@
   kUnknownKind,
   kMissingName,
   kDuplicate,
-  /** The version is no whole number from 0. */
+  /** The version is not an integer of at least 0. */
   kVersion,
-  /** The specification is not understood; the key says where. */
+  /** The specification is invalid at the key. */
   kSpecification,
 };
 
 /** @return the snake_case label of a code. */
 std::string_view toString(DocumentErrorCode code);
 
-/** An error with its place. */
+/** An error and its location. */
 struct DocumentError {
   DocumentErrorCode code = DocumentErrorCode::kSyntax;
   std::string file;
-  /** 1 for the first; 0 where the format's parser does not tell. */
+  /** Line number from 1; 0 if the format's parser does not report it. */
   uint32_t line = 0;
   /** Such as "service[1].hosts[0].weight"; empty for the file as a whole. */
   std::string key;
@@ -61,10 +60,10 @@
 /** @return "file:line: key: detail (code)". */
 std::string toString(const DocumentError& error);
 
-/** @return the documents, policies first, so that services find the policies that they name. */
+/** @return the documents; policies come first, because services refer to them. */
 Result<std::vector<Document>, DocumentError> parseDocuments(const std::string& file,
                                                             const std::string& text);
-/** Reads a file by its name's ending, ".json" or ".toml". */
+/** Reads a file; its format follows from the file extension, ".json" or ".toml". */
 Result<std::vector<Document>, DocumentError> loadDocuments(const std::string& file);
 
 }  // namespace umberhold
--- a/source/common/ctl/document_formats.h
+++ b/source/common/ctl/document_formats.h
@@ -1,4 +1,4 @@
-/** @file The two formats of an operator's files, read into one form. */
+/** @file Reads the two file formats into a common representation. */
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,18 @@
 
 namespace umberhold {
 
-/** One object as it stands in a file. */
+/** One object in a file, not validated. */
 struct RawDocument {
   std::string kind;
   std::string name;
   std::optional<uint64_t> version;
-  /** A version is given, but it is no whole number from 0. */
-  bool versionIsWrong = false;
-  /** The other keys, as JSON text. */
+  /** Whether a version is present, but is not an integer of at least 0. */
+  bool versionIsInvalid = false;
+  /** The remaining keys, as JSON text. */
   std::string specification;
-  /** Place in the file, such as "service[1]". */
+  /** Path in the file, such as "service[1]". */
   std::string path;
-  /** @return the line of a key within the object, or of the object; empty where lines are unknown.
-   */
+  /** @return the line of a key in the object, or of the object. Empty if lines are unknown. */
   std::function<uint32_t(const std::string& key)> lineOf;
 };
 
--- a/source/common/ctl/exit_status.h
+++ b/source/common/ctl/exit_status.h
@@ -3,22 +3,22 @@
 
 namespace umberhold {
 
-/** How a command ended. */
+/** Result of a command. */
 enum class ExitStatus : int {
   kOk = 0,
-  /** The command line or the token file is wrong. */
+  /** The command line or the token file is invalid. */
   kUsage = 1,
-  /** A document or a change is invalid; nothing of it was run. */
+  /** A document or a change is invalid; nothing of it was applied. */
   kInvalid = 2,
-  /** The object is not at the version that the change was based on; nothing of it was run. */
+  /** The object is not at the version on which the change is based; nothing of it was applied. */
   kConflict = 3,
-  /** No server could answer; nothing was run. */
+  /** No server responded; nothing was applied. */
   kUnavailable = 4,
-  /** An answer was lost: the change may be in or not. The request id is printed. */
+  /** A response was lost: the change may or may not be applied. The request id is printed. */
   kUnknownOutcome = 5,
   kNotFound = 6,
   kNotAuthorized = 7,
-  /** The change is accepted, but was not effective everywhere within the time to wait. */
+  /** The change is accepted, but was not effective on all nodes within the wait time. */
   kWaitTimedOut = 8,
 };
 
--- a/source/common/ctl/json_documents.cc
+++ b/source/common/ctl/json_documents.cc
@@ -38,9 +38,9 @@
 }
 
 /**
- * The parser's errors hold no place, but it reads byte by byte and stops behind the byte that it
- * refuses.
- * @return the line of that byte, 1 for the first.
+ * The parser's errors contain no location, but it reads byte by byte and stops after the invalid
+ * byte.
+ * @return the line of that byte, from 1.
  */
 uint32_t lineOfLastRead(std::istringstream& stream, const std::string& text) {
   stream.clear();
@@ -55,7 +55,7 @@
   raw.kind = textOf(object, kKind);
   raw.name = textOf(object, kName);
   raw.version = versionIn(object);
-  raw.versionIsWrong = object.has(kVersion) && !raw.version;
+  raw.versionIsInvalid = object.has(kVersion) && !raw.version;
   Object rest(object);
   for (const char* key : {kKind, kName, kVersion}) {
     rest.remove(key);
--- a/source/common/ctl/owner_explanation.cc
+++ b/source/common/ctl/owner_explanation.cc
@@ -7,21 +7,21 @@
 namespace umberhold {
 namespace {
 
-constexpr int kGoodStatus = 200;
+constexpr int kHttpOk = 200;
 
-/** A server that answered as a node, or the failures on the way. */
+/** Result of the search for the owner among the servers. */
 struct OwnerSearch {
   std::optional<size_t> server;
-  /** Servers that gave no node id. */
+  /** Number of servers that returned no node id. */
   size_t unanswered = 0;
 };
 
-std::optional<NodeId> nodeAt(AdminClient& client, size_t server) {
+std::optional<NodeId> nodeIdAt(AdminClient& client, size_t server) {
   AdminRequest request;
   request.method = "GET";
   request.path = "/v1/status";
   const auto answer = client.readAt(server, std::move(request));
-  if (!isOk(answer) || valueOf(answer).status != kGoodStatus) {
+  if (!isOk(answer) || valueOf(answer).status != kHttpOk) {
     return std::nullopt;
   }
   return parseNodeId(valueOf(answer).body);
@@ -35,7 +35,7 @@
       search.unanswered += client.serverCount() - server;
       break;
     }
-    const std::optional<NodeId> node = nodeAt(client, server);
+    const std::optional<NodeId> node = nodeIdAt(client, server);
     if (node == owner) {
       search.server = server;
       break;
@@ -74,35 +74,35 @@
          std::string(toString(error.code)) + ")";
 }
 
-std::optional<FlowElsewhere> parseElsewhere(const std::string& body) {
+std::optional<RemoteFlow> parseRemoteFlow(const std::string& body) {
   const auto flow = parseFlowOwner(body);
   if (!flow || flow->knowledge != kOwnedElsewhereLabel) {
     return std::nullopt;
   }
-  return FlowElsewhere{flow->owner};
+  return RemoteFlow{flow->owner};
 }
 
-Result<std::string, OwnerError> explainAtOwner(AdminClient& client, CallClock& clock,
+Result<std::string, OwnerError> explainByOwner(AdminClient& client, CallClock& clock,
                                                const AdminRequest& request,
-                                               const FlowElsewhere& elsewhere) {
-  if (!elsewhere.owner) {
+                                               const RemoteFlow& remoteFlow) {
+  if (!remoteFlow.owner) {
     return OwnerError{OwnerErrorCode::kOwnerUnknown, std::nullopt, "no node is known to own it"};
   }
-  const OwnerSearch search = findOwner(client, clock, *elsewhere.owner);
+  const OwnerSearch search = findOwner(client, clock, *remoteFlow.owner);
   if (!search.server) {
-    return OwnerError{OwnerErrorCode::kOwnerNotListed, elsewhere.owner,
+    return OwnerError{OwnerErrorCode::kOwnerNotListed, remoteFlow.owner,
                       notListedText(client, search.unanswered)};
   }
   const auto answer = client.readAt(*search.server, request);
   if (!isOk(answer)) {
-    return OwnerError{OwnerErrorCode::kOwnerUnreachable, elsewhere.owner, errorOf(answer).detail};
+    return OwnerError{OwnerErrorCode::kOwnerUnreachable, remoteFlow.owner, errorOf(answer).detail};
   }
   const AdminResponse& response = valueOf(answer);
-  if (response.status != kGoodStatus) {
-    return OwnerError{OwnerErrorCode::kOwnerRefused, elsewhere.owner, response.body};
+  if (response.status != kHttpOk) {
+    return OwnerError{OwnerErrorCode::kOwnerRefused, remoteFlow.owner, response.body};
   }
-  if (parseElsewhere(response.body)) {
-    return OwnerError{OwnerErrorCode::kOwnerMoved, elsewhere.owner, "it names another owner"};
+  if (parseRemoteFlow(response.body)) {
+    return OwnerError{OwnerErrorCode::kOwnerMoved, remoteFlow.owner, "it names another owner"};
   }
   return response.body;
 }
--- a/source/common/ctl/owner_explanation.h
+++ b/source/common/ctl/owner_explanation.h
@@ -1,9 +1,9 @@
 /**
- * @file Follows an explanation to the node that owns the flow.
+ * @file Requests the explanation of a flow from the node that owns it.
  *
- * Members don't know each other's administration ports, and the token goes to no server that the
- * operator did not name. So the owner is looked for among the client's servers by their node ids,
- * and asked once; an owner that points on to a third node is not followed.
+ * Members don't publish their administration ports, and the token is sent only to servers that the
+ * operator listed. The owner is therefore searched by node id among the client's servers and
+ * queried once; if it refers to a third node, that node is not queried.
  */
 #pragma once
 
@@ -19,24 +19,24 @@
 
 namespace umberhold {
 
-/** Why the owner gave no explanation. */
+/** Reason why there is no explanation from the owner. */
 enum class OwnerErrorCode : uint8_t {
-  /** The node that was asked knows no owner. */
+  /** The queried node knows no owner. */
   kOwnerUnknown,
-  /** None of the client's servers that answered is the owner. */
+  /** None of the client's servers that responded is the owner. */
   kOwnerNotListed,
-  /** The owner is a server of the client, but gave no answer. */
+  /** The owner is one of the client's servers, but did not respond. */
   kOwnerUnreachable,
-  /** The owner answered with an error. */
+  /** The owner responded with an error. */
   kOwnerRefused,
-  /** The owner says that yet another node owns the flow. */
+  /** The owner reports that another node owns the flow. */
   kOwnerMoved,
 };
 
-/** The owner gave no explanation. */
+/** Failure to get an explanation from the owner. */
 struct OwnerError {
   OwnerErrorCode code = OwnerErrorCode::kOwnerUnknown;
-  /** Nothing where it is not known. */
+  /** Empty if the owner is unknown. */
   std::optional<NodeId> owner;
   std::string detail;
 };
@@ -47,24 +47,24 @@
 /** @return "the owner, node N, gave no explanation: detail (code)". */
 std::string toString(const OwnerError& error);
 
-/** What an explanation says of a flow that another node owns. */
-struct FlowElsewhere {
-  /** Nothing where the answering node knows none. */
+/** A flow that another node owns, from an explanation. */
+struct RemoteFlow {
+  /** Empty if the responding node knows no owner. */
   std::optional<NodeId> owner;
 };
 
-/** @return nothing where the node that answered explains the flow itself. */
-std::optional<FlowElsewhere> parseElsewhere(const std::string& body);
+/** @return nothing if the responding node explains the flow itself. */
+std::optional<RemoteFlow> parseRemoteFlow(const std::string& body);
 
 /**
- * Asks the owner. Sends at most one status request to each server, none after the client's
+ * Queries the owner. Sends at most one status request to each server, none after the client's
  * deadline, and one request to the owner.
  *
- * @param request the request that was answered with elsewhere.
+ * @param request the request whose response contained remoteFlow.
  * @return the body of the owner's explanation.
  */
-Result<std::string, OwnerError> explainAtOwner(AdminClient& client, CallClock& clock,
+Result<std::string, OwnerError> explainByOwner(AdminClient& client, CallClock& clock,
                                                const AdminRequest& request,
-                                               const FlowElsewhere& elsewhere);
+                                               const RemoteFlow& remoteFlow);
 
 }  // namespace umberhold
--- a/source/common/ctl/printer.cc
+++ b/source/common/ctl/printer.cc
@@ -18,7 +18,7 @@
 using Poco::JSON::Object;
 
 constexpr int kColumnWidth = 18;
-constexpr unsigned kIndent = 2;
+constexpr unsigned kIndentWidth = 2;
 
 void print(std::ostream& out, const std::string& body,
            const std::function<void(const Object&)>& writer) {
@@ -41,7 +41,7 @@
   out << cells.back() << '\n';
 }
 
-/** Prints the elements of an array, one a row, with the keys as the heading. */
+/** Prints the elements of an array, one per row, with the keys as the header. */
 void printTable(std::ostream& out, const Object& object, const std::string& arrayKey,
                 const std::vector<std::string>& keys) {
   printRow(out, keys);
@@ -105,7 +105,7 @@
     for (const std::string& key : specification->getNames()) {
       document.set(key, specification->get(key));
     }
-    document.stringify(out, kIndent);
+    document.stringify(out, kIndentWidth);
     out << '\n';
   });
 }
--- a/source/common/ctl/printer.h
+++ b/source/common/ctl/printer.h
@@ -1,4 +1,4 @@
-/** @file Answers of the admin API as text for people. */
+/** @file Formats responses of the admin API as human-readable text. */
 #pragma once
 
 #include <ostream>
@@ -9,9 +9,9 @@
 
 namespace umberhold {
 
-/** Each prints one kind of answer; a body of another shape is printed as it is. */
+/** Each function prints one kind of response; a body of another form is printed unchanged. */
 void printList(std::ostream& out, const std::string& body);
-/** Prints an object as a document that can be edited and applied again, its version included. */
+/** Prints an object with its version, as a document that can be edited and applied again. */
 void printDocument(std::ostream& out, const std::string& body);
 void printService(std::ostream& out, const std::string& body);
 void printStatus(std::ostream& out, const std::string& body);
@@ -20,7 +20,7 @@
 void printHistory(std::ostream& out, const std::string& body);
 void printRequest(std::ostream& out, const std::string& body);
 void printChanges(std::ostream& out, const std::vector<FieldChange>& changes);
-/** Prints an error with its details, and who was faster where it is a conflict. */
+/** Prints an error with its details, and the conflicting change if there is one. */
 void printError(std::ostream& out, const std::string& body);
 
 }  // namespace umberhold
--- a/source/common/ctl/toml_documents.cc
+++ b/source/common/ctl/toml_documents.cc
@@ -32,7 +32,7 @@
   return converted;
 }
 
-/** Dates and times, which no specification holds, become null and are refused by its reader. */
+/** Dates and times, which no specification contains, become null, which its parser rejects. */
 Var toJson(const toml::node& node) {
   if (const auto* table = node.as_table()) {
     return toJsonObject(*table);
@@ -49,8 +49,8 @@
   if (const auto* number = node.as_floating_point()) {
     return number->get();
   }
-  if (const auto* truth = node.as_boolean()) {
-    return truth->get();
+  if (const auto* boolean = node.as_boolean()) {
+    return boolean->get();
   }
   return {};
 }
@@ -64,7 +64,7 @@
   return version && *version >= 0 ? std::optional<uint64_t>(*version) : std::nullopt;
 }
 
-/** The parsed file; kept alive by the documents, because a copy of a node loses its line. */
+/** The parsed file; shared by the documents, because a copy of a node loses its line number. */
 using Root = std::shared_ptr<const toml::table>;
 
 RawDocument toRaw(const Root& root, const toml::table& table, const std::string& kind,
@@ -74,7 +74,7 @@
   raw.path = path;
   raw.name = table["name"].value_or(std::string());
   raw.version = versionIn(table);
-  raw.versionIsWrong = table.contains("version") && !raw.version;
+  raw.versionIsInvalid = table.contains("version") && !raw.version;
   Object::Ptr specification = toJsonObject(table);
   specification->remove("name");
   specification->remove("version");
@@ -88,7 +88,7 @@
   return raw;
 }
 
-/** Appends the objects of one kind. @return the error of an entry that is no array of tables. */
+/** Appends the objects of one kind. @return an error if the node is not an array of tables. */
 std::optional<DocumentError> appendKind(const std::string& file, const Root& root,
                                         const std::string& kind, const toml::node& node,
                                         std::vector<RawDocument>& documents) {
--- a/source/exe/umberholdctl.cc
+++ b/source/exe/umberholdctl.cc
@@ -1,4 +1,4 @@
-/** @file umberholdctl: operators' command line for the admin API (docs/ADMIN_API.md). */
+/** @file umberholdctl: command-line client of the admin API (docs/ADMIN_API.md). */
 #include <Poco/UUIDGenerator.h>
 
 #include <cstdlib>
@@ -12,7 +12,7 @@
 namespace umberhold {
 namespace {
 
-/** @return the first line of the file; nothing where it can't be read or is empty. */
+/** @return the first line of the file, or nothing if it is empty or can't be read. */
 std::optional<std::string> readToken(const std::string& file) {
   std::ifstream stream(file);
   std::string token;
@@ -31,7 +31,7 @@
 }
 
 ExitStatus run(const CommandLine& line) {
-  if (std::holds_alternative<NothingToDo>(line.command)) {
+  if (std::holds_alternative<NoCommand>(line.command)) {
     return ExitStatus::kOk;
   }
   const std::optional<std::string> token = readToken(line.tokenFile);
--- a/source/exe/umberholdd.cc
+++ b/source/exe/umberholdd.cc
@@ -1,4 +1,4 @@
-/** @file The node's program: flags, settings, signals, then NodeProcess. */
+/** @file Main program of a node: reads flags and settings, handles signals, runs NodeProcess. */
 #include <glog/logging.h>
 
 #include <csignal>
@@ -17,7 +17,7 @@
 
 /** Set by SIGTERM and SIGINT, read at every tick. */
 volatile std::sig_atomic_t stopSignal = 0;
-/** Set by SIGHUP, taken back at the tick that reads the settings. */
+/** Set by SIGHUP, cleared at the tick that reloads the settings. */
 volatile std::sig_atomic_t reloadSignal = 0;
 
 void onStopSignal(int signal) {
@@ -28,10 +28,10 @@
   reloadSignal = signal;
 }
 
-/** Signals of the operating system. */
+/** Exposes the signals of the operating system to the node. */
 class ProcessSignals : public NodeSignals {
  public:
-  /** @param flags borrowed: they win over a file that is read again, too. */
+  /** @param flags borrowed; they override the settings file on a reload, too. */
   explicit ProcessSignals(const CommandLine& flags) : flags_(flags) {}
 
   bool stopAsked() override { return stopSignal != 0; }
@@ -40,7 +40,7 @@
     if (reloadSignal == 0) {
       return std::nullopt;
     }
-    // Before the file is read: a signal that comes while it is read asks for another reading.
+    // Cleared before the file is read, so that a signal during the read causes another reload.
     reloadSignal = 0;
     return loadSettings(flags_.settingsPath, flags_.overrides);
   }
--- a/test/common/admin/admin_api_test.cc
+++ b/test/common/admin/admin_api_test.cc
@@ -16,7 +16,7 @@
 
 namespace umberhold {
 
-// The generator of request ids is a singleton of the library.
+// The library's generator of request ids is a singleton that is never freed.
 TEST_GROUP_BASE(AdminApi, test::WithoutLeakDetection) {
   FakePlatformStore store;
   ManualClock clock;
@@ -58,7 +58,7 @@
   }
 };
 
-TEST(AdminApi, RefusesAMissingOrWrongToken) {
+TEST(AdminApi, RejectsMissingOrWrongToken) {
   AdminRequest made = request("GET", "/v1/status");
   for (const char* header : {"", "Bearer ", "Bearer secre", "Bearer secrett", "Basic secret"}) {
     made.authorization = header;
@@ -69,24 +69,24 @@
   expect(401, "unauthorized", withoutToken.handle(made));
 }
 
-TEST(AdminApi, UnknownPathsAndMethodsAreTypedErrors) {
+TEST(AdminApi, ReportsTypedErrorsForUnknownPathsAndMethods) {
   expect(404, "not_found", api.handle(request("GET", "/v1/nothing")));
   expect(404, "not_found", api.handle(request("GET", "/")));
   expect(405, "method_not_allowed", api.handle(request("POST", "/v1/services/dispatch")));
 }
 
-TEST(AdminApi, CreatesThenRefusesASecondCreate) {
+TEST(AdminApi, RejectsSecondCreation) {
   expect(200, "\"outcome\":\"accepted\"", api.handle(put(dispatch, "0")));
   expect(409, "\"current_version\":" + storedVersion(), api.handle(put(dispatch, "0")));
 }
 
-TEST(AdminApi, AChangeMustNameItsBaseVersion) {
+TEST(AdminApi, RequiresBaseVersionForChanges) {
   expect(428, "version_required", api.handle(put(dispatch, "")));
   expect(400, "bad_request", api.handle(put(dispatch, "soon")));
   CHECK_EQUAL(0, store.events().size());
 }
 
-TEST(AdminApi, AnInvalidServiceIsNotRunAndEveryErrorIsNamed) {
+TEST(AdminApi, RejectsInvalidServiceAndReportsEveryError) {
   node.addService(makeService("mapstore", 2, 1), 1);
   node.addService(makeService("fleet", 3, 1), 2);
   node.addService(makeService("docs", 1, 1), 3);
@@ -96,14 +96,14 @@
   CHECK_EQUAL(0, store.events().size());
 }
 
-TEST(AdminApi, ASpecificationThatCannotBeReadNamesItsPlace) {
+TEST(AdminApi, ReportsLocationOfSpecificationError) {
   AdminRequest made = put(dispatch, "0");
   made.body = "{\"region\":\"addis\",\"colour\":\"red\"}";
   expect(422, "error", api.handle(made));
   CHECK_EQUAL(0, store.events().size());
 }
 
-TEST(AdminApi, DryRunShowsTheChangesAndRunsNothing) {
+TEST(AdminApi, DryRunReportsChangesWithoutApplyingThem) {
   api.handle(put(dispatch, "0"));
   dispatch.hosts[1].weight = 50;
   AdminRequest made = put(dispatch, "");
@@ -112,19 +112,19 @@
   CHECK_EQUAL(1, store.events().size());
 }
 
-TEST(AdminApi, TheSlowerOfTwoServicesWithOneAddressIsToldWhoHasIt) {
+TEST(AdminApi, ReportsHolderOfAddressToSecondClaimant) {
   expect(200, "accepted", api.handle(put(dispatch, "0")));
-  Service rival = makeService("rival", 1, 0);
-  expect(422, "address_in_use", api.handle(put(rival, "0")));
-  rival.address += 100;
-  rival.hosts = {dispatch.hosts[1]};
-  const AdminResponse response = api.handle(put(rival, "0"));
+  Service competitor = makeService("rival", 1, 0);
+  expect(422, "address_in_use", api.handle(put(competitor, "0")));
+  competitor.address += 100;
+  competitor.hosts = {dispatch.hosts[1]};
+  const AdminResponse response = api.handle(put(competitor, "0"));
   expect(422, "host_endpoint_in_use", response);
   STRCMP_CONTAINS("service 'dispatch'", response.body.c_str());
   CHECK_EQUAL(1, store.events().size());
 }
 
-TEST(AdminApi, AnAddressIsFreeAtOnceWhenItsServiceIsGone) {
+TEST(AdminApi, ReleasesAddressImmediatelyOnServiceDeletion) {
   api.handle(put(dispatch, "0"));
   AdminRequest made = request("DELETE", "/v1/services/dispatch", {{"force", "true"}});
   made.ifMatch = storedVersion();
@@ -134,7 +134,7 @@
   expect(200, "accepted", api.handle(put(heir, "0")));
 }
 
-TEST(AdminApi, ABusyNodeDecidesNothingAndSaysWhenToComeBack) {
+TEST(AdminApi, BusyNodeRespondsWithRetryAfter) {
   node.busy = true;
   const AdminResponse response = api.handle(put(dispatch, "0"));
   expect(503, "unavailable", response);
@@ -142,20 +142,20 @@
   CHECK_EQUAL(0, store.events().size());
 }
 
-TEST(AdminApi, ANodeThatStillCatchesUpDecidesNothing) {
+TEST(AdminApi, RejectsChangesWhileNodeIsCatchingUp) {
   node.readiness = NodeReadiness::kCatchingUp;
   expect(503, "unavailable", api.handle(put(dispatch, "0")));
   CHECK_EQUAL(0, store.events().size());
 }
 
-TEST(AdminApi, AStoreThatIsDownIsToldAtOnceWithRetryAfter) {
+TEST(AdminApi, RespondsWithRetryAfterWhileStoreIsDown) {
   store.readFaults.assign(100, StoreFault::kUnavailable);
   const AdminResponse response = api.handle(put(dispatch, "0"));
   expect(503, "unavailable", response);
   CHECK_TRUE(response.retryAfterSeconds.has_value());
 }
 
-TEST(AdminApi, ARepeatThatCannotBeResolvedIsNotToldAsNotRun) {
+TEST(AdminApi, ReportsUnknownOutcomeForUnresolvedRetry) {
   store.readFaults.assign(100, StoreFault::kUnavailable);
   AdminRequest made = put(dispatch, "0");
   made.requestId = "first";
@@ -163,7 +163,7 @@
   expect(504, "outcome_unknown", api.handle(made));
 }
 
-TEST(AdminApi, ARepeatIsAcceptedThoughItWouldNoLongerPassItsChecks) {
+TEST(AdminApi, AcceptsRetryOfAppliedChangeWithoutValidation) {
   AdminRequest made = put(dispatch, "0");
   made.requestId = "first";
   api.handle(made);
@@ -173,11 +173,11 @@
   CHECK_EQUAL(1, store.events().size());
 }
 
-TEST(AdminApi, DrainsAHostOverAnotherOperatorsChangeWithoutLosingIt) {
+TEST(AdminApi, DrainPreservesConcurrentChange) {
   api.handle(put(dispatch, "0"));
   dispatch.hosts[1].weight = 7;
   const std::string version = storedVersion();
-  // The other change comes in between the read and the update of the drain.
+  // The other change is applied between the read and the update of the drain.
   store.beforeCall = [&] { store.beforeCall = [&] { api.handle(put(dispatch, version)); }; };
   AdminRequest made = request("POST", "/v1/services/dispatch/hosts/dispatch-0/drain");
   made.body = "{\"deadline_seconds\":60}";
@@ -192,7 +192,7 @@
   CHECK_TRUE(stored().hosts[0].state == HostState::kActive);
 }
 
-TEST(AdminApi, DrainOfAnUnknownHostOrWithABadDeadlineIsRefused) {
+TEST(AdminApi, RejectsDrainOfUnknownHostOrWithInvalidDeadline) {
   api.handle(put(dispatch, "0"));
   expect(404, "not_found", api.handle(request("POST", "/v1/services/dispatch/hosts/none/drain")));
   AdminRequest made = request("POST", "/v1/services/dispatch/hosts/dispatch-0/drain");
@@ -201,7 +201,7 @@
   CHECK_EQUAL(1, store.events().size());
 }
 
-TEST(AdminApi, ADeletedServiceIsGoneAndItsChangeIsInTheHistory) {
+TEST(AdminApi, DeletesServiceAndKeepsChangeInHistory) {
   api.handle(put(dispatch, "0"));
   AdminRequest made = request("DELETE", "/v1/services/dispatch");
   made.ifMatch = storedVersion();
@@ -212,7 +212,7 @@
   expect(200, "\"summary\":\"delete\"", api.handle(request("GET", "/v1/history")));
 }
 
-TEST(AdminApi, APolicyInUseCannotBeDeletedAndABrokenOneNotCreated) {
+TEST(AdminApi, RejectsDeletionOfPolicyInUseAndInvalidPolicy) {
   AdminRequest made = request("PUT", "/v1/policies/spread");
   made.body = formatPolicy({"spread", "broken"});
   made.ifMatch = "0";
@@ -227,7 +227,7 @@
   expect(422, "policy_in_use", api.handle(deletion));
 }
 
-TEST(AdminApi, AServiceMayNamePolicyThatIsStoredButNotYetInForce) {
+TEST(AdminApi, AcceptsServiceWithStoredButNotYetEffectivePolicy) {
   dispatch.policy = "spread";
   expect(422, "unknown_policy", api.handle(put(dispatch, "0")));
   AdminRequest made = request("PUT", "/v1/policies/spread");
@@ -237,14 +237,14 @@
   expect(200, "accepted", api.handle(put(dispatch, "0")));
 }
 
-TEST(AdminApi, ReadsFromTheNodeWhileTheStoreIsDown) {
+TEST(AdminApi, ReadsFromNodeWhileStoreIsDown) {
   node.addService(dispatch, 4);
   store.readFaults.assign(100, StoreFault::kUnavailable);
   expect(200, "\"source\":\"node\"", api.handle(request("GET", "/v1/services/dispatch")));
   expect(200, "\"name\":\"dispatch\"", api.handle(request("GET", "/v1/services")));
 }
 
-TEST(AdminApi, TellsOnHowManyNodesAVersionIsInForce) {
+TEST(AdminApi, ReportsCoverageOfVersion) {
   node.coverageNow.nodes = 6;
   node.coverageNow.nodesAtVersion = 5;
   expect(200, "applied on 5 of 6", api.handle(request("GET", "/v1/coverage", {{"version", "12"}})));
@@ -252,7 +252,7 @@
   expect(200, "\"readiness\":\"ready\"", api.handle(request("GET", "/v1/status")));
 }
 
-TEST(AdminApi, ExplainsAFlow) {
+TEST(AdminApi, ExplainsFlow) {
   expect(200, "\"host\":\"dispatch-1\"",
          api.handle(request("GET", "/v1/explain",
                             {{"service", "dispatch"}, {"caller", "10.9.0.1:4000"}})));
--- a/test/common/admin/change_coordinator_test.cc
+++ b/test/common/admin/change_coordinator_test.cc
@@ -48,26 +48,26 @@
   }
 };
 
-TEST(ChangeCoordinator, LostAnswerOfAChangeThatTookEffectIsAccepted) {
+TEST(ChangeCoordinator, AcceptsAppliedChangeAfterLostAnswer) {
   const uint64_t base = create();
   store.changeFaults = {StoreFault::kAnswerLost};
   CHECK_EQUAL(base + 1, accepted(coordinator.submit(changeOf("second", base))));
 }
 
-TEST(ChangeCoordinator, LostRequestIsTriedAgain) {
+TEST(ChangeCoordinator, RetriesLostRequest) {
   const uint64_t base = create();
   store.changeFaults = {StoreFault::kRequestLost, StoreFault::kRequestLost};
   CHECK_EQUAL(base + 1, accepted(coordinator.submit(changeOf("second", base))));
 }
 
-TEST(ChangeCoordinator, LateRequestDoesNotApplyTwice) {
+TEST(ChangeCoordinator, DelayedRequestIsNotAppliedTwice) {
   const uint64_t base = create();
   store.changeFaults = {StoreFault::kDelayed};
   accepted(coordinator.submit(changeOf("second", base)));
   CHECK_EQUAL(0, store.deliverDelayed());
 }
 
-TEST(ChangeCoordinator, LateCreateDoesNotUndoADeletion) {
+TEST(ChangeCoordinator, DelayedCreationDoesNotUndoDeletion) {
   store.changeFaults = {StoreFault::kDelayed};
   const uint64_t base = create();
   ChangeRequest deletion = changeOf("delete", base);
@@ -77,10 +77,10 @@
   CHECK_FALSE(isOk(coordinator.read(Collection::kServices, "dispatch")));
 }
 
-TEST(ChangeCoordinator, OvertakenAfterALostRequestIsAConflictThatNamesTheOther) {
+TEST(ChangeCoordinator, ReportsConflictingChangeAfterLostRequest) {
   const uint64_t base = create();
   store.changeFaults = {StoreFault::kDelayed};
-  // The other operator comes in after our read, our update and before our second read.
+  // The other operator's change is applied after the first read and update, before the second read.
   store.beforeCall = [&] {
     store.beforeCall = [&] {
       store.beforeCall = [&] { accepted(coordinator.submit(changeOf("other", base))); };
@@ -93,7 +93,7 @@
   CHECK_EQUAL(0, store.deliverDelayed());
 }
 
-TEST(ChangeCoordinator, OvertakenAfterOursWasInIsAccepted) {
+TEST(ChangeCoordinator, AcceptsAppliedChangeFollowedByAnother) {
   const uint64_t base = create();
   store.changeFaults = {StoreFault::kAnswerLost};
   store.beforeCall = [&] {
@@ -104,7 +104,7 @@
   CHECK_EQUAL(base + 2, accepted(coordinator.submit(changeOf("ours", base))));
 }
 
-TEST(ChangeCoordinator, StoreDownIsUnavailableWithinTheDeadlineAndNothingIsRun) {
+TEST(ChangeCoordinator, ReportsUnavailableStoreWithinDeadline) {
   const uint64_t base = create();
   store.changeFaults.assign(100, StoreFault::kUnavailable);
   const TimePoint start = clock.now();
@@ -126,7 +126,7 @@
   CHECK_EQUAL(kFirstTries + limits.retries.burst, store.calls);
 }
 
-TEST(ChangeCoordinator, LostAnswerThatCannotBeResolvedIsUnknownWithItsId) {
+TEST(ChangeCoordinator, ReportsUnknownOutcomeWithRequestId) {
   const uint64_t base = create();
   store.changeFaults = {StoreFault::kAnswerLost};
   store.readFaults = {StoreFault::kNone};
@@ -140,19 +140,19 @@
   CHECK_TRUE(isOk(coordinator.findAnywhere("second")));
 }
 
-TEST(ChangeCoordinator, RepeatOfAChangeThatIsInIsAcceptedAndNotRunAgain) {
+TEST(ChangeCoordinator, AcceptsRetryOfAppliedChangeWithoutApplyingItAgain) {
   const uint64_t base = create();
   const uint64_t version = accepted(coordinator.submit(changeOf("second", base)));
   CHECK_EQUAL(version, accepted(coordinator.submit(changeOf("second", base), true)));
 }
 
-TEST(ChangeCoordinator, RepeatWhileTheStoreIsDownStaysUnknown) {
+TEST(ChangeCoordinator, RetryWhileStoreIsDownStaysUnknown) {
   store.readFaults.assign(100, StoreFault::kUnavailable);
   const ChangeOutcome outcome = coordinator.submit(changeOf("second", 1), true);
   CHECK_TRUE(std::holds_alternative<ChangeUnknown>(outcome));
 }
 
-TEST(ChangeCoordinator, RepeatOfAChangeThatLeftTheHistoryIsUnknown) {
+TEST(ChangeCoordinator, RetryOfChangeEvictedFromHistoryIsUnknown) {
   const uint64_t base = create();
   uint64_t version = accepted(coordinator.submit(changeOf("second", base)));
   for (size_t later = 0; later < kHistoryLength; ++later) {
@@ -162,7 +162,7 @@
   CHECK_TRUE(std::holds_alternative<ChangeUnknown>(outcome));
 }
 
-TEST(ChangeCoordinator, OvertakenInALongHistoryIsStillAConflict) {
+TEST(ChangeCoordinator, ReportsConflictWithLongHistory) {
   uint64_t version = create();
   for (size_t earlier = 0; earlier < 2 * kHistoryLength; ++earlier) {
     version = accepted(coordinator.submit(changeOf("earlier" + std::to_string(earlier), version)));
@@ -172,7 +172,7 @@
   CHECK_TRUE(std::holds_alternative<ChangeConflict>(outcome));
 }
 
-TEST(ChangeCoordinator, RequestIdOfAnotherChangeIsRefused) {
+TEST(ChangeCoordinator, RejectsRequestIdOfAnotherChange) {
   const uint64_t base = create();
   ChangeRequest other = changeOf("create", base);
   other.summary = "something else";
--- a/test/common/admin/change_truth_property.cc
+++ b/test/common/admin/change_truth_property.cc
@@ -1,4 +1,4 @@
-/** @file Whatever the store does, what an operator was told about a change is true for good. */
+/** @file The reported outcome of a change matches the store for all faults of the store. */
 #include <map>
 #include <string>
 #include <variant>
@@ -18,20 +18,20 @@
 namespace umberhold {
 namespace {
 
-/** One operator's change, with what goes wrong during it. */
+/** One operator's change, with the faults during it. */
 struct Step {
   bool deletes = false;
-  /** How many versions behind the newest the operator's base is; 0 is up to date. */
+  /** How many versions the operator's base is behind the latest; 0 is current. */
   int staleness = 0;
   std::vector<StoreFault> changeFaults;
   std::vector<StoreFault> readFaults;
-  /** Another operator changes the same object, from the same base, before this call of ours. */
-  int rivalBeforeCall = 0;
+  /** Store call before which another operator changes the object from the same base; 0 for none. */
+  int competitorBeforeCall = 0;
   bool deliverAfter = false;
 };
 
-/** What one operator asked for and was told. */
-struct Told {
+/** A request of an operator and its reported outcome. */
+struct ReportedOutcome {
   ChangeRequest request;
   ChangeOutcome outcome;
 };
@@ -46,20 +46,20 @@
   step.changeFaults = *rc::gen::container<std::vector<StoreFault>>(fault);
   step.readFaults = *rc::gen::container<std::vector<StoreFault>>(
       rc::gen::element(StoreFault::kNone, StoreFault::kUnavailable));
-  step.rivalBeforeCall = *rc::gen::inRange(0, 8);
+  step.competitorBeforeCall = *rc::gen::inRange(0, 8);
   step.deliverAfter = *rc::gen::arbitrary<bool>();
   return step;
 }
 
-/** Runs steps against one object and remembers what everybody was told. */
-class Operators {
+/** Runs steps against one object and records all reported outcomes. */
+class OperatorSimulation {
  public:
   void run(const Step& step) {
     store_.changeFaults.assign(step.changeFaults.begin(), step.changeFaults.end());
     store_.readFaults.assign(step.readFaults.begin(), step.readFaults.end());
     const uint64_t base = baseVersion(step.staleness);
-    if (step.rivalBeforeCall > 0) {
-      interleave(step.rivalBeforeCall, base);
+    if (step.competitorBeforeCall > 0) {
+      submitBeforeCall(step.competitorBeforeCall, base);
     }
     submit(base, step.deletes);
     store_.beforeCall = nullptr;
@@ -68,20 +68,20 @@
     }
   }
 
-  void checkTruth() {
+  void checkReportedOutcomes() {
     store_.deliverDelayed();
     std::map<std::string, int> applied;
     for (const StoredObject& state : store_.events()) {
       ++applied[state.history.front().requestId];
     }
     std::map<uint64_t, int> acceptedPerBase;
-    for (const Told& told : told_) {
-      const int times = applied[told.request.requestId];
+    for (const ReportedOutcome& reported : reported_) {
+      const int times = applied[reported.request.requestId];
       RC_ASSERT(times <= 1);
-      if (std::holds_alternative<ChangeAccepted>(told.outcome)) {
+      if (std::holds_alternative<ChangeAccepted>(reported.outcome)) {
         RC_ASSERT(times == 1);
-        ++acceptedPerBase[told.request.expectedVersion];
-      } else if (!std::holds_alternative<ChangeUnknown>(told.outcome)) {
+        ++acceptedPerBase[reported.request.expectedVersion];
+      } else if (!std::holds_alternative<ChangeUnknown>(reported.outcome)) {
         RC_ASSERT(times == 0);
       }
     }
@@ -101,10 +101,10 @@
     return isDeleted(state) ? 0 : state.version;
   }
 
-  void interleave(int call, uint64_t base) {
+  void submitBeforeCall(int call, uint64_t base) {
     store_.beforeCall = [this, call, base] {
       if (call > 1) {
-        interleave(call - 1, base);
+        submitBeforeCall(call - 1, base);
       } else {
         submit(base, false);
       }
@@ -115,32 +115,32 @@
     ChangeRequest request;
     request.name = "dispatch";
     request.expectedVersion = base;
-    request.requestId = "request-" + std::to_string(told_.size() + pending_++);
+    request.requestId = "request-" + std::to_string(reported_.size() + pending_++);
     request.specification = deletes ? kDeletionMarker : "{\"by\":\"" + request.requestId + "\"}";
     request.summary = deletes ? "delete" : "apply";
     const ChangeOutcome outcome = coordinator_.submit(request);
-    told_.push_back({request, outcome});
+    reported_.push_back({request, outcome});
   }
 
   FakePlatformStore store_;
   ManualClock clock_;
   ChangeCoordinator coordinator_{store_, clock_, 1};
-  std::vector<Told> told_;
+  std::vector<ReportedOutcome> reported_;
   size_t pending_ = 0;
 };
 
 }  // namespace
 
-TEST_GROUP_BASE(ChangeTruth, test::WithoutLeakDetection){};
+TEST_GROUP_BASE(ChangeOutcomeProperty, test::WithoutLeakDetection){};
 
-TEST(ChangeTruth, WhatOperatorsWereToldHolds) {
+TEST(ChangeOutcomeProperty, ReportedOutcomesMatchStore) {
   const bool holds = rc::check("what operators were told holds", [] {
-    Operators operators;
+    OperatorSimulation operators;
     const int steps = *rc::gen::inRange(1, 12);
     for (int index = 0; index < steps; ++index) {
       operators.run(arbitraryStep());
     }
-    operators.checkTruth();
+    operators.checkReportedOutcomes();
   });
   CHECK_TRUE(holds);
 }
--- a/test/common/admin/endpoint_claims_property.cc
+++ b/test/common/admin/endpoint_claims_property.cc
@@ -1,7 +1,7 @@
 /**
- * @file Operators on several nodes race for addresses and hosts, over a store that loses and delays
- * requests, on nodes that die between two calls: no two services ever hold one address or host,
- * everybody is told the truth, and whatever no service holds can be had by the next who asks.
+ * @file Operators on several nodes compete for addresses and hosts. The store loses and delays
+ * requests, and nodes crash between two calls. No two services ever hold the same address or host,
+ * reported outcomes match the store, and the next claimant gets any key that no service holds.
  */
 #include <algorithm>
 #include <map>
@@ -33,24 +33,24 @@
 constexpr uint8_t kHosts = 2;
 constexpr size_t kWriters = 3;
 
-/** The node that ran the call is dead. */
-struct NodeDied {};
+/** Thrown if the node that runs the call crashes. */
+struct NodeCrashed {};
 
-/** What one operator asks of one node. */
+/** A request of an operator to a node. */
 struct Request {
   uint8_t service = 0;
   bool deletes = false;
   uint8_t address = 0;
-  /** Bit i: host i is one of the service's. */
+  /** Bit mask: bit i is set if the service has host i. */
   uint8_t hosts = 0;
 };
 
-/** One node with its operators' requests, in order. */
+/** The sequence of requests to one node, and its crash. */
 struct Script {
   std::vector<Request> requests;
-  /** Store call before or after which the node dies; none beyond its last call. */
-  int diesAtCall = 0;
-  bool diesAfterCall = false;
+  /** Store call before or after which the node crashes; no crash if it exceeds the last call. */
+  int crashesAtCall = 0;
+  bool crashesAfterCall = false;
 };
 
 Request arbitraryRequest() {
@@ -68,8 +68,8 @@
   for (int index = 0; index < requests; ++index) {
     script.requests.push_back(arbitraryRequest());
   }
-  script.diesAtCall = *rc::gen::inRange(0, 60);
-  script.diesAfterCall = *rc::gen::arbitrary<bool>();
+  script.crashesAtCall = *rc::gen::inRange(0, 60);
+  script.crashesAfterCall = *rc::gen::arbitrary<bool>();
   return script;
 }
 
@@ -91,10 +91,10 @@
   return formatService(service);
 }
 
-/** One node's view of the shared store: others may run before each call, and the node may die. */
-class SteppedStore : public PlatformStore {
+/** The shared store as used by one node: yields before each call, and may crash the node. */
+class InterleavingStore : public PlatformStore {
  public:
-  SteppedStore(PlatformStore& store, TurnScheduler& scheduler, const Script& script)
+  InterleavingStore(PlatformStore& store, TurnScheduler& scheduler, const Script& script)
       : store_(store), scheduler_(scheduler), script_(script) {}
 
   Result<ObjectList, StoreError> list(Collection collection) override {
@@ -109,8 +109,8 @@
   Result<uint64_t, StoreError> remove(const StoredObject& object) override {
     return step([&] { return store_.remove(object); });
   }
-  Result<WatchBatch, StoreError> watch(uint64_t since, Duration patience) override {
-    return store_.watch(since, patience);
+  Result<WatchBatch, StoreError> watch(uint64_t since, Duration longPollTimeout) override {
+    return store_.watch(since, longPollTimeout);
   }
   Result<std::vector<Machine>, StoreError> machines() override { return store_.machines(); }
 
@@ -118,13 +118,13 @@
   template <class Call>
   auto step(const Call& call) -> decltype(call()) {
     scheduler_.yield();
-    const bool dies = ++calls_ == script_.diesAtCall;
-    if (dies && !script_.diesAfterCall) {
-      throw NodeDied{};
+    const bool crashes = ++calls_ == script_.crashesAtCall;
+    if (crashes && !script_.crashesAfterCall) {
+      throw NodeCrashed{};
     }
     auto answer = call();
-    if (dies) {
-      throw NodeDied{};
+    if (crashes) {
+      throw NodeCrashed{};
     }
     return answer;
   }
@@ -135,13 +135,13 @@
   int calls_ = 0;
 };
 
-/** What an operator asked for and was told. */
-struct Told {
+/** A request of an operator and its reported outcome. */
+struct ReportedOutcome {
   ChangeRequest request;
   ChangeOutcome outcome;
 };
 
-/** All nodes, the store between them, and what everybody was told. */
+/** All nodes, the shared store, and all reported outcomes. */
 class Race {
  public:
   void run(const std::vector<Script>& scripts, const std::vector<uint8_t>& turns) {
@@ -158,16 +158,16 @@
     store_.readFaults.assign(reads.begin(), reads.end());
   }
 
-  /** Requests that were under way arrive while others work. */
-  void deliverDelayedAt(size_t request) { deliverBefore_ = request; }
+  /** Delivers delayed requests while other nodes are running. */
+  void deliverDelayedAt(size_t request) { deliverAtRequest_ = request; }
 
-  void settle() {
+  void deliverOutstanding() {
     setFaults({}, {});
     store_.deliverDelayed();
   }
 
-  /** No state that the store ever had gives one address or host to two services. */
-  void checkNothingIsShared() const {
+  /** Checks that no state of the store ever gave one address or host to two services. */
+  void checkNoSharedEndpoints() const {
     std::map<std::string, Service> live;
     for (const StoredObject& event : store_.events()) {
       const auto service = parseService(event.name, event.specification);
@@ -181,24 +181,24 @@
     }
   }
 
-  void checkTruth() const {
+  void checkReportedOutcomes() const {
     std::map<std::string, int> applied;
     for (const StoredObject& event : store_.events()) {
       ++applied[event.history.front().requestId];
     }
-    for (const Told& told : told_) {
-      const auto found = applied.find(told.request.requestId);
+    for (const ReportedOutcome& reported : reported_) {
+      const auto found = applied.find(reported.request.requestId);
       const int times = found == applied.end() ? 0 : found->second;
-      if (std::holds_alternative<ChangeAccepted>(told.outcome)) {
+      if (std::holds_alternative<ChangeAccepted>(reported.outcome)) {
         RC_ASSERT(times == 1);
-      } else if (!std::holds_alternative<ChangeUnknown>(told.outcome)) {
+      } else if (!std::holds_alternative<ChangeUnknown>(reported.outcome)) {
         RC_ASSERT(times == 0);
       }
     }
   }
 
-  /** A new service gets, at its first try, an address and all the hosts that no service holds. */
-  void checkWhatIsFreeCanBeHad() {
+  /** Checks that a new service gets an address and all hosts that no service holds. */
+  void checkUnclaimedKeysCanBeClaimed() {
     for (uint8_t address = 0; address < kAddresses; ++address) {
       Request request;
       request.service = static_cast<uint8_t>(kServices + address);
@@ -216,7 +216,7 @@
 
  private:
   void operate(size_t index, const Script& script) {
-    SteppedStore store(store_, scheduler_, script);
+    InterleavingStore store(store_, scheduler_, script);
     TurnClock clock(scheduler_);
     ChangeCoordinator coordinator(store, clock, index);
     try {
@@ -227,13 +227,13 @@
           continue;
         }
         const ChangeRequest change = changeOf(request, base);
-        told_.push_back({change, coordinator.submit(change)});
-        if (told_.size() == deliverBefore_) {
+        reported_.push_back({change, coordinator.submit(change)});
+        if (reported_.size() == deliverAtRequest_) {
           store_.deliverDelayed();
         }
       }
-    } catch (const NodeDied&) {
-      // Its operator is told nothing; what it had sent may still arrive.
+    } catch (const NodeCrashed&) {
+      // Its operator gets no outcome; requests that it sent may still arrive.
     }
   }
 
@@ -298,16 +298,16 @@
 
   FakePlatformStore store_;
   TurnScheduler scheduler_;
-  std::vector<Told> told_;
+  std::vector<ReportedOutcome> reported_;
   size_t requests_ = 0;
-  size_t deliverBefore_ = 0;
+  size_t deliverAtRequest_ = 0;
 };
 
 }  // namespace
 
 TEST_GROUP_BASE(EndpointClaims, test::WithoutLeakDetection){};
 
-TEST(EndpointClaims, NoTwoServicesEverShareAnAddressOrAHost) {
+TEST(EndpointClaims, NoTwoServicesShareAddressOrHost) {
   const bool holds = rc::check("no two services share an address or a host", [] {
     Race race;
     const auto turns = *rc::gen::container<std::vector<uint8_t>>(32, rc::gen::arbitrary<uint8_t>());
@@ -322,11 +322,11 @@
                        rc::gen::element(StoreFault::kNone, StoreFault::kUnavailable)));
     race.deliverDelayedAt(*rc::gen::inRange<size_t>(0, 6));
     race.run(scripts, turns);
-    race.settle();
-    race.checkNothingIsShared();
-    race.checkTruth();
-    race.checkWhatIsFreeCanBeHad();
-    race.checkNothingIsShared();
+    race.deliverOutstanding();
+    race.checkNoSharedEndpoints();
+    race.checkReportedOutcomes();
+    race.checkUnclaimedKeysCanBeClaimed();
+    race.checkNoSharedEndpoints();
   });
   CHECK_TRUE(holds);
 }
--- a/test/common/admin/endpoint_claims_test.cc
+++ b/test/common/admin/endpoint_claims_test.cc
@@ -1,4 +1,4 @@
-/** @file What claims of addresses and hosts cost in store calls, and how a dead writer's goes. */
+/** @file Store calls needed for claims of addresses and hosts; takeover of a failed writer's. */
 #include <string>
 #include <variant>
 
@@ -46,34 +46,34 @@
   }
 };
 
-TEST(EndpointClaimCost, ACreationCostsOneCallForTheAddressAndEachHost) {
+TEST(EndpointClaimCost, CreationCostsOneCallPerAddressAndHost) {
   CHECK_EQUAL(2 + 1 + kHosts, callsFor(changeTo(dispatch, 0)));
   CHECK_EQUAL(1 + kHosts, claimCount());
 }
 
-TEST(EndpointClaimCost, AChangeThatMovesNothingCostsNoCall) {
+TEST(EndpointClaimCost, ChangeWithoutNewKeysCostsNoCall) {
   const uint64_t base = accepted(changeTo(dispatch, 0));
   dispatch.hosts[0].state = HostState::kDraining;
   CHECK_EQUAL(2, callsFor(changeTo(dispatch, base)));
 }
 
-TEST(EndpointClaimCost, AHostThatComesCostsOneCallAndOneThatGoesTwo) {
+TEST(EndpointClaimCost, AddedHostCostsOneCallAndRemovedHostTwo) {
   const uint64_t base = accepted(changeTo(dispatch, 0));
   dispatch.hosts[0].endpoint.port = 9999;
   CHECK_EQUAL(2 + 1 + 2, callsFor(changeTo(dispatch, base)));
   CHECK_EQUAL(1 + kHosts, claimCount());
 }
 
-TEST(EndpointClaimCost, ADeletionGivesEverythingBack) {
+TEST(EndpointClaimCost, DeletionReleasesAllClaims) {
   ChangeRequest deletion = changeTo(dispatch, accepted(changeTo(dispatch, 0)));
   deletion.specification = kDeletionMarker;
   CHECK_EQUAL(2 + 2 * (1 + kHosts), callsFor(deletion));
   CHECK_EQUAL(0, claimCount());
 }
 
-TEST(EndpointClaimCost, AClaimWhoseWriterDiedIsTakenOverAndItsLateChangeFails) {
+TEST(EndpointClaimCost, TakesOverClaimOfFailedWriterAndItsDelayedChangeFails) {
   const Service lost = makeService("lost", 1, 0);
-  // The claim is in; the change itself stays under way, and its writer is heard of no more.
+  // The claim is stored; the change itself is delayed, and its writer has failed.
   store.changeFaults = {StoreFault::kNone, StoreFault::kDelayed};
   store.readFaults = {StoreFault::kNone};
   store.readFaults.insert(store.readFaults.end(), 100, StoreFault::kUnavailable);
@@ -87,18 +87,18 @@
   CHECK_EQUAL(0, store.deliverDelayed());
 }
 
-TEST(EndpointClaimCost, AnOldClaimDoesNotCoverANewCreation) {
+TEST(EndpointClaimCost, OldClaimDoesNotCoverNewCreation) {
   Service lost = makeService("lost", 1, 0);
   ChangeRequest deletion = changeTo(lost, accepted(changeTo(lost, 0)));
   deletion.specification = kDeletionMarker;
-  // The claim stays behind: its release fails at its read.
+  // The claim is not removed: its release fails at the read.
   store.readFaults = {StoreFault::kNone, StoreFault::kUnavailable};
   const uint64_t deleted = accepted(deletion);
   CHECK_EQUAL(1, claimCount());
 
   ChangeRequest again = changeTo(lost, 0);
   again.requestId = "again";
-  // The claim fails to be created, is read and rewritten; the creation itself stays under way.
+  // Creating the claim fails; it is read and rewritten. The creation of the service is delayed.
   store.changeFaults = {StoreFault::kNone, StoreFault::kNone, StoreFault::kDelayed};
   store.readFaults = {StoreFault::kNone, StoreFault::kNone};
   store.readFaults.insert(store.readFaults.end(), 100, StoreFault::kUnavailable);
--- a/test/common/admin/racing_operators_test.cc
+++ b/test/common/admin/racing_operators_test.cc
@@ -1,4 +1,4 @@
-/** @file Operators on two nodes race over a real connection to a store that loses answers. */
+/** @file Operators on two nodes change a store concurrently, over connections with lost answers. */
 #include <algorithm>
 #include <map>
 #include <string>
@@ -23,20 +23,20 @@
 constexpr int kChangesEach = 25;
 constexpr uint8_t kRounds = 20;
 
-struct Told {
+struct ReportedOutcome {
   std::string requestId;
   uint64_t base = 0;
   ChangeOutcome outcome;
 };
 
-CallLimits quickCalls() {
+CallLimits shortCallLimits() {
   CallLimits limits;
   limits.connect = std::chrono::milliseconds(500);
   limits.answer = std::chrono::seconds(2);
   return limits;
 }
 
-ChangeLimits patientChanges() {
+ChangeLimits fastRetryLimits() {
   ChangeLimits limits;
   limits.backOff.initialDelay = std::chrono::milliseconds(1);
   limits.backOff.maxDelay = std::chrono::milliseconds(20);
@@ -44,12 +44,12 @@
   return limits;
 }
 
-/** Changes one object again and again, each time from the version that it last saw. */
-std::vector<Told> operate(const std::string& name, const Endpoint& api) {
-  HttpPlatformStore store(api, quickCalls());
+/** Changes one object repeatedly, each time based on the version last read. */
+std::vector<ReportedOutcome> operate(const std::string& name, const Endpoint& api) {
+  HttpPlatformStore store(api, shortCallLimits());
   SystemCallClock clock;
-  ChangeCoordinator coordinator(store, clock, std::hash<std::string>{}(name), patientChanges());
-  std::vector<Told> told;
+  ChangeCoordinator coordinator(store, clock, std::hash<std::string>{}(name), fastRetryLimits());
+  std::vector<ReportedOutcome> reported;
   for (int change = 0; change < kChangesEach; ++change) {
     const auto current = coordinator.read(Collection::kServices, "dispatch");
     ChangeRequest request;
@@ -59,16 +59,16 @@
     request.specification = "{\"by\":\"" + request.requestId + "\"}";
     request.author = name;
     request.summary = "apply";
-    told.push_back({request.requestId, request.expectedVersion, coordinator.submit(request)});
+    reported.push_back({request.requestId, request.expectedVersion, coordinator.submit(request)});
   }
-  return told;
+  return reported;
 }
 
-/** Creates a service with the round's address, which a rival wants as well. */
+/** Creates a service with the round's address, for which a second operator competes. */
 ChangeOutcome createService(const std::string& name, uint8_t round, const Endpoint& api) {
-  HttpPlatformStore store(api, quickCalls());
+  HttpPlatformStore store(api, shortCallLimits());
   SystemCallClock clock;
-  ChangeCoordinator coordinator(store, clock, std::hash<std::string>{}(name), patientChanges());
+  ChangeCoordinator coordinator(store, clock, std::hash<std::string>{}(name), fastRetryLimits());
   ChangeRequest request;
   request.name = name + "-" + std::to_string(round);
   request.requestId = request.name;
@@ -77,9 +77,9 @@
   return coordinator.submit(request);
 }
 
-/** @return how often each request took effect, from every state that the object had. */
+/** @return how often each request was applied, from all states that the object had. */
 std::map<std::string, int> effectsIn(const Endpoint& api) {
-  HttpPlatformStore store(api, quickCalls());
+  HttpPlatformStore store(api, shortCallLimits());
   std::map<std::string, int> effects;
   const auto batch = store.watch(0, Duration::zero());
   CHECK_TRUE(isOk(batch));
@@ -91,13 +91,13 @@
 
 }  // namespace
 
-TEST_GROUP_BASE(RacingOperators, test::WithoutLeakDetection) {
+TEST_GROUP_BASE(ConcurrentOperators, test::WithoutLeakDetection) {
   standins::PlatformServer server{standins::PlatformServerOptions{}};
 
-  void check(const std::vector<Told>& told) {
+  void check(const std::vector<ReportedOutcome>& reported) {
     const auto effects = effectsIn(server.api());
     std::map<uint64_t, int> acceptedPerBase;
-    for (const Told& each : told) {
+    for (const ReportedOutcome& each : reported) {
       const auto found = effects.find(each.requestId);
       const int times = found == effects.end() ? 0 : found->second;
       if (std::holds_alternative<ChangeAccepted>(each.outcome)) {
@@ -112,12 +112,12 @@
   }
 };
 
-TEST(RacingOperators, AreToldTheTruthThoughAnswersAreLost) {
+TEST(ConcurrentOperators, ReportedOutcomesMatchStoreDespiteLostAnswers) {
   standins::FaultSettings faults;
   faults.loseAnswersProbability = 0.3;
   server.setFaults(faults);
-  std::vector<Told> first;
-  std::vector<Told> second;
+  std::vector<ReportedOutcome> first;
+  std::vector<ReportedOutcome> second;
   std::thread other([&] { second = operate("bekele", server.api()); });
   first = operate("amina", server.api());
   other.join();
@@ -125,7 +125,7 @@
   check(first);
 }
 
-TEST(RacingOperators, OneOfTwoServicesGetsAnAddressAndTheOtherIsToldWhoHasIt) {
+TEST(ConcurrentOperators, OneOfTwoServicesGetsAddressAndOtherIsBlocked) {
   standins::FaultSettings faults;
   faults.loseAnswersProbability = 0.3;
   server.setFaults(faults);
@@ -142,7 +142,7 @@
   }
 }
 
-TEST(RacingOperators, AChangeThatArrivesLateIsInOnce) {
+TEST(ConcurrentOperators, DelayedChangeIsAppliedOnce) {
   standins::FaultSettings faults;
   faults.lateChangesNext = 5;
   faults.lateBy = std::chrono::milliseconds(30);
--- a/test/common/admin/validation_test.cc
+++ b/test/common/admin/validation_test.cc
@@ -58,7 +58,7 @@
   }
 };
 
-TEST(Validation, AcceptsAServiceAndItsOwnRepeat) {
+TEST(Validation, AcceptsServiceAndItsRepetition) {
   known.services = {service, makeService("mapstore", 2, 4)};
   CHECK_EQUAL(0, check().size());
   CHECK_EQUAL(0, check(&service).size());
@@ -71,7 +71,7 @@
   checkOnly(ValidationCode::kAddressInUse, "address");
 }
 
-TEST(Validation, TakesTheSameAddressWithAnotherProtocol) {
+TEST(Validation, AcceptsSameAddressWithAnotherProtocol) {
   Service other = makeService("mapstore", 2, 1);
   other.address = service.address;
   other.protocol = TransportProtocol::kUdp;
@@ -86,7 +86,7 @@
   checkOnly(ValidationCode::kHostEndpointInUse, "hosts[2].address");
 }
 
-TEST(Validation, RefusesHostsThatAreTheSame) {
+TEST(Validation, RefusesDuplicateHosts) {
   service.hosts[2].name = service.hosts[0].name;
   service.hosts[1].endpoint = service.hosts[0].endpoint;
   const ValidationErrors errors = check();
@@ -95,7 +95,7 @@
   CHECK_TRUE(has(errors, ValidationCode::kDuplicateHostEndpoint, "hosts[1].address"));
 }
 
-TEST(Validation, TakesGroupsInPlaceOfHostsOnly) {
+TEST(Validation, AcceptsEitherGroupsOrHosts) {
   service.groups = {{"dispatch-hosts", 90}, {"map-hosts", 10}};
   checkOnly(ValidationCode::kInvalidGroups, "groups");
   service.hosts.clear();
@@ -128,7 +128,7 @@
   CHECK_EQUAL(5, errors.size());
 }
 
-TEST(Validation, RefusesMoreHostsThanFit) {
+TEST(Validation, RefusesTooManyHosts) {
   service.hosts.resize(kMaxHosts + 1);
   checkOnly(ValidationCode::kTooManyHosts, "hosts");
 }
@@ -159,7 +159,7 @@
   checkOnly(ValidationCode::kHostNotDrained, "hosts", &current);
 }
 
-TEST(Validation, RefusesToCutFlowsUnlessTold) {
+TEST(Validation, RefusesToCutFlowsUnlessForced) {
   const Service current = service;
   service.shardCount += 1;
   checkOnly(ValidationCode::kImmutableField, "shards", &current);
@@ -175,7 +175,7 @@
   CHECK_EQUAL(0, validateServiceDeletion(service, options).size());
 }
 
-TEST(Validation, DecidesNothingWhenTheConfigurationIsUnreadable) {
+TEST(Validation, ReportsUnreadableConfiguration) {
   known.readable = false;
   CHECK_FALSE(isOk(validateService(service, nullptr, known, options)));
 }
--- a/test/common/ctl/command_line_test.cc
+++ b/test/common/ctl/command_line_test.cc
@@ -9,7 +9,7 @@
 
 namespace umberhold {
 
-// TCLAP keeps its visitors until the process ends.
+// TCLAP frees its visitors only at process exit.
 TEST_GROUP_BASE(CommandLine, test::WithoutLeakDetection){
     Result<CommandLine, UsageError> parse(std::vector<std::string> words){
         words.insert(words.begin(), {"umberholdctl", "--server", "127.0.0.1:9000"});
@@ -37,8 +37,8 @@
   CHECK_FALSE(std::get<DrainCommand>(valueOf(undrain).command).drain);
 }
 
-TEST(CommandLine, RefusesWhatItDoesNotUnderstand) {
-  const std::vector<std::vector<std::string>> wrong = {
+TEST(CommandLine, RefusesInvalidArguments) {
+  const std::vector<std::vector<std::string>> invalid = {
       {"frobnicate"},
       {"apply"},
       {"apply", "-f", "a.toml", "--overwrite", "--if-version", "1"},
@@ -50,7 +50,7 @@
       {"status", "--unheard-of"},
       {"drain", "dispatch", "dispatch-1", "--deadline", "soon"},
   };
-  for (const auto& words : wrong) {
+  for (const auto& words : invalid) {
     CHECK_FALSE(isOk(parse(words)));
   }
   CHECK_FALSE(isOk(parseCommandLine({"umberholdctl", "status"})));
--- a/test/common/ctl/command_runner_test.cc
+++ b/test/common/ctl/command_runner_test.cc
@@ -1,4 +1,4 @@
-/** @file Commands against the real admin API in process, over a transport that fails on request. */
+/** @file Runs commands against an in-process admin API, over a transport that injects faults. */
 #include "common/ctl/command_runner.h"
 
 #include <Poco/TemporaryFile.h>
@@ -32,7 +32,7 @@
  public:
   explicit InProcessTransport(AdminHandler& handler) : handler_(handler) {}
 
-  /** Faults of the changes to come; dry runs and reads never fail. */
+  /** Faults of the next changes; dry runs and reads never fail. */
   std::deque<TransportFault> changeFaults;
   std::vector<AdminRequest> changesSent;
 
@@ -71,7 +71,7 @@
 
 }  // namespace
 
-// The generator of request ids and the JSON parser of the library keep state.
+// The library's generator of request ids and JSON parser keep allocated state.
 TEST_GROUP_BASE(CommandRunner, test::WithoutLeakDetection) {
   FakePlatformStore store;
   ManualClock clock;
@@ -118,7 +118,7 @@
   }
 };
 
-TEST(CommandRunner, AppliesOnceThenSaysUnchanged) {
+TEST(CommandRunner, AppliesOnceThenReportsUnchanged) {
   write(makeService("dispatch", 1, 2));
   expect(ExitStatus::kOk, applyFile());
   expect(ExitStatus::kOk, applyFile());
@@ -128,7 +128,7 @@
   CHECK_EQUAL(1, store.events().size());
 }
 
-TEST(CommandRunner, OverwritesNothingUnseen) {
+TEST(CommandRunner, DoesNotOverwriteUnreadChanges) {
   Service service = makeService("dispatch", 1, 2);
   write(service);
   expect(ExitStatus::kOk, applyFile());
@@ -148,7 +148,7 @@
   CHECK_EQUAL(3, store.events().size());
 }
 
-TEST(CommandRunner, AnInvalidServiceChangesNothing) {
+TEST(CommandRunner, InvalidServiceChangesNothing) {
   Service service = makeService("dispatch", 1, 2);
   service.hosts[1].name = service.hosts[0].name;
   write(service);
@@ -170,7 +170,7 @@
   CHECK_EQUAL(1, store.events().size());
 }
 
-TEST(CommandRunner, AfterALostAnswerTheRepeatCarriesTheSameIdAndSaysSo) {
+TEST(CommandRunner, RetryAfterLostAnswerHasSameIdAndIsMarkedRepeated) {
   write(makeService("dispatch", 1, 2));
   transport.changeFaults = {TransportFault::kAnswerLost};
   expect(ExitStatus::kOk, applyFile());
@@ -181,21 +181,21 @@
   CHECK_EQUAL(1, store.events().size());
 }
 
-TEST(CommandRunner, AServerThatWasNotReachedIsNoReasonForARepeat) {
+TEST(CommandRunner, RequestThatWasNotSentIsNotMarkedRepeated) {
   write(makeService("dispatch", 1, 2));
   transport.changeFaults = {TransportFault::kNotSent};
   expect(ExitStatus::kOk, applyFile());
   CHECK_FALSE(transport.changesSent[1].findQuery("repeated").has_value());
 }
 
-TEST(CommandRunner, NoServerReachedIsUnavailable) {
+TEST(CommandRunner, ReportsUnavailableIfNoServerIsReached) {
   write(makeService("dispatch", 1, 2));
   transport.changeFaults.assign(200, TransportFault::kNotSent);
   expect(ExitStatus::kUnavailable, applyFile());
   CHECK_EQUAL(0, store.events().size());
 }
 
-TEST(CommandRunner, ALostAnswerThatStaysLostIsUnknownAndCanBeAskedForLater) {
+TEST(CommandRunner, LostAnswerIsUnknownAndCanBeQueriedLater) {
   write(makeService("dispatch", 1, 2));
   transport.changeFaults = {TransportFault::kAnswerLost};
   transport.changeFaults.resize(200, TransportFault::kNotSent);
@@ -206,7 +206,7 @@
   expect(ExitStatus::kNotFound, RequestCommand{"never", std::nullopt, ""});
 }
 
-TEST(CommandRunner, WaitsUntilInForceAndGivesUpInTime) {
+TEST(CommandRunner, WaitsUntilEffectiveOrTimeout) {
   write(makeService("dispatch", 1, 2));
   node.coverageNow.nodes = 6;
   node.coverageNow.nodesAtVersion = 6;
@@ -221,7 +221,7 @@
   STRCMP_CONTAINS("applied on 4 of 6", errors.str().c_str());
 }
 
-TEST(CommandRunner, DrainsAndShowsIt) {
+TEST(CommandRunner, DrainsHostAndShowsState) {
   write(makeService("dispatch", 1, 2));
   expect(ExitStatus::kOk, applyFile());
   DrainCommand drain{"dispatch", "dispatch-1", true, 60, std::nullopt, false, 0};
@@ -234,7 +234,7 @@
   STRCMP_CONTAINS("drain dispatch-1 within 60 s", out.str().c_str());
 }
 
-TEST(CommandRunner, AWrongTokenIsNotAuthorized) {
+TEST(CommandRunner, WrongTokenIsNotAuthorized) {
   AdminClient stranger({{1, 1}}, "guess", transport, clock, random);
   const CommandContext strange{stranger, clock, out, errors, OutputFormat::kTable, "", {}};
   CHECK_EQUAL(static_cast<int>(ExitStatus::kNotAuthorized),
--- a/test/common/ctl/document_test.cc
+++ b/test/common/ctl/document_test.cc
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-// POCO's JSON parser keeps buffers between uses.
+// POCO's JSON parser keeps its buffers allocated between uses.
 TEST_GROUP_BASE(Document, test::WithoutLeakDetection){
     DocumentError errorIn(const std::string& file, const std::string& text){
         const auto documents = parseDocuments(file, text);
@@ -66,7 +66,7 @@
   }
 }
 
-TEST(Document, NamesTheLineAndKeyOfAWrongValue) {
+TEST(Document, ReportsLineAndKeyOfInvalidValue) {
   std::string text = kTomlService;
   text += "weight = \"heavy\"\n";
   checkError(DocumentErrorCode::kSpecification, 13, "service[0].hosts[0].weight",
@@ -77,14 +77,14 @@
              errorIn("a.toml", text));
 }
 
-TEST(Document, NamesTheObjectOfAMissingKey) {
+TEST(Document, ReportsObjectOfMissingKey) {
   const std::string text = "[[service]]\nname = \"dispatch\"\nregion = \"addis\"\n";
   const DocumentError error = errorIn("a.toml", text);
   CHECK_EQUAL(1, error.line);
   CHECK_TRUE(error.code == DocumentErrorCode::kSpecification);
 }
 
-TEST(Document, RefusesWhatItDoesNotKnow) {
+TEST(Document, RefusesUnknownKindsKeysAndFormats) {
   checkError(DocumentErrorCode::kUnknownFormat, 0, "", errorIn("a.yaml", ""));
   checkError(DocumentErrorCode::kSyntax, 2, "", errorIn("a.toml", "[[service]]\nname =\n"));
   checkError(DocumentErrorCode::kUnknownKind, 1, "lease", errorIn("a.toml", "[[lease]]\n"));
@@ -97,7 +97,7 @@
   CHECK_FALSE(isOk(loadDocuments("/nowhere/a.toml")));
 }
 
-TEST(Document, NamesTheLineOfASyntaxErrorInJson) {
+TEST(Document, ReportsLineOfJsonSyntaxError) {
   checkError(DocumentErrorCode::kSyntax, 1, "", errorIn("a.json", "{"));
   checkError(DocumentErrorCode::kSyntax, 3, "", errorIn("a.json", "{\n\"kind\":\n}\n\n\n"));
   checkError(DocumentErrorCode::kSyntax, 3, "", errorIn("a.json", "{\"a\":1,\n\n\"b\":tru\n}"));
@@ -108,14 +108,14 @@
   STRCMP_CONTAINS("a.json:3: ", toString(errorIn("a.json", "{\n\n]")).c_str());
 }
 
-TEST(Document, NamesThePlaceOfAWrongValueInJson) {
+TEST(Document, ReportsPathOfInvalidJsonValue) {
   std::string text = R"([{"kind":"service","name":"dispatch","region":"addis",
       "address":"10.0.0.1","port":443,"protocol":"tcp",
       "hosts":[{"name":"dispatch-0","address":"10.1.0.1:6080","zone":"bole","weight":"heavy"}]}])";
   checkError(DocumentErrorCode::kSpecification, 0, "$[0].hosts[0].weight", errorIn("a.json", text));
 }
 
-TEST(Document, RefusesAVersionThatIsNoNumber) {
+TEST(Document, RefusesNonNumericVersion) {
   for (const std::string version : {"\"seven\"", "\"7\"", "-1", "[1]", "7.5", "true", "null"}) {
     const std::string text = R"([{"kind":"service","name":"d","version":)" + version + "}]";
     checkError(DocumentErrorCode::kVersion, 0, "$[0].version", errorIn("a.json", text));
@@ -126,7 +126,7 @@
   }
 }
 
-TEST(Document, RefusesAnObjectThatStandsTwice) {
+TEST(Document, RefusesDuplicateObject) {
   const std::string twice = std::string(kTomlService) + kTomlService;
   checkError(DocumentErrorCode::kDuplicate, 14, "service[1].name", errorIn("a.toml", twice));
 }
--- a/test/common/ctl/owner_explanation_test.cc
+++ b/test/common/ctl/owner_explanation_test.cc
@@ -1,4 +1,4 @@
-/** @file Explanations that name another node as owner, over the real admin API of three nodes. */
+/** @file Explanations of flows with a remote owner, with the admin API of three nodes. */
 #include "common/ctl/owner_explanation.h"
 
 #include <map>
@@ -20,14 +20,14 @@
 namespace umberhold {
 namespace {
 
-/** A node of the region with its own admin API. */
+/** A node with its own admin API. */
 struct Node {
   Node(FakePlatformStore& store, ManualClock& clock, uint32_t number)
       : changes(store, clock, number), api("secret", store, changes, status, policies, clock) {
     status.id = NodeId{number};
   }
 
-  void pointTo(std::optional<NodeId> owner) {
+  void setRemoteOwner(std::optional<NodeId> owner) {
     status.knowledge = FlowKnowledge::kOwnedElsewhere;
     status.owner = owner;
   }
@@ -38,7 +38,7 @@
   AdminApi api;
 };
 
-/** Reaches node N at address N; counts the explanations that were asked for. */
+/** Routes requests for address N to node N and records them. */
 class NodesTransport : public AdminTransport {
  public:
   explicit NodesTransport(ManualClock& clock) : clock_(clock) {}
@@ -48,9 +48,9 @@
   std::vector<uint32_t> statusAt;
   /** Fails every explanation after the first one. */
   bool failSecondExplanation = false;
-  /** Node that answers every explanation as one that is busy; 0 for none. */
+  /** Node that responds to every explain request with 503; 0 for none. */
   uint32_t busyNode = 0;
-  /** How long each try takes. */
+  /** Duration of each attempt. */
   Duration delay{};
 
   Result<AdminResponse, TransportError> send(const Endpoint& server,
@@ -74,7 +74,7 @@
 
 }  // namespace
 
-// The JSON parser of the library keeps state.
+// The library's JSON parser keeps allocated state.
 TEST_GROUP_BASE(OwnerExplanation, test::WithoutLeakDetection) {
   FakePlatformStore store;
   ManualClock clock;
@@ -106,8 +106,8 @@
   }
 };
 
-TEST(OwnerExplanation, AsksTheOwnerOnceAndPrintsItsAnswer) {
-  first.pointTo(NodeId{3});
+TEST(OwnerExplanation, QueriesOwnerOnceAndPrintsItsResponse) {
+  first.setRemoteOwner(NodeId{3});
   third.status.knowledge = FlowKnowledge::kEstablished;
   explainWith({{1, 1}, {2, 1}, {3, 1}});
   STRCMP_CONTAINS("established", out.str().c_str());
@@ -116,7 +116,7 @@
   checkExplainedAt({1, 3});
 }
 
-TEST(OwnerExplanation, AFlowOfTheNodeItselfIsNotFollowed) {
+TEST(OwnerExplanation, LocalFlowCausesNoFurtherQuery) {
   first.status.owner = NodeId{1};
   explainWith({{1, 1}, {3, 1}});
   STRCMP_CONTAINS("would_place", out.str().c_str());
@@ -124,16 +124,16 @@
   CHECK_TRUE(transport.statusAt.empty());
 }
 
-TEST(OwnerExplanation, AnOwnerThatPointsBackIsNotFollowedFurther) {
-  first.pointTo(NodeId{3});
-  third.pointTo(NodeId{1});
+TEST(OwnerExplanation, OwnerThatRefersToAnotherNodeIsNotFollowed) {
+  first.setRemoteOwner(NodeId{3});
+  third.setRemoteOwner(NodeId{1});
   explainWith({{1, 1}, {2, 1}, {3, 1}});
   checkFirstAnswerWith("node 3, gave no explanation: it names another owner (owner_moved)");
   checkExplainedAt({1, 3});
 }
 
-TEST(OwnerExplanation, AnOwnerOutsideTheListIsNamedAndNotAsked) {
-  first.pointTo(NodeId{3});
+TEST(OwnerExplanation, ReportsUnlistedOwnerWithoutQueryingIt) {
+  first.setRemoteOwner(NodeId{3});
   explainWith({{1, 1}, {2, 1}, {9, 1}});
   checkFirstAnswerWith("none of 3 servers is this node, 1 gave no answer");
   checkFirstAnswerWith("node 3, gave no explanation");
@@ -142,13 +142,13 @@
   CHECK_EQUAL(3, transport.statusAt.size());
 }
 
-TEST(OwnerExplanation, SaysWhyTheOwnerGaveNone) {
-  first.pointTo(std::nullopt);
+TEST(OwnerExplanation, ReportsReasonForMissingOwnerExplanation) {
+  first.setRemoteOwner(std::nullopt);
   explainWith({{1, 1}, {3, 1}});
   checkFirstAnswerWith("(owner_unknown)");
   checkExplainedAt({1});
 
-  first.pointTo(NodeId{3});
+  first.setRemoteOwner(NodeId{3});
   transport.explainedAt.clear();
   transport.failSecondExplanation = true;
   explainWith({{1, 1}, {3, 1}});
@@ -156,16 +156,16 @@
   checkExplainedAt({1, 3});
 }
 
-TEST(OwnerExplanation, AnOwnerThatRefusesIsNotAskedAgain) {
-  first.pointTo(NodeId{3});
+TEST(OwnerExplanation, OwnerThatRefusesIsNotQueriedAgain) {
+  first.setRemoteOwner(NodeId{3});
   transport.busyNode = 3;
   explainWith({{1, 1}, {3, 1}});
   checkFirstAnswerWith("node 3, gave no explanation: busy (owner_refused)");
   checkExplainedAt({1, 3});
 }
 
-TEST(OwnerExplanation, TheSearchEndsAtTheClientsDeadline) {
-  first.pointTo(NodeId{3});
+TEST(OwnerExplanation, SearchEndsAtClientDeadline) {
+  first.setRemoteOwner(NodeId{3});
   transport.delay = std::chrono::seconds(15);
   explainWith({{1, 1}, {2, 1}, {9, 1}, {3, 1}});
   checkFirstAnswerWith("(owner_not_listed)");
