--- a/test/common/admin/validation_test.cc
+++ b/test/common/admin/validation_test.cc
@@ -64,7 +64,7 @@
   CHECK_EQUAL(0, check(&service).size());
 }
 
-TEST(Validation, RefusesTheAddressOfAnotherService) {
+TEST(Validation, RejectsAddressOfAnotherService) {
   Service other = makeService("mapstore", 2, 1);
   other.address = service.address;
   known.services = {other};
@@ -79,14 +79,14 @@
   CHECK_EQUAL(0, check().size());
 }
 
-TEST(Validation, RefusesAHostOfAnotherService) {
+TEST(Validation, RejectsHostOfAnotherService) {
   Service other = makeService("mapstore", 2, 2);
   other.hosts[1].endpoint = service.hosts[2].endpoint;
   known.services = {other};
   checkOnly(ValidationCode::kHostEndpointInUse, "hosts[2].address");
 }
 
-TEST(Validation, RefusesDuplicateHosts) {
+TEST(Validation, RejectsDuplicateHosts) {
   service.hosts[2].name = service.hosts[0].name;
   service.hosts[1].endpoint = service.hosts[0].endpoint;
   const ValidationErrors errors = check();
@@ -106,14 +106,14 @@
   checkOnly(ValidationCode::kOutOfRange, "groups[1].share");
 }
 
-TEST(Validation, ChecksTheHostsOfAPool) {
+TEST(Validation, ChecksHostsOfPool) {
   HostPool pool{"dispatch-hosts", service.hosts};
   CHECK_EQUAL(0, validateHostPool(pool).size());
   pool.hosts[1].name = pool.hosts[0].name;
   CHECK_TRUE(has(validateHostPool(pool), ValidationCode::kDuplicateHostName, "hosts[1].name"));
 }
 
-TEST(Validation, RefusesNamesAndNumbersOutOfRange) {
+TEST(Validation, RejectsNamesAndNumbersOutOfRange) {
   service.shardCount = kMaxShards + 1;
   service.idleTimeoutSeconds = kMinIdleTimeoutSeconds - 1;
   service.port = 0;
@@ -128,19 +128,19 @@
   CHECK_EQUAL(5, errors.size());
 }
 
-TEST(Validation, RefusesTooManyHosts) {
+TEST(Validation, RejectsTooManyHosts) {
   service.hosts.resize(kMaxHosts + 1);
   checkOnly(ValidationCode::kTooManyHosts, "hosts");
 }
 
-TEST(Validation, RefusesAnUnknownPolicy) {
+TEST(Validation, RejectsUnknownPolicy) {
   service.policy = "unheard-of";
   checkOnly(ValidationCode::kUnknownPolicy, "policy");
   service.policy = "known";
   CHECK_EQUAL(0, check().size());
 }
 
-TEST(Validation, RefusesToRemoveAHostBeforeItsDrainDeadline) {
+TEST(Validation, RejectsRemovalOfHostBeforeDrainDeadline) {
   Service current = service;
   service.hosts.pop_back();
   checkOnly(ValidationCode::kHostNotDrained, "hosts", &current);
@@ -153,13 +153,13 @@
   CHECK_EQUAL(0, check(&current).size());
 }
 
-TEST(Validation, RefusesToMoveAHostToAnotherEndpoint) {
+TEST(Validation, RejectsChangeOfHostEndpoint) {
   const Service current = service;
   service.hosts[0].endpoint.port += 1;
   checkOnly(ValidationCode::kHostNotDrained, "hosts", &current);
 }
 
-TEST(Validation, RefusesToCutFlowsUnlessForced) {
+TEST(Validation, RejectsCuttingFlowsUnlessForced) {
   const Service current = service;
   service.shardCount += 1;
   checkOnly(ValidationCode::kImmutableField, "shards", &current);
@@ -167,7 +167,7 @@
   CHECK_EQUAL(0, check(&current).size());
 }
 
-TEST(Validation, RefusesToDeleteAServiceWithActiveHosts) {
+TEST(Validation, RejectsDeletionOfServiceWithActiveHosts) {
   CHECK_EQUAL(3, validateServiceDeletion(service, options).size());
   for (HostSpec& host : service.hosts) {
     host.state = HostState::kDraining;
@@ -180,7 +180,7 @@
   CHECK_FALSE(isOk(validateService(service, nullptr, known, options)));
 }
 
-TEST(Validation, RefusesAPolicyThatDoesNotCompileOrIsTooLong) {
+TEST(Validation, RejectsPolicyThatDoesNotCompileOrIsTooLong) {
   FakePolicyEngine engine;
   CHECK_EQUAL(0, validatePolicy({"spread", "function weigh() end"}, engine).size());
   CHECK_TRUE(
@@ -190,7 +190,7 @@
       has(validatePolicy({"spread", tooLong}, engine), ValidationCode::kPolicyTooLong, "source"));
 }
 
-TEST(Validation, RefusesToDeleteAPolicyInUse) {
+TEST(Validation, RejectsDeletionOfPolicyInUse) {
   service.policy = "known";
   known.services = {service};
   CHECK_EQUAL(1, valueOf(validatePolicyDeletion("known", known)).size());
--- a/test/common/ctl/command_line_test.cc
+++ b/test/common/ctl/command_line_test.cc
@@ -37,7 +37,7 @@
   CHECK_FALSE(std::get<DrainCommand>(valueOf(undrain).command).drain);
 }
 
-TEST(CommandLine, RefusesInvalidArguments) {
+TEST(CommandLine, RejectsInvalidArguments) {
   const std::vector<std::vector<std::string>> invalid = {
       {"frobnicate"},
       {"apply"},
--- a/test/common/ctl/command_runner_test.cc
+++ b/test/common/ctl/command_runner_test.cc
@@ -157,15 +157,15 @@
   CHECK_EQUAL(0, transport.changesSent.size());
 }
 
-TEST(CommandRunner, DryRunPrintsTheChangesOnly) {
+TEST(CommandRunner, DryRunOnlyPrintsChanges) {
   Service service = makeService("dispatch", 1, 2);
   write(service);
   expect(ExitStatus::kOk, applyFile());
   service.hosts[0].weight = 5;
   write(service);
-  ApplyCommand dry = applyFile();
-  dry.dryRun = true;
-  expect(ExitStatus::kOk, dry);
+  ApplyCommand dryRunCommand = applyFile();
+  dryRunCommand.dryRun = true;
+  expect(ExitStatus::kOk, dryRunCommand);
   STRCMP_CONTAINS("hosts[dispatch-0].weight: 100 -> 5", out.str().c_str());
   CHECK_EQUAL(1, store.events().size());
 }
@@ -235,10 +235,11 @@
 }
 
 TEST(CommandRunner, WrongTokenIsNotAuthorized) {
-  AdminClient stranger({{1, 1}}, "guess", transport, clock, random);
-  const CommandContext strange{stranger, clock, out, errors, OutputFormat::kTable, "", {}};
+  AdminClient unauthorizedClient({{1, 1}}, "guess", transport, clock, random);
+  const CommandContext unauthorizedContext{unauthorizedClient,   clock, out, errors,
+                                           OutputFormat::kTable, "",    {}};
   CHECK_EQUAL(static_cast<int>(ExitStatus::kNotAuthorized),
-              static_cast<int>(runCommand(strange, StatusCommand{})));
+              static_cast<int>(runCommand(unauthorizedContext, StatusCommand{})));
 }
 
 }  // namespace umberhold
--- a/test/common/ctl/document_test.cc
+++ b/test/common/ctl/document_test.cc
@@ -52,7 +52,7 @@
   STRCMP_CONTAINS("10.1.0.1:6080", valueOf(documents)[1].specification.c_str());
 }
 
-TEST(Document, ReadsTheSameFromJsonAsFromToml) {
+TEST(Document, ReadsSameDocumentsFromJsonAndToml) {
   const std::string json = R"({"kind":"service","name":"dispatch","version":7,"region":"addis",
       "address":"10.0.0.1","port":443,"protocol":"tcp",
       "hosts":[{"name":"dispatch-0","address":"10.1.0.1:6080","zone":"bole"}]})";
@@ -84,7 +84,7 @@
   CHECK_TRUE(error.code == DocumentErrorCode::kSpecification);
 }
 
-TEST(Document, RefusesUnknownKindsKeysAndFormats) {
+TEST(Document, RejectsUnknownKindsKeysAndFormats) {
   checkError(DocumentErrorCode::kUnknownFormat, 0, "", errorIn("a.yaml", ""));
   checkError(DocumentErrorCode::kSyntax, 2, "", errorIn("a.toml", "[[service]]\nname =\n"));
   checkError(DocumentErrorCode::kUnknownKind, 1, "lease", errorIn("a.toml", "[[lease]]\n"));
@@ -115,7 +115,7 @@
   checkError(DocumentErrorCode::kSpecification, 0, "$[0].hosts[0].weight", errorIn("a.json", text));
 }
 
-TEST(Document, RefusesNonNumericVersion) {
+TEST(Document, RejectsNonNumericVersion) {
   for (const std::string version : {"\"seven\"", "\"7\"", "-1", "[1]", "7.5", "true", "null"}) {
     const std::string text = R"([{"kind":"service","name":"d","version":)" + version + "}]";
     checkError(DocumentErrorCode::kVersion, 0, "$[0].version", errorIn("a.json", text));
@@ -126,7 +126,7 @@
   }
 }
 
-TEST(Document, RefusesDuplicateObject) {
+TEST(Document, RejectsDuplicateObject) {
   const std::string twice = std::string(kTomlService) + kTomlService;
   checkError(DocumentErrorCode::kDuplicate, 14, "service[1].name", errorIn("a.toml", twice));
 }
