--- a/source/common/admin/admin_api.h
+++ b/source/common/admin/admin_api.h
@@ -1,5 +1,4 @@
-/** @file The admin API: checks the token and hands each request to its route (docs/ADMIN_API.md).
- */
+/** @file The admin API: checks the token and dispatches each request (docs/ADMIN_API.md). */
 #pragma once
 
 #include <atomic>
--- a/source/common/admin/change_outcome.h
+++ b/source/common/admin/change_outcome.h
@@ -43,8 +43,7 @@
   std::optional<ChangeEntry> lastChange;
 };
 
-/** Another service holds an address or host of the change, which is not and never will be applied.
- */
+/** Another service holds an address or host of the change, which will never be applied. */
 struct ChangeBlocked {
   ClaimKey key;
   /** The service that holds the key. */
@@ -74,8 +73,7 @@
   std::string detail;
 };
 
-/** An answer was lost and not resolved before the deadline: the change may be applied, even later.
- */
+/** An answer was lost and not resolved before the deadline: the change may still be applied. */
 struct ChangeUnknown {
   /** For a later query, or for a retry of the same change. */
   std::string requestId;
--- a/source/common/admin/claim_keeper.h
+++ b/source/common/admin/claim_keeper.h
@@ -86,8 +86,7 @@
   /** @return the service in the store; version 0 if it does not exist. */
   Result<StoredObject, StoreError> readService(const std::string& name);
   Result<Ok, ClaimFailure> takeOver(const ObservedClaim& observed, const Claimant& claimant);
-  /** @return whether the claim has been unchanged for the timeout, so that its writer has failed.
-   */
+  /** @return whether the claim is unchanged for its timeout: its writer has most likely failed. */
   bool isStale(const ObservedClaim& observed);
   /** Rewrites the service unchanged, so that no pending change can add the key. */
   Result<Ok, ClaimFailure> bumpServiceVersion(const StoredObject& holder,
--- a/source/common/ctl/change_commands.cc
+++ b/source/common/ctl/change_commands.cc
@@ -167,8 +167,7 @@
     return context_.client.read(std::move(request));
   }
 
-  /** Without a version the change may only create an object, so it never overwrites unread state.
-   */
+  /** Without a version a change may only create an object, never overwrite unread state. */
   uint64_t baseVersion(const Document& document, const DryRunAnswer& dryRunAnswer) const {
     if (command_.ifVersion) {
       return *command_.ifVersion;
