--- a/source/common/settings/settings.h
+++ b/source/common/settings/settings.h
@@ -1,4 +1,4 @@
-/** @file What one node gets when it starts: a settings file in TOML, overridden by flags. */
+/** @file Settings of a node, read at its start from a TOML file and overridden by flags. */
 #pragma once
 
 #include <cstdint>
@@ -13,17 +13,17 @@
 
 namespace umberhold {
 
-/** An IPv4 address, host byte order. */
+/** An IPv4 address in host byte order. */
 struct Ipv4Address {
   uint32_t value = 0;
   auto operator<=>(const Ipv4Address&) const = default;
 };
 
-/** Least severity that is logged. */
+/** Minimum severity that is logged. */
 enum class LogLevel : uint8_t { kInfo, kWarning, kError };
 
-/** A node's settings; docs/SETTINGS.md lists them, settings/settings_options.cc is the source of
- * both. */
+/** A node's settings. docs/SETTINGS.md lists them; both follow the table in
+ * settings/settings_options.cc. */
 struct NodeSettings {
   uint32_t nodeId = 0;
   std::string region;
@@ -33,17 +33,18 @@
   uint16_t relayPort = 7001;
   uint16_t controlPort = 7002;
   uint16_t adminPort = 7003;
-  /** Ports that other nodes send to, where something stands between; 0 for the node's own. */
+  /** Ports that other nodes send to if these differ from the node's own, such as behind a NAT or
+   * proxy; 0 for the node's own. */
   uint16_t advertisedRelayPort = 0;
   uint16_t advertisedControlPort = 0;
   std::vector<Endpoint> seeds;
-  /** Port 0: this node never reads the platform's store. */
+  /** Endpoint of the platform's store; with port 0 this node never reads it. */
   Endpoint platform;
   std::vector<AuthenticationKey> keys;
   uint32_t signingKey = 0;
-  /** Empty: the admin API refuses every call. */
+  /** Bearer token; if empty, the admin API rejects every call. */
   std::string adminToken;
-  /** Port 0: the node answers no caller. */
+  /** Where packets to callers are sent; with port 0 the node sends none. */
   Endpoint returnGateway;
   uint32_t flowCapacity = 500000;
   FlowStrategy strategy = FlowStrategy::kOwned;
@@ -53,7 +54,7 @@
   uint32_t lingerSeconds = 3;
 };
 
-/** Why settings can't be used. */
+/** Reason why settings are invalid. */
 enum class SettingsErrorCode : uint8_t {
   kUnreadableFile,
   kSyntax,
@@ -63,37 +64,37 @@
   kMissingKey,
   /** Two ports or two seeds are the same. */
   kDuplicateAddress,
-  /** The keys form no ring (wire/key_ring.h), or a secret is not hexadecimal. */
+  /** The keys form no valid key ring (wire/key_ring.h), or a secret is not hexadecimal. */
   kBadKeys,
 };
 
-/** A fault in the settings. */
+/** An error in the settings. */
 struct SettingsError {
   SettingsErrorCode code = SettingsErrorCode::kSyntax;
-  /** The option's name; empty where the fault is not one option's. */
+  /** The option's name; empty if the error concerns no single option. */
   std::string key;
   /** Line in the settings file; 0 for flags and missing options. */
   uint32_t line = 0;
-  /** What was expected, for people. */
+  /** What was expected, for humans. */
   std::string detail;
 };
 
-/** @return the snake_case label of a code. */
+/** @return the snake_case name of the code. */
 std::string_view toString(SettingsErrorCode code);
-/** @return one line for people: where, which option, what is wrong. */
+/** @return one line for humans: code, option, line and detail. */
 std::string describe(const SettingsError& error);
 
-/** An option set on the command line; it wins over the file. */
+/** An option set on the command line; it takes precedence over the file. */
 struct SettingOverride {
   std::string key;
-  /** As in the file; text needs no quotes, lists are separated by commas. */
+  /** As in the file, but strings need no quotes and lists are comma-separated. */
   std::string value;
 };
 
-/** Reads the settings from TOML text. */
+/** Parses the settings from TOML text and the overrides. */
 Result<NodeSettings, SettingsError> parseSettings(std::string_view text,
                                                   const std::vector<SettingOverride>& overrides);
-/** Reads the settings from a file; an empty path stands for an empty file. */
+/** Loads the settings from a file and the overrides; an empty path is treated as an empty file. */
 Result<NodeSettings, SettingsError> loadSettings(const std::string& path,
                                                  const std::vector<SettingOverride>& overrides);
 
--- a/source/common/settings/settings_loader.cc
+++ b/source/common/settings/settings_loader.cc
@@ -1,4 +1,4 @@
-/** @file Loads settings: file, then flags, then the checks that span options. */
+/** @file Loads settings from the file and the flags, then checks constraints between options. */
 #include <toml++/toml.h>
 #include <fstream>
 #include <iterator>
@@ -17,7 +17,7 @@
 using settings_internal::readOption;
 using Fault = std::optional<SettingsError>;
 
-/** Lines of options in the file, for the checks that span options. */
+/** @return the line of an option in the file, or 0 if it is not there. */
 uint32_t lineOf(const toml::table& table, std::string_view key) {
   const toml::node* node = table.get(key);
   return node == nullptr ? 0 : node->source().begin.line;
@@ -36,7 +36,7 @@
   return std::nullopt;
 }
 
-/** Adds a flag's list, separated by commas. */
+/** Adds the comma-separated list of a flag to the table. */
 void insertList(toml::table& table, const SettingOverride& setting) {
   toml::array elements;
   std::istringstream words(setting.value);
@@ -46,7 +46,7 @@
   table.insert_or_assign(setting.key, std::move(elements));
 }
 
-/** Adds a flag to the table, by the type of its option. */
+/** Adds a flag to the table with the type of its option. */
 Fault insertOverride(toml::table& table, const SettingOverride& setting) {
   const OptionSpec* option = findOption(setting.key);
   if (option == nullptr) {
@@ -124,7 +124,7 @@
   for (const Endpoint& seed : settings.seeds) {
     if (!seen.insert(seed).second) {
       return SettingsError{SettingsErrorCode::kDuplicateAddress, "seeds", lineOf(table, "seeds"),
-                           toString(seed) + " stands twice"};
+                           toString(seed) + " is listed twice"};
     }
   }
   return std::nullopt;
--- a/source/common/settings/settings_options.cc
+++ b/source/common/settings/settings_options.cc
@@ -9,32 +9,32 @@
 namespace umberhold {
 namespace {
 
-constexpr uint64_t kHighestPort = 65535;
-constexpr uint64_t kLongestName = 63;
-constexpr uint64_t kLongestToken = 256;
-constexpr uint64_t kMostFlows = 4'000'000;
-constexpr uint64_t kLongestStopSeconds = 3600;
+constexpr uint64_t kMaxPort = 65535;
+constexpr uint64_t kMaxNameLength = 63;
+constexpr uint64_t kMaxTokenLength = 256;
+constexpr uint64_t kMaxFlows = 4'000'000;
+constexpr uint64_t kMaxStopSeconds = 3600;
 
 using S = NodeSettings;
 
 const std::array kOptions = {
     OptionSpec{"node_id", &S::nodeId, true, 1, UINT32_MAX,
                "Number of this node; no two running nodes share one."},
-    OptionSpec{"region", &S::region, true, 1, kLongestName, "Name of the region."},
-    OptionSpec{"zone", &S::zone, true, 1, kLongestName, "Name of the zone within the region."},
+    OptionSpec{"region", &S::region, true, 1, kMaxNameLength, "Name of the region."},
+    OptionSpec{"zone", &S::zone, true, 1, kMaxNameLength, "Name of the zone within the region."},
     OptionSpec{"address", &S::address, true, 0, 0,
                "IPv4 address that the node listens on and that others reach it by."},
-    OptionSpec{"data_port", &S::dataPort, false, 1, kHighestPort,
+    OptionSpec{"data_port", &S::dataPort, false, 1, kMaxPort,
                "UDP port for packets from the fabric (GUE variant 1)."},
-    OptionSpec{"relay_port", &S::relayPort, false, 1, kHighestPort,
+    OptionSpec{"relay_port", &S::relayPort, false, 1, kMaxPort,
                "UDP port for packets that other nodes relay."},
-    OptionSpec{"control_port", &S::controlPort, false, 1, kHighestPort,
+    OptionSpec{"control_port", &S::controlPort, false, 1, kMaxPort,
                "UDP port for messages between nodes."},
-    OptionSpec{"admin_port", &S::adminPort, false, 1, kHighestPort,
+    OptionSpec{"admin_port", &S::adminPort, false, 1, kMaxPort,
                "TCP port of the HTTP server: admin API, metrics, health."},
-    OptionSpec{"advertised_relay_port", &S::advertisedRelayPort, false, 0, kHighestPort,
+    OptionSpec{"advertised_relay_port", &S::advertisedRelayPort, false, 0, kMaxPort,
                "Relay port that other nodes send to; 0 for relay_port."},
-    OptionSpec{"advertised_control_port", &S::advertisedControlPort, false, 0, kHighestPort,
+    OptionSpec{"advertised_control_port", &S::advertisedControlPort, false, 0, kMaxPort,
                "Control port that other nodes send to; 0 for control_port."},
     OptionSpec{"seeds", &S::seeds, false, 0, 0,
                "Control endpoints of some nodes of the region; this node itself may be one."},
@@ -46,21 +46,21 @@
         "or file (whose content is the hexadecimal secret)."},
     OptionSpec{"signing_key", &S::signingKey, false, 0, UINT32_MAX,
                "Id of the key that signs; 0 for the only key."},
-    OptionSpec{"admin_token", &S::adminToken, false, 0, kLongestToken,
+    OptionSpec{"admin_token", &S::adminToken, false, 0, kMaxTokenLength,
                "Bearer token of the admin API; without it every call is refused."},
     OptionSpec{"return_gateway", &S::returnGateway, false, 0, 0,
                "Where the node's own answers to callers are sent (GUE variant 1); without it none "
                "are."},
-    OptionSpec{"flow_capacity", &S::flowCapacity, false, 1000, kMostFlows,
+    OptionSpec{"flow_capacity", &S::flowCapacity, false, 1000, kMaxFlows,
                "Flows that the flow table has room for."},
     OptionSpec{"strategy", &S::strategy, false, 0, 0,
                "How flows are placed; all but owned are baselines to measure against."},
     OptionSpec{"owner_relay", &S::ownerRelay, false, 0, 0,
                "Whether packets are relayed to their flow's owner; false is for experiments."},
     OptionSpec{"log_level", &S::logLevel, false, 0, 0, "Least severity that is logged."},
-    OptionSpec{"stop_limit_seconds", &S::stopLimitSeconds, false, 1, kLongestStopSeconds,
+    OptionSpec{"stop_limit_seconds", &S::stopLimitSeconds, false, 1, kMaxStopSeconds,
                "A planned stop ends after this long even if something is not handed over."},
-    OptionSpec{"linger_seconds", &S::lingerSeconds, false, 0, kLongestStopSeconds,
+    OptionSpec{"linger_seconds", &S::lingerSeconds, false, 0, kMaxStopSeconds,
                "How long a stopping node goes on relaying after everything is handed over."},
 };
 
@@ -131,7 +131,7 @@
   std::string operator()(const std::vector<AuthenticationKey>& /*value*/) const { return ""; }
 };
 
-/** Applies a visitor to the default value of an option. */
+/** Calls a visitor with the default value of an option. */
 template <class Visitor>
 std::string visitDefault(const OptionSpec& option, const Visitor& visitor) {
   const NodeSettings defaults;
--- a/source/common/settings/settings_reader.cc
+++ b/source/common/settings/settings_reader.cc
@@ -1,4 +1,4 @@
-/** @file Typed values from TOML nodes. */
+/** @file Reads typed values from TOML nodes. */
 #include "common/settings/settings_reader.h"
 
 #include <cctype>
@@ -11,7 +11,7 @@
 
 using Fault = std::optional<SettingsError>;
 
-/** Reads the value of one option; one overload a type of member. */
+/** Reads the value of one option, with one overload per member type. */
 class OptionReader {
  public:
   OptionReader(const OptionSpec& option, const toml::node& node) : option_(option), node_(node) {}
--- a/source/common/settings/settings_reader.h
+++ b/source/common/settings/settings_reader.h
@@ -1,4 +1,5 @@
-/** @file Reads one option's value from a TOML node. Slow header: for .cc files of config/ only. */
+/** @file Reads one option's value from a TOML node. Slow to compile; include only in .cc files of
+ * this folder. */
 #pragma once
 
 #include <toml++/toml.h>
@@ -9,11 +10,11 @@
 
 namespace umberhold::settings_internal {
 
-/** @return the error of an option at a node. */
+/** @return an error for the option with the line of the node. */
 SettingsError errorAt(SettingsErrorCode code, std::string_view key, const toml::node& node,
                       std::string detail);
 
-/** Fills the option's member from the node; @return the fault, if there is one. */
+/** Sets the option's member from the node. @return the error, if any. */
 std::optional<SettingsError> readOption(const OptionSpec& option, const toml::node& node,
                                         NodeSettings& settings);
 
--- a/source/common/settings/token_node_settings.cc
+++ b/source/common/settings/token_node_settings.cc
@@ -10,20 +10,20 @@
 namespace umberhold {
 namespace {
 
-constexpr int64_t kLongestFlowLifeSeconds = 86400;
-constexpr int64_t kLongestLingerMilliseconds = 60000;
-/** Cores. */
-constexpr double kMostCapacity = 1024.0;
-constexpr int64_t kLongestBoundMilliseconds = 60000;
-/** Of the time after which callers give up. */
-constexpr double kLongestWaitPart = 1.0;
-/** Of the new flows of a split. */
-constexpr double kWholeSplit = 1.0;
-constexpr double kLongestHostTimePart = 1.0;
-/** Beyond every ratio of answers' times. */
-constexpr double kHighestRatio = 1000.0;
+constexpr int64_t kMaxFlowLifeSeconds = 86400;
+constexpr int64_t kMaxLingerMilliseconds = 60000;
+/** Processor cores. */
+constexpr double kMaxCapacity = 1024.0;
+constexpr int64_t kMaxBoundMilliseconds = 60000;
+/** Fraction of the time after which callers give up. */
+constexpr double kMaxWaitPart = 1.0;
+/** Fraction of the new flows of a split. */
+constexpr double kMaxOverflowPart = 1.0;
+constexpr double kMaxHostTimePart = 1.0;
+/** Larger than any ratio of response times. */
+constexpr double kMaxRatio = 1000.0;
 
-/** Takes values out of a table; keeps the first fault. */
+/** Reads values from a table and keeps the first error. */
 class TableReader {
  public:
   explicit TableReader(const toml::table& table) : table_(table) {}
@@ -35,7 +35,7 @@
     }
     const auto found = node->value_exact<std::string>();
     if (!found || found->empty()) {
-      fail(SettingsErrorCode::kWrongType, key, lineOf(*node), "a text that is not empty");
+      fail(SettingsErrorCode::kWrongType, key, lineOf(*node), "a non-empty string");
       return;
     }
     value = *found;
@@ -73,17 +73,17 @@
       values.push_back(*found);
     }
   }
-  void number(const char* key, uint32_t& value, int64_t highest, int64_t lowest = 1) {
+  void number(const char* key, uint32_t& value, int64_t maximum, int64_t minimum = 1) {
     const toml::node* node = find(key, false);
     if (node == nullptr) {
       return;
     }
     const auto found = node->value_exact<int64_t>();
     if (!found) {
-      fail(SettingsErrorCode::kWrongType, key, lineOf(*node), "a whole number");
-    } else if (*found < lowest || *found > highest) {
+      fail(SettingsErrorCode::kWrongType, key, lineOf(*node), "an integer");
+    } else if (*found < minimum || *found > maximum) {
       fail(SettingsErrorCode::kOutOfRange, key, lineOf(*node),
-           std::to_string(lowest) + " to " + std::to_string(highest));
+           std::to_string(minimum) + " to " + std::to_string(maximum));
     } else {
       value = static_cast<uint32_t>(*found);
     }
@@ -114,8 +114,8 @@
       value = *found;
     }
   }
-  /** @param mayBeZero whether 0 is a value of its own, or no sensible one. */
-  void fraction(const char* key, double& value, double highest, bool mayBeZero = false) {
+  /** @param mayBeZero whether 0 is a valid value. */
+  void fraction(const char* key, double& value, double maximum, bool mayBeZero = false) {
     const toml::node* node = find(key, false);
     if (node == nullptr) {
       return;
@@ -123,18 +123,19 @@
     const auto found = node->value<double>();
     if (!found) {
       fail(SettingsErrorCode::kWrongType, key, lineOf(*node), "a number");
-    } else if (!(mayBeZero ? *found >= 0.0 : *found > 0.0) || *found > highest) {
+    } else if (!(mayBeZero ? *found >= 0.0 : *found > 0.0) || *found > maximum) {
       fail(SettingsErrorCode::kOutOfRange, key, lineOf(*node),
            std::string(mayBeZero ? "from 0 to " : "above 0, at most ") +
-               std::to_string(static_cast<int>(highest)));
+               std::to_string(static_cast<int>(maximum)));
     } else {
       value = *found;
     }
   }
-  void refuseOtherKeys() {
+  void rejectUnknownKeys() {
     for (const auto& [key, node] : table_) {
-      if (asked_.count(std::string(key.str())) == 0) {
-        fail(SettingsErrorCode::kUnknownKey, std::string(key.str()), lineOf(node), "no option");
+      if (knownKeys_.count(std::string(key.str())) == 0) {
+        fail(SettingsErrorCode::kUnknownKey, std::string(key.str()), lineOf(node),
+             "no such option");
       }
     }
   }
@@ -144,7 +145,7 @@
   static uint32_t lineOf(const toml::node& node) { return node.source().begin.line; }
 
   const toml::node* find(const char* key, bool required) {
-    asked_.insert(key);
+    knownKeys_.insert(key);
     const toml::node* node = table_.get(key);
     if (node == nullptr && required) {
       fail(SettingsErrorCode::kMissingKey, key, 0, "must be set");
@@ -159,7 +160,7 @@
   }
 
   const toml::table& table_;
-  std::set<std::string> asked_;
+  std::set<std::string> knownKeys_;
   std::optional<SettingsError> error_;
 };
 
@@ -182,31 +183,31 @@
     reader.endpoint("store", settings.store);
     reader.endpoint("peer_address", settings.peerAddress, false);
     reader.endpoints("peers", settings.peers);
-    reader.fraction("capacity", settings.capacity, kMostCapacity);
+    reader.fraction("capacity", settings.capacity, kMaxCapacity);
     reader.flag("first_start", settings.firstStart);
     reader.number("change_bound_milliseconds", settings.changeBoundMilliseconds,
-                  kLongestBoundMilliseconds);
+                  kMaxBoundMilliseconds);
     reader.number("drain_bound_milliseconds", settings.drainBoundMilliseconds,
-                  kLongestBoundMilliseconds);
+                  kMaxBoundMilliseconds);
     reader.number("evacuation_bound_milliseconds", settings.evacuationBoundMilliseconds,
-                  kLongestBoundMilliseconds, 0);
-    reader.number("flow_life_seconds", settings.flowLifeSeconds, kLongestFlowLifeSeconds);
-    reader.number("linger_milliseconds", settings.lingerMilliseconds, kLongestLingerMilliseconds);
+                  kMaxBoundMilliseconds, 0);
+    reader.number("flow_life_seconds", settings.flowLifeSeconds, kMaxFlowLifeSeconds);
+    reader.number("linger_milliseconds", settings.lingerMilliseconds, kMaxLingerMilliseconds);
     reader.flag("share_observations", settings.sharesObservations);
     PlacementOptions& placement = settings.placement;
     reader.flag("prefer_own_zone", placement.prefersOwnZone);
-    reader.fraction("weighed_ratio", placement.weighedRatio, kHighestRatio);
-    reader.fraction("zone_leaves_ratio", placement.zoneLeavesRatio, kHighestRatio);
-    reader.fraction("full_zone_load", placement.fullZoneLoad, kHighestRatio);
+    reader.fraction("weighed_ratio", placement.weighedRatio, kMaxRatio);
+    reader.fraction("zone_leaves_ratio", placement.zoneLeavesRatio, kMaxRatio);
+    reader.fraction("full_zone_load", placement.fullZoneLoad, kMaxRatio);
     reader.flag("learn_speeds", placement.learnsSpeeds);
-    reader.fraction("openings_per_slot", settings.openings.openingsPerSlot, kHighestRatio, true);
-    reader.fraction("opening_wait_part", settings.openings.maxWaitPart, kLongestWaitPart, true);
+    reader.fraction("openings_per_slot", settings.openings.openingsPerSlot, kMaxRatio, true);
+    reader.fraction("opening_wait_part", settings.openings.maxWaitPart, kMaxWaitPart, true);
     reader.overflowMode("overflow", settings.overflow.mode);
-    reader.fraction("overflow_part", settings.overflow.maxPart, kWholeSplit, true);
-    reader.fraction("host_time_part", settings.room.hostTimePart, kLongestHostTimePart, true);
-    reader.fraction("cold_rate_factor", settings.coldHosts.rateFactor, kHighestRatio, true);
-    reader.fraction("cold_rate_allowance", settings.coldHosts.rateAllowance, kHighestRatio, true);
-    reader.refuseOtherKeys();
+    reader.fraction("overflow_part", settings.overflow.maxPart, kMaxOverflowPart, true);
+    reader.fraction("host_time_part", settings.room.hostTimePart, kMaxHostTimePart, true);
+    reader.fraction("cold_rate_factor", settings.coldHosts.rateFactor, kMaxRatio, true);
+    reader.fraction("cold_rate_allowance", settings.coldHosts.rateAllowance, kMaxRatio, true);
+    reader.rejectUnknownKeys();
     if (reader.error()) {
       return *reader.error();
     }
--- a/source/common/settings/token_node_settings.h
+++ b/source/common/settings/token_node_settings.h
@@ -1,4 +1,4 @@
-/** @file Settings of a node with the strategy "token": a small TOML file, strictly read. */
+/** @file Settings of a node with the strategy "token", from a strictly validated TOML file. */
 #pragma once
 
 #include <cstdint>
@@ -17,68 +17,72 @@
 
 namespace umberhold {
 
-/** See docs/SETTINGS.md, "Nodes with the strategy token". */
+/** Settings of one node; see docs/SETTINGS.md, "Nodes with the strategy token". */
 struct TokenNodeSettings {
-  /** For the log. */
+  /** Name of the node in logs. */
   std::string node;
   std::string region;
   std::string zone;
-  /** Where the fabric sends packets. */
+  /** Endpoint to which the fabric sends packets. */
   Endpoint data;
-  /** Where GET <readinessPath> is answered. */
+  /** Endpoint that serves GET <readinessPath>. */
   Endpoint readiness;
   std::string readinessPath = "/readyz";
-  /** Where GET <metricsPath> is answered; port 0 where the settings give none. */
+  /** Endpoint that serves GET <metricsPath>; port 0 if not set. */
   Endpoint metrics;
   std::string metricsPath = "/metrics";
-  /** Header of callers' requests that names a request in the log; empty: none. */
+  /** Header of callers' requests that contains the request identifier for the log; empty for none.
+   */
   std::string requestHeader;
-  /** The platform's store. */
+  /** Endpoint of the platform's store. */
   Endpoint store;
-  /** Where other nodes ask what this one holds; port 0 where the settings give none. */
+  /** Endpoint at which other nodes query the state of this one; port 0 if not set. */
   Endpoint peerAddress;
-  /** Nodes that are asked while the store can't be read at the start. */
+  /** Nodes that are queried if the store can't be read at the start. */
   std::vector<Endpoint> peers;
-  /** Part of a processor core that the node may use: of two nodes the one with more reads the store
-   * for the other. */
+  /** Share of a processor core that the node may use. Of two nodes, the one with the larger share
+   * reads the store for the other. */
   double capacity = 0.1;
-  /** The whole system starts for the first time: the node waits for the others to be known. */
+  /** Set when the whole system starts for the first time: the node then waits until the other nodes
+   * are known. */
   bool firstStart = false;
-  /** A change of services must be effective this long after the store has it, milliseconds. */
+  /** Maximum time until a change of services takes effect after the store has it, milliseconds. */
   uint32_t changeBoundMilliseconds = 3000;
-  /** A host that drains must get no new flow this long after the store has it, milliseconds. */
+  /** Maximum time until a draining host receives no new flows after the store has the change,
+   * milliseconds. */
   uint32_t drainBoundMilliseconds = 3000;
-  /** An evacuated zone's hosts must get no new flow this long after the store has it, milliseconds;
-   * 0 where the platform has no evacuations. */
+  /** Maximum time until hosts of an evacuated zone receive no new flows after the store has the
+   * evacuation, milliseconds; 0 if the platform has no evacuations. */
   uint32_t evacuationBoundMilliseconds = 0;
-  /** No flow lives longer, seconds. */
+  /** Maximum lifetime of a flow, seconds. */
   uint32_t flowLifeSeconds = 60;
-  /** How long packets are still forwarded after SIGTERM, milliseconds. */
+  /** Time for which packets are still forwarded after SIGTERM, milliseconds. */
   uint32_t lingerMilliseconds = 2500;
-  /** Nodes that follow a reader tell it what they see of hosts, and hear of the others. */
+  /** Whether nodes that follow a reader send it their observations of hosts and receive those of
+   * the others. */
   bool sharesObservations = true;
-  /** How hosts of a pool are compared for a new flow. */
+  /** Options for comparing the hosts of a pool for a new flow. */
   PlacementOptions placement{};
-  /** What cold hosts bear. */
+  /** Limits on the load of cold hosts. */
   ColdHostOptions coldHosts{};
-  /** When openings of flows wait in the node. */
+  /** Limits beyond which openings of flows wait in the node. */
   OpeningLimits openings{};
-  /** When a flow may leave the part of its split that it is due to. */
+  /** Options for placing a flow outside its assigned part of a split. */
   OverflowOptions overflow{};
-  /** How far services with a target latency are held back by times. */
+  /** Limits on services with a target latency, based on response times. */
   RoomLimits room{};
 };
 
-/** A key whose value differs between two settings. */
+/** An option whose value differs between two settings. */
 struct SettingChange {
   std::string key;
-  /** Whether a running node takes the new value; otherwise it holds from the next start on. */
+  /** Whether a running node applies the new value; otherwise it applies from the next start. */
   bool whileRunning = false;
 
   bool operator==(const SettingChange&) const = default;
 };
 
-/** @return the keys that differ, in the order of docs/SETTINGS.md. */
+/** @return the options that differ, in the order of docs/SETTINGS.md. */
 std::vector<SettingChange> settingChanges(const TokenNodeSettings& before,
                                           const TokenNodeSettings& after);
 
--- a/test/common/settings/settings_test.cc
+++ b/test/common/settings/settings_test.cc
@@ -1,4 +1,5 @@
-/** @file Tests of the node's settings: what is refused, with which line, and what flags override.
+/** @file Tests of the node's settings: rejected input and the reported line, and overrides by
+ * flags.
  */
 #include "common/settings/settings.h"
 
@@ -13,7 +14,7 @@
 
 namespace {
 
-/** Lines 1 to 7 of a complete file. */
+/** Lines 1 to 7 of a valid file. */
 const std::string kComplete =
     "node_id = 7\n"
     "region = \"addis\"\n"
@@ -23,7 +24,7 @@
     "id = 1\n"
     "secret = \"000102030405060708090a0b0c0d0e0f\"\n";
 
-/** A complete file whose line 1 is the given one. */
+/** @return a valid file with the given line as line 1. */
 std::string fileWith(const std::string& line) {
   return line + "\n" + kComplete;
 }
@@ -63,7 +64,7 @@
   CHECK_EQUAL(7002U, settings.controlPort);
 }
 
-TEST(Settings, NamesOptionAndLineOfAFault) {
+TEST(Settings, ReportsOptionAndLineOfAnError) {
   using Code = SettingsErrorCode;
   CHECK(isError(errorIn(fileWith("zon = \"x\"")), Code::kUnknownKey, "zon", 1));
   CHECK(isError(errorIn(fileWith("data_port = \"x\"")), Code::kWrongType, "data_port", 1));
@@ -81,18 +82,18 @@
   CHECK(isError(errorIn(fileWith("signing_key = 9")), Code::kBadKeys, "signing_key", 1));
 }
 
-TEST(Settings, SyntaxFaultsNameTheirLine) {
+TEST(Settings, ReportsLineOfSyntaxErrors) {
   CHECK(isError(errorIn("node_id = 7\nregion = \n"), SettingsErrorCode::kSyntax, "", 2));
   CHECK(isError(errorIn("node_id = 7\nnode_id = 8\n"), SettingsErrorCode::kSyntax, "", 2));
 }
 
-TEST(Settings, MissingOptionsAreNamed) {
+TEST(Settings, ReportsMissingOptions) {
   CHECK(isError(errorIn(""), SettingsErrorCode::kMissingKey, "node_id", 0));
   CHECK(isError(errorIn(kComplete.substr(0, kComplete.find("[["))), SettingsErrorCode::kMissingKey,
                 "keys", 0));
 }
 
-TEST(Settings, KeysThatCannotWorkAreRefused) {
+TEST(Settings, RejectsInvalidKeys) {
   const auto withKey = [](const std::string& key) {
     return errorIn(kComplete + "[[keys]]\n" + key);
   };
@@ -119,7 +120,7 @@
   CHECK_FALSE(valueOf(result).ownerRelay);
 }
 
-TEST(Settings, FlagsAreCheckedAsTheFileIs) {
+TEST(Settings, ChecksFlagsLikeTheFile) {
   using Code = SettingsErrorCode;
   CHECK(isError(errorIn(kComplete, {{"zon", "x"}}), Code::kUnknownKey, "zon", 0));
   CHECK(isError(errorIn(kComplete, {{"node_id", "x"}}), Code::kWrongType, "node_id", 0));
@@ -127,7 +128,7 @@
   CHECK(isError(errorIn(kComplete, {{"address", "localhost"}}), Code::kWrongType, "address", 0));
 }
 
-TEST(Settings, UnreadableFilesAreRefused) {
+TEST(Settings, RejectsUnreadableFiles) {
   const auto result = loadSettings("/nonexistent/settings.toml", {});
   CHECK(errorOf(result).code == SettingsErrorCode::kUnreadableFile);
 }
--- a/test/common/settings/token_node_settings_test.cc
+++ b/test/common/settings/token_node_settings_test.cc
@@ -91,19 +91,19 @@
   CHECK_EQUAL(3000, read.lingerMilliseconds);
 }
 
-TEST(TokenNodeSettings, AWholeNumberOfCoresWillDo) {
+TEST(TokenNodeSettings, AcceptsAnIntegerCapacity) {
   const auto settings = parseTokenNodeSettings(with("0.25", "2"));
   CHECK_TRUE(isOk(settings));
   DOUBLES_EQUAL(2.0, valueOf(settings).capacity, 0.0);
 }
 
-TEST(TokenNodeSettings, LeavesOutWhatIsNotRequired) {
+TEST(TokenNodeSettings, KeepsDefaultsOfOmittedOptions) {
   const auto settings = parseTokenNodeSettings(with("metrics = \"10.1.0.10:9464\"\n", ""));
   CHECK_TRUE(isOk(settings));
   CHECK_TRUE(valueOf(settings).metrics == Endpoint{});
 }
 
-TEST(TokenNodeSettings, SaysWhichChangesARunningNodeTakes) {
+TEST(TokenNodeSettings, ReportsWhichChangesApplyWhileRunning) {
   const TokenNodeSettings before = valueOf(parseTokenNodeSettings(kComplete));
   TokenNodeSettings after = before;
   CHECK_TRUE(settingChanges(before, after).empty());
@@ -118,7 +118,7 @@
   CHECK_TRUE(settingChanges(before, after) == expected);
 }
 
-TEST(TokenNodeSettings, NamesTheFault) {
+TEST(TokenNodeSettings, ReportsTheError) {
   checkRefused(SettingsErrorCode::kWrongType, "peers", with("\"10.2.0.40:8166\"", "7"));
   checkRefused(SettingsErrorCode::kWrongType, "metrics", with("10.1.0.10:9464", "9464"));
   checkRefused(SettingsErrorCode::kSyntax, "", "node = ");
