--- a/source/common/server/admission_metrics.cc
+++ b/source/common/server/admission_metrics.cc
@@ -37,7 +37,7 @@
   MetricFamilyBuilder late = counterFamily(
       "umberhold_late_requests_total", "Requests whose host alone took longer than callers want");
   for (const auto& [key, count] : admission.counters()) {
-    // No structured binding: a lambda can't capture one in C++20 by clang 14.
+    // Not a structured binding: clang 14 can't capture one in a lambda in C++20.
     const std::string& pool = key.first;
     const std::string& service = key.second;
     const auto add = [&](uint64_t value, const char* outcome) {
--- a/source/common/server/admission_metrics.h
+++ b/source/common/server/admission_metrics.h
@@ -1,4 +1,4 @@
-/** @file What admission shows at a node's metrics path. */
+/** @file Admission metrics on a node's metrics path. */
 #pragma once
 
 #include <prometheus/metric_family.h>
@@ -10,7 +10,8 @@
 
 namespace umberhold {
 
-/** Adds the room and the use of pools, and what became of openings by pool and service. */
+/** Adds the families for the capacity and usage of pools and for the outcome of openings, by pool
+ * and service. */
 void addAdmissionFamilies(TimePoint now, const Admission& admission,
                           std::vector<prometheus::MetricFamily>& families);
 
--- a/source/common/server/catalog_reader.cc
+++ b/source/common/server/catalog_reader.cc
@@ -9,9 +9,10 @@
 namespace umberhold {
 namespace {
 
-/** The source's client spaces its own tries; this keeps one that answers at once from a spin. */
-constexpr auto kRetryPause = std::chrono::milliseconds(100);
-constexpr Duration kWatchPatience = std::chrono::seconds(30);
+/** The source's client spaces its own attempts; this pause prevents a busy loop when a source fails
+ * immediately. */
+constexpr auto kRetryDelay = std::chrono::milliseconds(100);
+constexpr Duration kWatchTimeout = std::chrono::seconds(30);
 
 std::vector<CatalogChange> goneOf(Collection collection, const std::set<std::string>& before,
                                   const std::set<std::string>& now) {
@@ -43,12 +44,12 @@
   while (!stopping_) {
     listed = listed ? follow() : listAll();
     if (!listed && !stopping_) {
-      std::this_thread::sleep_for(kRetryPause);
+      std::this_thread::sleep_for(kRetryDelay);
     }
   }
 }
 
-void CatalogReader::note(const CatalogChange& change) {
+void CatalogReader::updateNames(const CatalogChange& change) {
   if (const auto* gone = std::get_if<DeletedObject>(&change)) {
     (gone->collection == Collection::kHostPools ? pools_ : services_).erase(gone->name);
   } else if (const auto* pool = std::get_if<HostPool>(&change)) {
@@ -67,11 +68,12 @@
   const std::set<std::string> poolsBefore = std::exchange(pools_, {});
   const std::set<std::string> servicesBefore = std::exchange(services_, {});
   for (const CatalogChange& change : all.changes) {
-    note(change);
+    updateNames(change);
   }
   const auto gonePools = goneOf(Collection::kHostPools, poolsBefore, pools_);
   const auto goneServices = goneOf(Collection::kServices, servicesBefore, services_);
-  // Pools with pools: a service's new pool is there before the service names it.
+  // Pool changes come before service changes, so that a service's new pool exists before the
+  // service refers to it.
   const auto firstService = std::find_if(all.changes.begin(), all.changes.end(), isService);
   all.changes.insert(firstService, gonePools.begin(), gonePools.end());
   all.changes.insert(all.changes.end(), goneServices.begin(), goneServices.end());
@@ -82,18 +84,18 @@
 }
 
 bool CatalogReader::follow() {
-  auto batch = source_.watch(since_, kWatchPatience);
+  auto batch = source_.watch(since_, kWatchTimeout);
   if (!isOk(batch)) {
     return errorOf(batch).code != StoreErrorCode::kTooOld;
   }
-  CatalogChanges& news = valueOf(batch);
-  since_ = news.version;
-  news.receivedAt = steadyNow();
-  for (const CatalogChange& change : news.changes) {
-    note(change);
+  CatalogChanges& update = valueOf(batch);
+  since_ = update.version;
+  update.receivedAt = steadyNow();
+  for (const CatalogChange& change : update.changes) {
+    updateNames(change);
   }
-  if (!news.changes.empty()) {
-    sink_(std::move(news));
+  if (!update.changes.empty()) {
+    sink_(std::move(update));
   }
   return true;
 }
--- a/source/common/server/change_announcer.cc
+++ b/source/common/server/change_announcer.cc
@@ -9,9 +9,9 @@
 void ChangeAnnouncer::onChangeAccepted(const StoredObject& object) {
   auto record = toConfigRecord(object);
   if (!isOk(record)) {
-    return;  // A reader reports objects that hold no valid specification.
+    return;  // The store reader reports objects without a valid specification.
   }
-  // Where the loop is too busy to take it, a reader brings the change a little later.
+  // If the mailbox is full, the store reader delivers the change a little later.
   mailbox_.post(
       [this, announced = std::move(valueOf(record))] { core_.onAcceptedChange(announced); });
 }
--- a/source/common/server/change_announcer.h
+++ b/source/common/server/change_announcer.h
@@ -1,4 +1,4 @@
-/** @file Brings accepted changes from the admin API's threads into the core. */
+/** @file Passes accepted changes from the admin API's threads to the core. */
 #pragma once
 
 #include "common/admin/accepted_change_observer.h"
@@ -7,10 +7,11 @@
 
 namespace umberhold {
 
-/** Hands each accepted change to the core, so that it spreads without waiting for a reader. */
+/** Passes each accepted change to the core, so that it is disseminated without waiting for a store
+ * reader. */
 class ChangeAnnouncer : public AcceptedChangeObserver {
  public:
-  /** Both are borrowed. */
+  /** Both arguments are borrowed. */
   ChangeAnnouncer(LoopMailbox& mailbox, NodeCore& core) : mailbox_(mailbox), core_(core) {}
 
   void onChangeAccepted(const StoredObject& object) override;
--- a/source/common/server/command_line.cc
+++ b/source/common/server/command_line.cc
@@ -1,4 +1,4 @@
-/** @file Flags by TCLAP. */
+/** @file Command-line parsing with TCLAP. */
 #include "common/server/command_line.h"
 
 #include <tclap/CmdLine.h>
@@ -11,7 +11,7 @@
 namespace umberhold {
 namespace {
 
-/** TCLAP's output with the table of options below the flags. */
+/** TCLAP's output, followed by the table of options. */
 class HelpOutput : public TCLAP::StdOutput {
  public:
   void usage(TCLAP::CmdLineInterface& commandLine) override {
@@ -20,7 +20,7 @@
   }
 };
 
-/** A flag that stands for one option of the settings. */
+/** A flag that sets one option of the settings. */
 struct OptionFlag {
   const char* flag;
   const char* key;
@@ -34,7 +34,7 @@
     {"listen", "address", "IPv4 address that the node listens on."},
 };
 
-/** Adds key=value; @return false where there is no key. */
+/** Adds the override key=value. @return false if the key is missing. */
 bool addAssignment(const std::string& assignment, std::vector<SettingOverride>& overrides) {
   const size_t separator = assignment.find('=');
   if (separator == std::string::npos || separator == 0) {
@@ -45,7 +45,7 @@
   return true;
 }
 
-/** The flags; TCLAP's arguments register themselves with the command line. */
+/** The flags. TCLAP's arguments register themselves with the command line. */
 class Flags {
  public:
   Flags() {
--- a/source/common/server/command_line.h
+++ b/source/common/server/command_line.h
@@ -1,4 +1,4 @@
-/** @file The flags of umberholdd. */
+/** @file Command-line flags of umberholdd. */
 #pragma once
 
 #include <string>
@@ -10,32 +10,32 @@
 
 namespace umberhold {
 
-/** Version of the programs. */
+/** Version that the programs report. */
 constexpr const char* kVersion = "0.1.0";
 
-/** What the flags ask for. */
+/** Result of parsing the flags. */
 struct CommandLine {
   /** Path of the settings file; empty for none. */
   std::string settingsPath;
-  /** In the order in which they win: later ones over earlier ones. */
+  /** In order of precedence: later overrides replace earlier ones. */
   std::vector<SettingOverride> overrides;
-  /** Only check the settings. */
+  /** Only check the settings and exit. */
   bool checkSettings = false;
-  /** Only print the table of options in Markdown. */
+  /** Only print the table of options in Markdown and exit. */
   bool printOptions = false;
 };
 
-/** The program ends at once: after --help, --version or a wrong flag. */
+/** The program is to exit immediately: after --help, --version or an invalid flag. */
 struct EndProgram {
   int exitStatus = 0;
 };
 
-/** Exit statuses of umberholdd, besides 0. */
+/** Exit statuses of umberholdd other than 0. */
 constexpr int kExitUsage = 1;
 constexpr int kExitSettings = 2;
 constexpr int kExitPorts = 3;
 
-/** Reads the flags; prints what --help, --version or a wrong flag asks for. */
+/** Parses the flags; prints the output of --help or --version, or the error for an invalid flag. */
 Result<CommandLine, EndProgram> parseCommandLine(int argc, const char* const* argv);
 
 }  // namespace umberhold
--- a/source/common/server/control_transport.cc
+++ b/source/common/server/control_transport.cc
@@ -1,4 +1,4 @@
-/** @file Sending and receiving of node messages. */
+/** @file Sends and receives node messages. */
 #include "common/server/control_transport.h"
 
 #include <glog/logging.h>
@@ -10,7 +10,7 @@
 namespace umberhold {
 namespace {
 
-/** Of faults that may come in great numbers, one in so many is logged. */
+/** Of faults that may be frequent, one in this many is logged. */
 constexpr int kLogEvery = 1000;
 
 }  // namespace
--- a/source/common/server/control_transport.h
+++ b/source/common/server/control_transport.h
@@ -1,4 +1,4 @@
-/** @file Node messages over the control port: encoded, sealed, metered. */
+/** @file Node messages over the control port: encoding, authentication and traffic metering. */
 #pragma once
 
 #include <array>
@@ -16,37 +16,36 @@
 
 namespace umberhold {
 
-/** An authenticated message. */
+/** An authenticated message and its sender. */
 struct ReceivedMessage {
   NodeId sender;
   Message message;
 };
 
-/** Messages that did not pass. */
+/** Counters of messages that could not be sent or received. */
 struct ControlCounters {
-  /** A message of this node could not be encoded. */
+  /** Messages of this node that could not be encoded. */
   uint64_t encodeFailures = 0;
-  /** A datagram of this node was longer than kMaxDatagramBytes; it was sent. */
+  /** Datagrams of this node that were longer than kMaxDatagramBytes; they were sent anyway. */
   uint64_t oversized = 0;
-  /** An authenticated datagram could not be decoded, by DecodeErrorCode. */
+  /** Authenticated datagrams that could not be decoded, by DecodeErrorCode. */
   std::array<uint64_t, static_cast<size_t>(DecodeErrorCode::kCount)> decodeFailures{};
 };
 
 /** Sends and receives node messages. Not thread safe. */
 class ControlTransport : public MessageSink {
  public:
-  /** @param sender and keys are borrowed; @param incarnation start of the process, Unix
-   * milliseconds.
+  /** @param sender, keys borrowed; @param incarnation start time of the process, Unix milliseconds.
    */
   ControlTransport(DatagramSender& sender, KeyRing& keys, NodeId self, uint64_t incarnation);
 
   void send(const Endpoint& to, Message message) override;
-  /** @return the message of a datagram, or nothing where it was refused and counted. */
+  /** @return the message of a datagram, or nothing if the datagram was rejected and counted. */
   std::optional<ReceivedMessage> receive(const Endpoint& from, std::string_view datagram);
 
   const TrafficMeter& meter() const { return meter_; }
   const ControlCounters& counters() const { return counters_; }
-  /** @return how many datagrams were refused for the reason. */
+  /** @return the number of datagrams rejected for the reason. */
   uint64_t refused(OpenError reason) const { return opener_.refused(reason); }
 
  private:
--- a/source/common/server/datagram_sender.h
+++ b/source/common/server/datagram_sender.h
@@ -1,4 +1,4 @@
-/** @file Where the datagrams of a transport leave. */
+/** @file Interface through which a transport sends datagrams. */
 #pragma once
 
 #include <string_view>
@@ -7,11 +7,11 @@
 
 namespace umberhold {
 
-/** Sends datagrams; a datagram may be lost without notice. */
+/** Sends datagrams without reporting losses. */
 class DatagramSender {
  public:
   virtual ~DatagramSender() = default;
-  /** @param bytes only valid during the call. */
+  /** @param bytes valid only during the call. */
   virtual void send(const Endpoint& to, std::string_view bytes) = 0;
 };
 
--- a/source/common/server/event_loop.cc
+++ b/source/common/server/event_loop.cc
@@ -1,4 +1,4 @@
-/** @file The loop over poll(2). */
+/** @file The event loop, based on poll(2). */
 #include "common/server/event_loop.h"
 
 #include <poll.h>
@@ -35,7 +35,7 @@
       if (!onTick()) {
         return;
       }
-      // After a pause ticks are not made up for: one is enough.
+      // Ticks missed during a pause are not repeated.
       nextTick = std::max(nextTick + kTickInterval, now);
     }
     wait(nextTick);
--- a/source/common/server/event_loop.h
+++ b/source/common/server/event_loop.h
@@ -1,4 +1,4 @@
-/** @file The loop of a node's one working thread: sockets, ticks and posted closures. */
+/** @file The event loop of a node's single worker thread: sockets, ticks and posted closures. */
 #pragma once
 
 #include <cstdint>
@@ -14,37 +14,38 @@
 
 namespace umberhold {
 
-/** Interval of ticks. */
+/** Interval between ticks. */
 constexpr Duration kTickInterval = std::chrono::milliseconds(10);
 
-/** @return the wall clock. */
+/** @return the wall-clock time. */
 UnixSeconds unixNow();
-/** @return CPU time that the calling thread has used. */
+/** @return the CPU time used by the calling thread. */
 Duration threadCpuTime();
 
-/** What the loop's time goes into; the remainder is control work. */
+/** CPU time of the loop; the part that is not packet processing is control work. */
 struct LoopTimes {
-  /** CPU time of datagrams of ports that carry packets. */
+  /** CPU time spent on datagrams of ports that carry packets. */
   Duration packetCpu{0};
   /** CPU time of the whole loop thread. */
   Duration totalCpu{0};
 };
 
-/** Waits for datagrams and closures; ticks in between. Everything is called on the thread of run().
+/** Waits for datagrams and closures and ticks at a fixed interval. All callbacks run on the thread
+ * of run().
  */
 class EventLoop {
  public:
-  /** What a port's datagrams are, for the account of CPU time. */
+  /** Kind of a port's datagrams, for CPU time accounting. */
   enum class Purpose : uint8_t { kControl, kPackets };
 
   /** @param mailbox borrowed. */
   explicit EventLoop(LoopMailbox& mailbox) : mailbox_(mailbox) {}
 
-  /** Adds a port, borrowed; ports are served in the order in which they were added. */
+  /** Adds a port, which is borrowed; ports are served in the order in which they were added. */
   void addPort(UdpPort& port, Purpose purpose, UdpPort::Receiver receiver);
-  /** @param onTick called every kTickInterval; the loop ends once it returns false. */
+  /** @param onTick called every kTickInterval; the loop ends when it returns false. */
   void run(const std::function<bool()>& onTick);
-  /** @return the account of CPU time; for the loop thread. */
+  /** @return the CPU times; must be called on the loop thread. */
   LoopTimes times() const;
 
  private:
--- a/source/common/server/flow_log.cc
+++ b/source/common/server/flow_log.cc
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr const char* kNone = "-";
-/** A split of eight parts has 56; each costs some 200 bytes and a line of metrics. */
-constexpr size_t kMostOverflowPairs = 64;
-/** Stands for the pools of further pairs. */
+/** A split of eight parts has 56 pairs; each takes about 200 bytes and one metrics line. */
+constexpr size_t kMaxOverflowPairs = 64;
+/** Name under which pairs beyond the maximum are counted. */
 constexpr const char* kOtherPools = "other";
 
 std::string_view toString(PacketPhase phase) {
@@ -63,7 +63,7 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-/** Writes what decided a placement. */
+/** Writes the evidence for a placement. */
 struct EvidenceText {
   const PlacementEvidence& evidence;
   TimePoint now;
@@ -108,15 +108,15 @@
 
 void FlowLog::onDecided(TimePoint now, const ParsedPacket& packet, const FlowDecision& decision,
                         std::string_view bytes) {
-  const Seen seen{now, packet, requestOf(packet, bytes)};
-  std::visit([&](const auto& chosen) { log(seen, chosen); }, decision);
+  const PacketContext context{now, packet, requestOf(packet, bytes)};
+  std::visit([&](const auto& chosen) { log(context, chosen); }, decision);
 }
 
 void FlowLog::onDropped(TimePoint now, DropReason reason, std::string_view bytes) {
   const auto parsed = format_.parse(bytes);
   if (isOk(parsed)) {
     const ParsedPacket& packet = valueOf(parsed);
-    log(Seen{now, packet, requestOf(packet, bytes)}, DropPacket{reason});
+    log(PacketContext{now, packet, requestOf(packet, bytes)}, DropPacket{reason});
     return;
   }
   if (admit(now, LineKind::kFailure)) {
@@ -135,13 +135,13 @@
   }
 }
 
-void FlowLog::log(const Seen& seen, const ForwardToHost& decision) {
+void FlowLog::log(const PacketContext& context, const ForwardToHost& decision) {
   if (decision.placement != nullptr) {
-    logPlacement(seen, decision);
-  } else if (!seen.requestId.empty()) {
-    logRequest(seen, decision);
-  } else if (seen.packet.phase == PacketPhase::kReset) {
-    logCallerReset(seen, decision);
+    logPlacement(context, decision);
+  } else if (!context.requestId.empty()) {
+    logRequest(context, decision);
+  } else if (context.packet.phase == PacketPhase::kReset) {
+    logCallerReset(context, decision);
   }
 }
 
@@ -154,14 +154,14 @@
   const auto found = counters_.overflowed.find(pair);
   if (found != counters_.overflowed.end()) {
     ++found->second;
-  } else if (counters_.overflowed.size() < kMostOverflowPairs) {
+  } else if (counters_.overflowed.size() < kMaxOverflowPairs) {
     counters_.overflowed.emplace(pair, 1);
   } else {
     ++counters_.overflowed[{kOtherPools, kOtherPools}];
   }
 }
 
-void FlowLog::logPlacement(const Seen& seen, const ForwardToHost& decision) {
+void FlowLog::logPlacement(const PacketContext& context, const ForwardToHost& decision) {
   const PlacementEvidence& evidence = *decision.placement;
   const auto found = counters_.openedByPool.find(decision.label.pool);
   OpenedFlows& opened = found != counters_.openedByPool.end()
@@ -171,66 +171,66 @@
   countOverflow(decision);
   const bool repeated = !evidence.avoidedHost.empty();
   counters_.repeatedOpenings += repeated ? 1 : 0;
-  if (!admit(seen.now, repeated ? LineKind::kFailure : LineKind::kPlacement)) {
+  if (!admit(context.now, repeated ? LineKind::kFailure : LineKind::kPlacement)) {
     return;
   }
   LOG_TO_SINK_BUT_NOT_TO_LOGFILE(sink_, INFO)
       << "event=" << (repeated ? "opening_repeated" : "flow_placed")
-      << " flow=" << FlowText{seen.packet.key} << " service=" << evidence.service << " "
+      << " flow=" << FlowText{context.packet.key} << " service=" << evidence.service << " "
       << HostText{decision} << " avoided=" << (repeated ? evidence.avoidedHost : kNone)
-      << EvidenceText{evidence, seen.now};
+      << EvidenceText{evidence, context.now};
 }
 
-void FlowLog::logRequest(const Seen& seen, const ForwardToHost& decision) {
+void FlowLog::logRequest(const PacketContext& context, const ForwardToHost& decision) {
   ++counters_.requests;
-  if (admit(seen.now, LineKind::kRequest)) {
+  if (admit(context.now, LineKind::kRequest)) {
     LOG_TO_SINK_BUT_NOT_TO_LOGFILE(sink_, INFO)
-        << "event=request request=" << RequestText{seen.requestId}
-        << " flow=" << FlowText{seen.packet.key} << " " << HostText{decision};
+        << "event=request request=" << RequestText{context.requestId}
+        << " flow=" << FlowText{context.packet.key} << " " << HostText{decision};
   }
 }
 
-void FlowLog::logCallerReset(const Seen& seen, const ForwardToHost& decision) {
+void FlowLog::logCallerReset(const PacketContext& context, const ForwardToHost& decision) {
   ++counters_.callerResets;
-  if (admit(seen.now, LineKind::kFailure)) {
+  if (admit(context.now, LineKind::kFailure)) {
     LOG_TO_SINK_BUT_NOT_TO_LOGFILE(sink_, INFO)
-        << "event=caller_reset flow=" << FlowText{seen.packet.key} << " " << HostText{decision};
+        << "event=caller_reset flow=" << FlowText{context.packet.key} << " " << HostText{decision};
   }
 }
 
-void FlowLog::log(const Seen& seen, const RefuseFlow& decision) {
+void FlowLog::log(const PacketContext& context, const RefuseFlow& decision) {
   ++counters_.refused[static_cast<size_t>(decision.reason)];
-  if (admit(seen.now, LineKind::kFailure)) {
+  if (admit(context.now, LineKind::kFailure)) {
     LOG_TO_SINK_BUT_NOT_TO_LOGFILE(sink_, WARNING)
         << "event=flow_refused reason=" << umberhold::toString(decision.reason)
-        << " flow=" << FlowText{seen.packet.key} << " phase=" << toString(seen.packet.phase)
-        << " request=" << RequestText{seen.requestId};
+        << " flow=" << FlowText{context.packet.key} << " phase=" << toString(context.packet.phase)
+        << " request=" << RequestText{context.requestId};
   }
 }
 
-void FlowLog::log(const Seen& seen, const DropPacket& decision) {
-  if (admit(seen.now, LineKind::kFailure)) {
+void FlowLog::log(const PacketContext& context, const DropPacket& decision) {
+  if (admit(context.now, LineKind::kFailure)) {
     LOG_TO_SINK_BUT_NOT_TO_LOGFILE(sink_, WARNING)
         << "event=packet_dropped reason=" << umberhold::toString(decision.reason)
-        << " flow=" << FlowText{seen.packet.key} << " phase=" << toString(seen.packet.phase)
-        << " token=" << seen.packet.token << " request=" << RequestText{seen.requestId};
+        << " flow=" << FlowText{context.packet.key} << " phase=" << toString(context.packet.phase)
+        << " token=" << context.packet.token << " request=" << RequestText{context.requestId};
   }
 }
 
-void FlowLog::log(const Seen& seen, const RelayToNode& decision) {
-  if (!seen.requestId.empty() && admit(seen.now, LineKind::kRequest)) {
+void FlowLog::log(const PacketContext& context, const RelayToNode& decision) {
+  if (!context.requestId.empty() && admit(context.now, LineKind::kRequest)) {
     LOG_TO_SINK_BUT_NOT_TO_LOGFILE(sink_, INFO)
-        << "event=request request=" << RequestText{seen.requestId}
-        << " flow=" << FlowText{seen.packet.key} << " relay=" << toString(decision.endpoint);
+        << "event=request request=" << RequestText{context.requestId}
+        << " flow=" << FlowText{context.packet.key} << " relay=" << toString(decision.endpoint);
   }
 }
 
-void FlowLog::log(const Seen& seen, const HoldPacket& decision) {
-  if (admit(seen.now, LineKind::kFailure)) {
+void FlowLog::log(const PacketContext& context, const HoldPacket& decision) {
+  if (admit(context.now, LineKind::kFailure)) {
     LOG_TO_SINK_BUT_NOT_TO_LOGFILE(sink_, INFO)
         << "event=packet_held reason=" << umberhold::toString(decision.reason)
-        << " flow=" << FlowText{seen.packet.key} << " phase=" << toString(seen.packet.phase)
-        << " token=" << seen.packet.token << " request=" << RequestText{seen.requestId};
+        << " flow=" << FlowText{context.packet.key} << " phase=" << toString(context.packet.phase)
+        << " token=" << context.packet.token << " request=" << RequestText{context.requestId};
   }
 }
 
--- a/source/common/server/flow_log.h
+++ b/source/common/server/flow_log.h
@@ -1,6 +1,6 @@
 /**
- * @file A line for each decision that touches a flow or a request, under budgets; and the counts of
- * them that metrics tell.
+ * @file Writes a log line for each decision about a flow or a request, within line budgets, and
+ * counts the decisions for metrics.
  *
  * docs/OPERATIONS.md, "The log of a node with the strategy token", lists the events and fields.
  */
@@ -20,13 +20,13 @@
 
 namespace umberhold {
 
-/** New flows of one host pool. */
+/** Numbers of new flows of one host pool, by zone of the host. */
 struct OpenedFlows {
   uint64_t ownZone = 0;
   uint64_t otherZone = 0;
 };
 
-/** A pool without room, and the one that took flows instead. */
+/** A pool without spare capacity and the pool that received its flows instead. */
 struct OverflowPair {
   std::string from;
   std::string to;
@@ -36,29 +36,30 @@
   }
 };
 
-/** What the log saw, whether it wrote a line or not. */
+/** Counts of decisions, whether or not a line was written for them. */
 struct FlowLogCounters {
   std::map<std::string, OpenedFlows, std::less<>> openedByPool;
-  /** New flows that another part of their split took; beyond kMostOverflowPairs under "other". */
+  /** New flows that were placed on another part of their split; pairs beyond kMaxOverflowPairs are
+   * counted under "other". */
   std::map<OverflowPair, uint64_t> overflowed;
-  /** Openings whose earlier copy a host had left unanswered. */
+  /** Retransmitted openings whose earlier copy the host had not answered. */
   uint64_t repeatedOpenings = 0;
   uint64_t requests = 0;
-  /** Resets that callers sent. */
+  /** Resets sent by callers. */
   uint64_t callerResets = 0;
   /** By RefusalReason. */
   std::array<uint64_t, static_cast<size_t>(RefusalReason::kCount)> refused{};
-  /** Flows that were reset without a packet of theirs, by RefusalReason. */
+  /** Flows that the node reset on its own, not in answer to a packet, by RefusalReason. */
   std::array<uint64_t, static_cast<size_t>(RefusalReason::kCount)> reset{};
 };
 
-/** Not thread safe. */
+/** Logs and counts decisions about packets. Not thread safe. */
 class FlowLog : public PacketObserver {
  public:
   /**
-   * @param sink borrowed; where lines go. nullptr: nothing is written, only counted.
-   * @param format borrowed; reads packets that were dropped unread.
-   * @param requestHeader the header that names a request; empty: none does.
+   * @param sink borrowed; receives the lines. With nullptr, decisions are counted but not logged.
+   * @param format borrowed; parses packets that were dropped before parsing.
+   * @param requestHeader name of the header with the request identifier; empty for none.
    */
   FlowLog(google::LogSink* sink, const PacketFormat& format, std::string requestHeader);
 
@@ -68,7 +69,8 @@
   void onDropped(TimePoint now, DropReason reason, std::string_view bytes) override;
   void onReset(TimePoint now, const ResetFlow& decision) override;
 
-  /** @return whether a line of the kind may be written now; tells of suppressed ones first. */
+  /** @return whether a line of the kind may be written now. Logs the number of lines suppressed
+   * before, if any. */
   bool admit(TimePoint now, LineKind kind);
   google::LogSink* sink() const { return sink_; }
 
@@ -77,23 +79,23 @@
   const LineBudget& budget() const { return budget_; }
 
  private:
-  /** A packet with what its data tells. */
-  struct Seen {
+  /** A packet with the request identifier from its payload. */
+  struct PacketContext {
     TimePoint now;
     const ParsedPacket& packet;
     std::string_view requestId;
   };
 
   std::string_view requestOf(const ParsedPacket& packet, std::string_view bytes) const;
-  void log(const Seen& seen, const ForwardToHost& decision);
-  void log(const Seen& seen, const RefuseFlow& decision);
-  void log(const Seen& seen, const DropPacket& decision);
-  void log(const Seen& seen, const RelayToNode& decision);
-  void log(const Seen& seen, const HoldPacket& decision);
+  void log(const PacketContext& context, const ForwardToHost& decision);
+  void log(const PacketContext& context, const RefuseFlow& decision);
+  void log(const PacketContext& context, const DropPacket& decision);
+  void log(const PacketContext& context, const RelayToNode& decision);
+  void log(const PacketContext& context, const HoldPacket& decision);
   void countOverflow(const ForwardToHost& decision);
-  void logPlacement(const Seen& seen, const ForwardToHost& decision);
-  void logRequest(const Seen& seen, const ForwardToHost& decision);
-  void logCallerReset(const Seen& seen, const ForwardToHost& decision);
+  void logPlacement(const PacketContext& context, const ForwardToHost& decision);
+  void logRequest(const PacketContext& context, const ForwardToHost& decision);
+  void logCallerReset(const PacketContext& context, const ForwardToHost& decision);
 
   google::LogSink* const sink_;
   const PacketFormat& format_;
--- a/source/common/server/host_prober.cc
+++ b/source/common/server/host_prober.cc
@@ -1,4 +1,4 @@
-/** @file The threads that probe. */
+/** @file Probe queue and worker threads. */
 #include "common/server/host_prober.h"
 
 #include <array>
@@ -14,7 +14,7 @@
 namespace umberhold {
 namespace {
 
-/** Enough that hosts which do not answer hardly delay the others. */
+/** Enough that unresponsive hosts hardly delay the probes of others. */
 constexpr size_t kProbeThreads = 4;
 
 struct ProbeJob {
@@ -35,7 +35,7 @@
       const ProbeResult result{job->service, job->host, answer.healthy, answer.hasLoad,
                                answer.loadPercent};
       finish(*job);
-      // A full or closed mailbox loses the result, which counts as no answer.
+      // If the mailbox is full or closed, the result is lost, which counts as no answer.
       (void)mailbox.post([handler = onResult, result] { handler(result); });
     }
   }
@@ -63,7 +63,7 @@
   std::condition_variable wakeUp;
   bool stopping = false;
   std::deque<ProbeJob> waiting;
-  /** Hosts whose probe waits or runs. */
+  /** Hosts whose probe is queued or in progress. */
   std::set<std::pair<ServiceId, HostId>> pending;
   std::array<std::thread, kProbeThreads> threads;
 };
--- a/source/common/server/host_prober.h
+++ b/source/common/server/host_prober.h
@@ -1,4 +1,4 @@
-/** @file Probes back ends over HTTP in threads of its own: GET /health, then GET /load. */
+/** @file Probes hosts over HTTP on threads of its own: GET /health, then GET /load. */
 #pragma once
 
 #include <functional>
@@ -9,20 +9,20 @@
 
 namespace umberhold {
 
-/** How long one request of a probe may take. */
+/** Timeout of one request of a probe. */
 constexpr Duration kProbeTimeout = std::chrono::seconds(1);
-/** Probes waiting for a thread; beyond them a probe is dropped. */
+/** Maximum number of probes waiting for a thread; further probes are dropped. */
 constexpr size_t kProbeQueueCapacity = 1024;
 
-/** Runs probes and hands their results to the loop. probe() is for the loop thread. */
+/** Runs probes and passes their results to the loop. probe() must be called on the loop thread. */
 class HostProber : public ProbeOutput {
  public:
-  /** @param mailbox borrowed, of the loop; @param onResult called on the loop thread. */
+  /** @param mailbox the loop's mailbox, borrowed; @param onResult called on the loop thread. */
   HostProber(LoopMailbox& mailbox, std::function<void(const ProbeResult&)> onResult);
-  /** Ends the threads; waits for the probes that run. */
+  /** Ends the threads after the probes in progress. */
   ~HostProber() override;
 
-  /** A host whose probe still waits or runs is not probed again. */
+  /** Does nothing if a probe of the host is already queued or in progress. */
   void probe(ServiceId service, HostId host, const Endpoint& httpEndpoint) override;
 
  private:
--- a/source/common/server/http_server.cc
+++ b/source/common/server/http_server.cc
@@ -1,4 +1,4 @@
-/** @file The HTTP server over POCO. */
+/** @file The HTTP server, based on POCO. */
 #include "common/server/http_server.h"
 
 #include <Poco/Net/HTTPRequestHandler.h>
@@ -21,11 +21,11 @@
 using Poco::Net::HTTPServerResponse;
 
 constexpr int kThreads = 4;
-/** Connections waiting for a thread; beyond them connections are closed at once. */
+/** Maximum number of connections waiting for a thread; further ones are closed immediately. */
 constexpr int kQueuedConnections = 64;
 constexpr int kRequestTimeoutSeconds = 5;
 constexpr int kKeepAliveSeconds = 15;
-/** When a client may ask again while the node is not ready or busy. */
+/** Retry-After of responses while the node is not ready or busy, seconds. */
 constexpr uint32_t kRetryAfterSeconds = 1;
 constexpr const char* kTextType = "text/plain; charset=utf-8";
 /** Content type of Prometheus' text format. */
@@ -78,7 +78,7 @@
   return hooks.admin->handle(request);
 }
 
-/** Reads the body; @return false where it is longer than kAdminBodyLimit. */
+/** Reads the body. @return false if it is longer than kAdminBodyLimit. */
 bool readBody(std::istream& stream, std::string& body) {
   constexpr size_t kChunkBytes = 16384;
   std::string chunk(kChunkBytes, '\0');
@@ -123,7 +123,7 @@
     try {
       sendAnswer(answerTo(request, response), response);
     } catch (const Poco::Exception& exception) {
-      // The client is gone or its request can't be read: there is nobody to answer.
+      // The client has disconnected or its request can't be read, so no response is sent.
       LOG(WARNING) << "event=http_request_failed detail=\"" << exception.displayText() << "\"";
     }
   }
@@ -137,7 +137,7 @@
       return textAnswer(HTTPResponse::HTTP_BAD_REQUEST, "the target is no URI\n");
     }
     if (!readBody(request.stream(), head.body)) {
-      // The rest of the body is left unread, so the connection can't be used again.
+      // The rest of the body stays unread, so the connection can't be reused.
       response.setKeepAlive(false);
       return textAnswer(HTTPResponse::HTTP_REQUEST_ENTITY_TOO_LARGE, "the body is too long\n");
     }
@@ -168,7 +168,7 @@
   return parameters;
 }
 
-/** POCO's binding constructor would let two processes share the port. */
+/** Binds explicitly: POCO's binding constructor would let two processes share the port. */
 Poco::Net::ServerSocket listenOn(const Endpoint& endpoint) {
   Poco::Net::ServerSocket socket;
   socket.bind(Poco::Net::SocketAddress(addressToString(endpoint.address), endpoint.port), true,
--- a/source/common/server/http_server.h
+++ b/source/common/server/http_server.h
@@ -1,4 +1,4 @@
-/** @file A node's HTTP server: health, readiness, metrics, and the admin API mounted in it. */
+/** @file A node's HTTP server: health, readiness, metrics and the admin API. */
 #pragma once
 
 #include <functional>
@@ -14,23 +14,23 @@
 
 namespace umberhold {
 
-/** What the server asks of the node; called from HTTP threads. */
+/** Functions through which the server queries the node; called on HTTP threads. */
 struct HttpServerHooks {
-  /** @return the readiness, or nothing where the node's loop does not answer. */
+  /** @return the readiness, or nothing if the node's loop does not answer. */
   std::function<std::optional<NodeReadiness>()> readiness;
-  /** @return the metrics in Prometheus' text format, or nothing where the loop does not answer. */
+  /** @return the metrics in Prometheus' text format, or nothing if the loop does not answer. */
   std::function<std::optional<std::string>()> metrics;
   /** The admin API; borrowed; nullptr for none. */
   AdminHandler* admin = nullptr;
 };
 
 /**
- * Serves GET /healthz, /readyz and /metrics and hands every other path to the admin API. Every
- * request gets its final answer at once; 503 answers say by Retry-After when to come back.
+ * Serves GET /healthz, /readyz and /metrics and passes every other path to the admin API. Requests
+ * are answered without waiting for a state to change; 503 responses carry a Retry-After header.
  */
 class HttpServer {
  public:
-  /** Listens and serves until it is destroyed; port 0 takes a free one. */
+  /** Listens and serves until the server is destroyed. Port 0 binds a free port. */
   static Result<std::unique_ptr<HttpServer>, PortError> start(const Endpoint& local,
                                                               HttpServerHooks hooks);
   ~HttpServer();
--- a/source/common/server/loop_mailbox.cc
+++ b/source/common/server/loop_mailbox.cc
@@ -1,4 +1,4 @@
-/** @file The queue of closures, with an eventfd that wakes the loop. */
+/** @file The queue of closures; an eventfd wakes the loop. */
 #include "common/server/loop_mailbox.h"
 
 #include <glog/logging.h>
@@ -33,7 +33,7 @@
 
 void LoopMailbox::drain() {
   uint64_t count = 0;
-  [[maybe_unused]] const ssize_t got = ::read(wakeDescriptor_, &count, sizeof count);
+  [[maybe_unused]] const ssize_t bytesRead = ::read(wakeDescriptor_, &count, sizeof count);
   std::vector<std::function<void()>> due;
   {
     const std::lock_guard lock(mutex_);
@@ -45,11 +45,11 @@
 }
 
 void LoopMailbox::close() {
-  std::vector<std::function<void()>> forgotten;
+  std::vector<std::function<void()>> discarded;
   {
     const std::lock_guard lock(mutex_);
     closed_ = true;
-    forgotten.swap(waiting_);
+    discarded.swap(waiting_);
   }
 }
 
--- a/source/common/server/loop_mailbox.h
+++ b/source/common/server/loop_mailbox.h
@@ -1,8 +1,8 @@
 /**
- * @file How other threads reach the loop thread: they post closures, which the loop runs.
+ * @file A queue through which other threads post closures to the loop thread.
  *
- * call() waits for a typed answer with a time limit. A call that timed out has not run and never
- * will, so that what is reported as not done is not done.
+ * call() waits for a typed result with a timeout. The closure of a call that timed out has not run
+ * and never will, so an operation reported as not executed has no effect.
  */
 #pragma once
 
@@ -23,15 +23,15 @@
 
 /** Why a closure did not run. */
 enum class MailboxError : uint8_t {
-  /** The loop did not come round to it in time. */
+  /** The loop did not start the closure within the timeout. */
   kTimedOut,
-  /** Too many closures wait. */
+  /** Too many closures are waiting. */
   kFull,
   /** The loop has ended. */
   kClosed,
 };
 
-/** Closures waiting at once. */
+/** Maximum number of waiting closures. */
 constexpr size_t kMailboxCapacity = 4096;
 
 /** The queue of closures of one loop. post, call and close are thread safe. */
@@ -42,17 +42,19 @@
   LoopMailbox(const LoopMailbox&) = delete;
   LoopMailbox& operator=(const LoopMailbox&) = delete;
 
-  /** Lets the loop run the closure soon. */
+  /** Queues the closure to run on the loop thread. */
   Result<Ok, MailboxError> post(std::function<void()> closure);
 
   /**
-   * Lets the loop run the closure and waits for its value. Not for the loop thread itself.
-   * @param limit how long the closure may wait for its start; once started it is waited for.
+   * Runs the closure on the loop thread and waits for its value. Must not be called on the loop
+   * thread.
+   * @param limit maximum wait until the closure starts; once started, its completion is awaited
+   * without a limit.
    */
   template <class Value>
   Result<Value, MailboxError> call(Duration limit, std::function<Value()> closure) {
     auto claimed = std::make_shared<std::atomic<bool>>(false);
-    // Only the posted closure keeps the ticket: where it is forgotten, the promise breaks.
+    // Only the posted closure owns the ticket: if the closure is discarded, the promise is broken.
     auto ticket = std::make_shared<Ticket<Value>>(std::move(closure), claimed);
     std::future<Value> answer = ticket->answer.get_future();
     const auto posted = post([ticket = std::move(ticket)] { ticket->run(); });
@@ -62,18 +64,18 @@
     if (answer.wait_for(limit) != std::future_status::ready && !claimed->exchange(true)) {
       return MailboxError::kTimedOut;
     }
-    return take(answer);
+    return resultOf(answer);
   }
 
-  /** Runs what was posted; for the loop thread. */
+  /** Runs the posted closures; must be called on the loop thread. */
   void drain();
-  /** Refuses further closures and forgets the waiting ones. */
+  /** Rejects further closures and discards the waiting ones. */
   void close();
-  /** @return a descriptor that is readable while closures wait. */
+  /** @return a descriptor that is readable while closures are waiting. */
   int wakeDescriptor() const { return wakeDescriptor_; }
 
  private:
-  /** One call; it is either run or given up, never both: whoever claims it first decides. */
+  /** One call. Either the loop runs it or the caller abandons it, whichever claims it first. */
   template <class Value>
   struct Ticket {
     Ticket(std::function<Value()> work, std::shared_ptr<std::atomic<bool>> flag)
@@ -89,9 +91,9 @@
     std::promise<Value> answer;
   };
 
-  /** A ticket that close() forgot breaks its promise. */
+  /** @return the value, or kClosed if close() discarded the ticket and so broke its promise. */
   template <class Value>
-  static Result<Value, MailboxError> take(std::future<Value>& answer) {
+  static Result<Value, MailboxError> resultOf(std::future<Value>& answer) {
     try {
       return answer.get();
     } catch (const std::future_error&) {
--- a/source/common/server/member_snapshot.h
+++ b/source/common/server/member_snapshot.h
@@ -1,4 +1,4 @@
-/** @file A copy of the members, for other threads than the loop's. */
+/** @file A copy of the membership for use outside the loop thread. */
 #pragma once
 
 #include <utility>
@@ -8,7 +8,7 @@
 
 namespace umberhold {
 
-/** Members as they were at one moment. */
+/** The members at one point in time. */
 class MemberSnapshot : public MembershipView {
  public:
   MemberSnapshot(NodeId self, std::vector<Member> members)
--- a/source/common/server/metric_families.h
+++ b/source/common/server/metric_families.h
@@ -1,5 +1,4 @@
-/** @file Families of metrics in prometheus-cpp's model, as the programs' metrics pages need them.
- */
+/** @file Helpers that build metric families in prometheus-cpp's model. */
 #pragma once
 
 #include <prometheus/metric_family.h>
@@ -15,10 +14,10 @@
 
 namespace umberhold {
 
-/** @return the time in seconds, with fractions. */
+/** @return the duration in fractional seconds. */
 double secondsOf(Duration duration);
 
-/** One family of counters or gauges that share a name. */
+/** Builds one family of counters or gauges with a common name. */
 class MetricFamilyBuilder {
  public:
   MetricFamilyBuilder(prometheus::MetricType type, std::string name, std::string help);
@@ -35,7 +34,7 @@
 prometheus::MetricFamily counterOf(std::string name, std::string help, double value);
 prometheus::MetricFamily gaugeOf(std::string name, std::string help, double value);
 
-/** Calls the visitor for each value of an enum that counts from 0 to kCount. */
+/** Calls the visitor for each value of an enum whose values run from 0 to kCount - 1. */
 template <class Enum, class Visitor>
 void forEachValue(const Visitor& visitor) {
   for (size_t index = 0; index < static_cast<size_t>(Enum::kCount); ++index) {
@@ -43,23 +42,24 @@
   }
 }
 
-/** Adds the families of a packet path: received, by decision, dropped by reason. */
+/** Adds the families of a packet path: packets received, packets by decision and drops by reason.
+ */
 void addPacketFamilies(const PacketCounters& packets,
                        std::vector<prometheus::MetricFamily>& families);
 
-/** Settings that were read again while the process ran. */
+/** Counters of settings reloads while the process runs. */
 struct ReloadCounters {
-  /** They are effective, as far as they can change while the process runs. */
+  /** Accepted; the options that can change at run time took effect. */
   uint64_t taken = 0;
-  /** Faulty, or against the order that a change demands; nothing of them is effective. */
+  /** Rejected because of an error or an invalid sequence of changes; nothing took effect. */
   uint64_t refused = 0;
 };
 
 prometheus::MetricFamily reloadFamily(const ReloadCounters& reloads);
 
-/** What the process takes of the machine. */
+/** Resource usage of the process. */
 struct ProcessUsage {
-  /** Of all threads. */
+  /** CPU time of all threads. */
   Duration cpu{0};
   uint64_t residentBytes = 0;
 };
--- a/source/common/server/node_metrics.cc
+++ b/source/common/server/node_metrics.cc
@@ -1,4 +1,4 @@
-/** @file Metrics by prometheus-cpp's families and text serializer. */
+/** @file Metrics built from prometheus-cpp's families and its text serializer. */
 #include "common/server/node_metrics.h"
 
 #include <prometheus/metric_family.h>
--- a/source/common/server/node_metrics.h
+++ b/source/common/server/node_metrics.h
@@ -1,4 +1,4 @@
-/** @file What a node shows at /metrics, and its form. */
+/** @file Metrics of a node at /metrics and their text format. */
 #pragma once
 
 #include <array>
@@ -15,20 +15,20 @@
 
 namespace umberhold {
 
-/** A snapshot, taken on the loop thread. */
+/** A snapshot of a node's metrics, taken on the loop thread. */
 struct NodeMetrics {
   NodeReadiness readiness = NodeReadiness::kJoining;
   NodeCounters core;
   TrafficMeter traffic;
   ControlCounters control;
-  /** Refused datagrams by OpenError. */
+  /** Rejected datagrams by OpenError. */
   std::array<uint64_t, static_cast<size_t>(OpenError::kCount)> refusedDatagrams{};
   UdpCounters dataPort;
   UdpCounters relayPort;
   UdpCounters controlPort;
   uint64_t unsentAnswers = 0;
   LoopTimes loop;
-  /** Keys of node messages: the one that signs, and all that are accepted. */
+  /** Ids of the keys of node messages: the signing key and all accepted keys. */
   uint32_t signingKey = 0;
   std::vector<uint32_t> acceptedKeys;
   ReloadCounters reloads;
--- a/source/common/server/node_ports.cc
+++ b/source/common/server/node_ports.cc
@@ -1,4 +1,4 @@
-/** @file Opening of the ports. */
+/** @file Opens the ports. */
 #include "common/server/node_ports.h"
 
 #include <utility>
--- a/source/common/server/node_ports.h
+++ b/source/common/server/node_ports.h
@@ -9,14 +9,14 @@
 
 namespace umberhold {
 
-/** The ports, all open. */
+/** The open ports of a node. */
 struct NodePorts {
   std::unique_ptr<UdpPort> data;
   std::unique_ptr<UdpPort> relay;
   std::unique_ptr<UdpPort> control;
 };
 
-/** Opens the ports that the settings name; @return the first failure otherwise. */
+/** Opens the ports given in the settings. @return the ports, or the first error. */
 Result<NodePorts, PortError> openPorts(const NodeSettings& settings);
 
 }  // namespace umberhold
--- a/source/common/server/node_process.cc
+++ b/source/common/server/node_process.cc
@@ -1,4 +1,4 @@
-/** @file Binding of the core. */
+/** @file Connects the core to the process. */
 #include "common/server/node_process.h"
 
 #include <glog/logging.h>
@@ -32,11 +32,12 @@
 namespace umberhold {
 namespace {
 
-/** How often a leaving node says which shards it still holds, and of how many. */
-constexpr Duration kHeldNoteInterval = std::chrono::seconds(2);
+/** Interval at which a leaving node logs some of the shards it still holds and their total number.
+ */
+constexpr Duration kHeldShardsLogInterval = std::chrono::seconds(2);
 constexpr size_t kLoggedShards = 3;
 
-/** Unix milliseconds, which number the incarnations of a node. */
+/** @return the current time in Unix milliseconds, which serves as incarnation number of a node. */
 uint64_t incarnationNow() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
@@ -72,7 +73,7 @@
 
 }  // namespace
 
-/** The parts, in the order in which they depend on each other. */
+/** The components, in order of their dependencies. */
 struct NodeProcess::Parts {
   Parts(NodeSettings nodeSettings, NodePorts opened)
       : settings(std::move(nodeSettings)),
@@ -113,12 +114,12 @@
     HttpServerHooks result;
     result.readiness = [this]() -> std::optional<NodeReadiness> {
       const auto answer =
-          mailbox.call<NodeReadiness>(kQuestionLimit, [this] { return core.readiness(); });
+          mailbox.call<NodeReadiness>(kLoopCallTimeout, [this] { return core.readiness(); });
       return isOk(answer) ? std::optional(valueOf(answer)) : std::nullopt;
     };
     result.metrics = [this]() -> std::optional<std::string> {
       const auto answer =
-          mailbox.call<NodeMetrics>(kQuestionLimit, [this] { return takeMetrics(); });
+          mailbox.call<NodeMetrics>(kLoopCallTimeout, [this] { return takeMetrics(); });
       return isOk(answer) ? std::optional(renderMetrics(valueOf(answer), readProcessUsage()))
                           : std::nullopt;
     };
@@ -161,8 +162,7 @@
     core.leave(now);
   }
 
-  /** Takes the keys of settings that were read again; anything that is wrong leaves the old ones.
-   */
+  /** Applies the keys of reloaded settings; on any error the previous keys stay in use. */
   void reload(const Result<NodeSettings, SettingsError>& loaded) {
     if (!isOk(loaded)) {
       ++reloads.refused;
@@ -184,7 +184,7 @@
               << " signing_key=" << next.signingKey;
   }
 
-  /** @return whether the loop goes on. */
+  /** @return whether the loop continues. */
   bool tick(NodeSignals& signals) {
     const TimePoint now = steadyNow();
     if (!stopDeadline && signals.stopAsked()) {
@@ -194,17 +194,17 @@
       reload(*loaded);
     }
     core.onTick(now, unixNow());
-    noteReadiness();
-    noteHeldShards(now);
+    logReadinessChange();
+    logHeldShards(now);
     return !stopDeadline || (core.readiness() != NodeReadiness::kLeft && now < *stopDeadline);
   }
 
-  /** Says now and then what a leaving node waits for. */
-  void noteHeldShards(TimePoint now) {
-    if (core.readiness() != NodeReadiness::kLeaving || now < nextHeldNote) {
+  /** Periodically logs the shards that a leaving node still has to hand over. */
+  void logHeldShards(TimePoint now) {
+    if (core.readiness() != NodeReadiness::kLeaving || now < nextHeldShardsLog) {
       return;
     }
-    nextHeldNote = now + kHeldNoteInterval;
+    nextHeldShardsLog = now + kHeldShardsLogInterval;
     const std::vector<PendingHandover> held = core.pendingHandovers();
     const size_t logged = std::min(held.size(), kLoggedShards);
     for (size_t index = 0; index < logged; ++index) {
@@ -217,7 +217,7 @@
     }
   }
 
-  void noteReadiness() {
+  void logReadinessChange() {
     if (core.readiness() == lastReadiness) {
       return;
     }
@@ -241,22 +241,22 @@
   SystemCallClock clock;
   ChangeCoordinator changes;
   ChangeAnnouncer announcer{mailbox, core};
-  /** The admin API compiles on its own threads. */
+  /** A separate engine, since the admin API compiles policies on its own threads. */
   LuaPolicyEngine adminPolicies;
   AdminApi admin;
   std::unique_ptr<StoreWorker> reader;
   std::unique_ptr<HttpServer> http;
   std::optional<TimePoint> stopDeadline;
   std::optional<NodeReadiness> lastReadiness;
-  /** When a leaving node next says what it waits for. */
-  TimePoint nextHeldNote{};
+  /** When a leaving node next logs the shards it still holds. */
+  TimePoint nextHeldShardsLog{};
   ReloadCounters reloads;
 };
 
 NodeProcess::NodeProcess(std::unique_ptr<Parts> parts) : parts_(std::move(parts)) {}
 
 NodeProcess::~NodeProcess() {
-  // Threads that wait for the loop are answered before they are joined.
+  // Closing the mailbox unblocks threads that wait for the loop before they are joined.
   parts_->mailbox.close();
 }
 
--- a/source/common/server/node_process.h
+++ b/source/common/server/node_process.h
@@ -1,4 +1,4 @@
-/** @file One running node: the core bound to ports, clock, store and HTTP. */
+/** @file One running node: connects the core to ports, clock, store and HTTP server. */
 #pragma once
 
 #include <memory>
@@ -10,18 +10,18 @@
 
 namespace umberhold {
 
-/** Why run() ended. */
+/** Reason why run() ended. */
 enum class NodeEnd : uint8_t {
-  /** Everything was handed over. */
+  /** All shards were handed over. */
   kLeft,
-  /** The time limit of a planned stop came first. */
+  /** The time limit of the planned stop expired first. */
   kStopLimit,
 };
 
 /** A node process. */
 class NodeProcess {
  public:
-  /** Opens the ports. */
+  /** Opens the ports and starts the HTTP server. */
   static Result<std::unique_ptr<NodeProcess>, PortError> create(const NodeSettings& settings);
   ~NodeProcess();
   NodeProcess(const NodeProcess&) = delete;
@@ -29,8 +29,8 @@
 
   /**
    * Runs the node on the calling thread.
-   * @param signals borrowed. A stop begins the planned stop; of reloaded settings the node takes
-   * the keys of node messages, if checkRotation() takes the step, and nothing else.
+   * @param signals borrowed. A stop request starts the planned stop. Of reloaded settings only the
+   * keys of node messages are applied, and only if checkRotation() accepts the change.
    */
   NodeEnd run(NodeSignals& signals);
 
--- a/source/common/server/node_signals.h
+++ b/source/common/server/node_signals.h
@@ -1,4 +1,4 @@
-/** @file What a running node is asked from outside, between two turns of its loop. */
+/** @file Requests to a running node from outside, polled by its loop. */
 #pragma once
 
 #include <optional>
@@ -8,13 +8,13 @@
 
 namespace umberhold {
 
-/** Asked at every tick, on the loop thread; answers at once. */
+/** Polled at every tick on the loop thread; the functions must not block. */
 class NodeSignals {
  public:
   virtual ~NodeSignals() = default;
-  /** @return whether a planned stop was asked for; stays true from then on. */
+  /** @return whether a planned stop was requested; stays true from then on. */
   virtual bool stopAsked() = 0;
-  /** @return the settings, read again, once for each time that a reload was asked for. */
+  /** @return the settings, read again, once per reload request; otherwise nothing. */
   virtual std::optional<Result<NodeSettings, SettingsError>> reloadedSettings() = 0;
 };
 
--- a/source/common/server/node_status_bridge.cc
+++ b/source/common/server/node_status_bridge.cc
@@ -1,4 +1,4 @@
-/** @file Questions to the core, one closure each. */
+/** @file Queries to the core, one closure each. */
 #include "common/server/node_status_bridge.h"
 
 #include <algorithm>
@@ -16,21 +16,21 @@
   return {NodeStatusErrorCode::kBusy, "the node's loop did not answer"};
 }
 
-/** Asks a question that always has an answer. */
+/** Runs a query that returns a plain value. */
 template <class Value>
-NodeStatusResult<Value> ask(LoopMailbox& mailbox, std::function<Value()> question) {
-  auto answer = mailbox.call<Value>(kQuestionLimit, std::move(question));
+NodeStatusResult<Value> runOnLoop(LoopMailbox& mailbox, std::function<Value()> closure) {
+  auto answer = mailbox.call<Value>(kLoopCallTimeout, std::move(closure));
   if (!isOk(answer)) {
     return busy();
   }
   return std::move(valueOf(answer));
 }
 
-/** Asks a question that may have none. */
+/** Runs a query that may fail by itself. */
 template <class Value>
-NodeStatusResult<Value> askMaybe(LoopMailbox& mailbox,
-                                 std::function<NodeStatusResult<Value>()> question) {
-  auto answer = mailbox.call<NodeStatusResult<Value>>(kQuestionLimit, std::move(question));
+NodeStatusResult<Value> runFallibleOnLoop(LoopMailbox& mailbox,
+                                          std::function<NodeStatusResult<Value>()> closure) {
+  auto answer = mailbox.call<NodeStatusResult<Value>>(kLoopCallTimeout, std::move(closure));
   if (!isOk(answer)) {
     return busy();
   }
@@ -38,20 +38,22 @@
 }
 
 /**
- * The sums come from the region's root, which is only asked while somebody is interested: the first
- * answer of a node that was not interested holds none yet.
+ * Maximum number of queries for coverage sums. The sums come from the region's root, which a node
+ * queries only while there is demand for them, so the first answer without recent demand contains
+ * none yet.
  */
-constexpr int kCoverageTries = 6;
-constexpr auto kCoverageRetryAfter = std::chrono::milliseconds(250);
-
-/** Asks again, on the caller's thread, while the answer holds no sums. */
-template <class Value, class Ask>
-NodeStatusResult<Value> askForCoverage(const Ask& ask, uint32_t (*nodes)(const Value&)) {
-  auto answer = ask();
-  for (int tries = 1; tries < kCoverageTries && isOk(answer) && nodes(valueOf(answer)) == 0;
-       ++tries) {
-    std::this_thread::sleep_for(kCoverageRetryAfter);
-    answer = ask();
+constexpr int kMaxCoverageAttempts = 6;
+constexpr auto kCoverageRetryDelay = std::chrono::milliseconds(250);
+
+/** Repeats the query on the calling thread until the answer contains sums or kMaxCoverageAttempts
+ * is reached. */
+template <class Value, class Query>
+NodeStatusResult<Value> queryCoverage(const Query& query, uint32_t (*nodes)(const Value&)) {
+  auto answer = query();
+  for (int attempts = 1;
+       attempts < kMaxCoverageAttempts && isOk(answer) && nodes(valueOf(answer)) == 0; ++attempts) {
+    std::this_thread::sleep_for(kCoverageRetryDelay);
+    answer = query();
   }
   return answer;
 }
@@ -59,13 +61,15 @@
 }  // namespace
 
 NodeStatusResult<NodeSummary> NodeStatusBridge::summary() {
-  return askForCoverage<NodeSummary>(
-      [this] { return ask<NodeSummary>(mailbox_, [this] { return core_.summary(steadyNow()); }); },
+  return queryCoverage<NodeSummary>(
+      [this] {
+        return runOnLoop<NodeSummary>(mailbox_, [this] { return core_.summary(steadyNow()); });
+      },
       [](const NodeSummary& summary) { return summary.coverage.nodes; });
 }
 
 NodeStatusResult<std::vector<Member>> NodeStatusBridge::members() {
-  auto members = ask<std::vector<Member>>(mailbox_, [this] { return core_.members(); });
+  auto members = runOnLoop<std::vector<Member>>(mailbox_, [this] { return core_.members(); });
   if (isOk(members)) {
     std::sort(valueOf(members).begin(), valueOf(members).end(),
               [](const Member& left, const Member& right) { return left.id < right.id; });
@@ -74,25 +78,25 @@
 }
 
 NodeStatusResult<CoverageStatus> NodeStatusBridge::coverage(uint64_t version) {
-  return askForCoverage<CoverageStatus>(
+  return queryCoverage<CoverageStatus>(
       [this, version] {
-        return ask<CoverageStatus>(
+        return runOnLoop<CoverageStatus>(
             mailbox_, [this, version] { return core_.coverage(steadyNow(), version); });
       },
       [](const CoverageStatus& coverage) { return coverage.nodes; });
 }
 
 NodeStatusResult<FlowExplanation> NodeStatusBridge::explain(const ExplainQuery& query) {
-  return askMaybe<FlowExplanation>(mailbox_,
-                                   [this, query] { return core_.explain(steadyNow(), query); });
+  return runFallibleOnLoop<FlowExplanation>(
+      mailbox_, [this, query] { return core_.explain(steadyNow(), query); });
 }
 
 NodeStatusResult<RecordPage> NodeStatusBridge::records(uint64_t cursor) {
-  return ask<RecordPage>(mailbox_, [this, cursor] { return core_.records(cursor); });
+  return runOnLoop<RecordPage>(mailbox_, [this, cursor] { return core_.records(cursor); });
 }
 
 NodeStatusResult<ConfigRecord> NodeStatusBridge::record(const RecordKey& key) {
-  return askMaybe<ConfigRecord>(mailbox_, [this, key] { return core_.record(key); });
+  return runFallibleOnLoop<ConfigRecord>(mailbox_, [this, key] { return core_.record(key); });
 }
 
 }  // namespace umberhold
--- a/source/common/server/node_status_bridge.h
+++ b/source/common/server/node_status_bridge.h
@@ -1,4 +1,4 @@
-/** @file Answers the admin API's questions on the loop thread. */
+/** @file Runs the admin API's status queries on the loop thread. */
 #pragma once
 
 #include "common/node/node_core.h"
@@ -7,13 +7,13 @@
 
 namespace umberhold {
 
-/** How long a question may wait for the loop. */
-constexpr Duration kQuestionLimit = std::chrono::milliseconds(500);
+/** Timeout of a query that waits for the loop. */
+constexpr Duration kLoopCallTimeout = std::chrono::milliseconds(500);
 
-/** Asks the core through the mailbox. Thread safe, but not for the loop thread. */
+/** Queries the core through the mailbox. Thread safe, but must not be called on the loop thread. */
 class NodeStatusBridge : public NodeStatus {
  public:
-  /** Both are borrowed. */
+  /** Both arguments are borrowed. */
   NodeStatusBridge(LoopMailbox& mailbox, NodeCore& core) : mailbox_(mailbox), core_(core) {}
 
   NodeStatusResult<NodeSummary> summary() override;
--- a/source/common/server/packet_transport.cc
+++ b/source/common/server/packet_transport.cc
@@ -1,4 +1,4 @@
-/** @file Answers to callers. */
+/** @file Sends packets to callers through the return gateway. */
 #include "common/server/packet_transport.h"
 
 namespace umberhold {
--- a/source/common/server/packet_transport.h
+++ b/source/common/server/packet_transport.h
@@ -1,4 +1,4 @@
-/** @file Packets out of a node as GUE variant 1: the UDP payload is the inner IP packet. */
+/** @file Sends packets as GUE variant 1: the UDP payload is the inner IP packet. */
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,8 @@
 /** Sends packets over the data port. Not thread safe. */
 class PacketTransport : public PacketOutput {
  public:
-  /** @param port borrowed; @param returnGateway where answers to callers go; port 0 for nowhere. */
+  /** @param port borrowed; @param returnGateway where packets to callers are sent; port 0 for none.
+   */
   PacketTransport(UdpPort& port, const Endpoint& returnGateway)
       : port_(port), returnGateway_(returnGateway) {}
 
@@ -24,7 +25,7 @@
   }
   void sendToCaller(const Endpoint& /*caller*/, std::string_view packet) override;
 
-  /** @return answers to callers that were not sent for lack of a gateway. */
+  /** @return the number of packets to callers that were not sent because no gateway is set. */
   uint64_t unsentAnswers() const { return unsentAnswers_; }
 
  private:
--- a/source/common/server/poll_http_port.cc
+++ b/source/common/server/poll_http_port.cc
@@ -17,9 +17,9 @@
 
 constexpr int kBacklog = 64;
 constexpr const char* kHeadEnd = "\r\n\r\n";
-/** A caller that doesn't take an answer within this many tries is given up. */
-constexpr int kSendTries = 200;
-constexpr Duration kSendPause = std::chrono::milliseconds(10);
+/** Maximum number of send retries before the connection of a slow client is closed. */
+constexpr int kMaxSendRetries = 200;
+constexpr Duration kSendRetryDelay = std::chrono::milliseconds(10);
 
 int openListener(const Endpoint& local) {
   const int listener = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -45,8 +45,8 @@
          (keep ? "" : "\r\nConnection: close") + kHeadEnd + answer.body;
 }
 
-/** @return the path that is asked for with GET, or nothing. */
-std::optional<std::string> askedPath(const std::string& head) {
+/** @return the path of a GET request, or nothing for other requests. */
+std::optional<std::string> requestedPath(const std::string& head) {
   constexpr std::string_view kMethod = "GET ";
   const std::string line = head.substr(0, head.find('\r'));
   if (line.rfind(kMethod, 0) != 0) {
@@ -59,7 +59,7 @@
 
 RenderedAnswer renderAnswer(const std::string& head, const TextResponder& responder) {
   const bool keep = head.find("onnection: close") == std::string::npos;
-  const auto path = askedPath(head);
+  const auto path = requestedPath(head);
   const auto answer = path ? responder(*path) : std::nullopt;
   if (!answer) {
     return {render("404 Not Found", {true, "text/plain", "unknown path\n"}, keep), keep};
@@ -69,8 +69,8 @@
 
 TextResponder readinessResponder(std::string path, std::function<bool()> ready) {
   return [path = std::move(path),
-          ready = std::move(ready)](const std::string& asked) -> std::optional<TextAnswer> {
-    if (asked != path) {
+          ready = std::move(ready)](const std::string& requested) -> std::optional<TextAnswer> {
+    if (requested != path) {
       return std::nullopt;
     }
     const bool isReady = ready();
@@ -94,10 +94,10 @@
 }
 
 PollHttpPort::~PollHttpPort() {
-  loop_.forget(listener_);
+  loop_.unwatch(listener_);
   ::close(listener_);
   for (const auto& [descriptor, connection] : connections_) {
-    loop_.forget(descriptor);
+    loop_.unwatch(descriptor);
     ::close(descriptor);
   }
 }
@@ -165,17 +165,17 @@
   } else if (!connection.keep) {
     close(descriptor);
   } else {
-    connection.sendTries = 0;
+    connection.sendRetries = 0;
   }
 }
 
 void PollHttpPort::sendLater(int descriptor) {
   Connection& connection = connections_[descriptor];
-  if (++connection.sendTries > kSendTries) {
+  if (++connection.sendRetries > kMaxSendRetries) {
     close(descriptor);
     return;
   }
-  loop_.at(steadyNow() + kSendPause, [this, descriptor, number = connection.number] {
+  loop_.at(steadyNow() + kSendRetryDelay, [this, descriptor, number = connection.number] {
     const auto found = connections_.find(descriptor);
     if (found != connections_.end() && found->second.number == number) {
       send(descriptor);
@@ -184,7 +184,7 @@
 }
 
 void PollHttpPort::close(int descriptor) {
-  loop_.forget(descriptor);
+  loop_.unwatch(descriptor);
   ::close(descriptor);
   connections_.erase(descriptor);
 }
--- a/source/common/server/poll_http_port.h
+++ b/source/common/server/poll_http_port.h
@@ -1,8 +1,8 @@
 /**
- * @file A small HTTP/1.1 port that answers GET with short texts: readiness, metrics.
+ * @file A small HTTP/1.1 server that answers GET with short texts such as readiness and metrics.
  *
- * It is served by the process's own loop, without threads and without a wake-up of its own;
- * http_server.h is the full server.
+ * It runs on the process's own loop, without threads and without periodic wake-ups; http_server.h
+ * is the full server.
  */
 #pragma once
 
@@ -19,38 +19,39 @@
 
 namespace umberhold {
 
-/** Connections at once; further ones replace the oldest. */
+/** Maximum number of open connections; a further one replaces the oldest. */
 constexpr size_t kPollHttpConnections = 64;
-/** Longest request head, bytes. */
+/** Maximum length of a request head, bytes. */
 constexpr size_t kPollHttpHeadBytes = 4096;
 
-/** The text that a path is answered with. */
+/** Text response to a request for a path. */
 struct TextAnswer {
   bool available = true;
   std::string contentType = "text/plain";
   std::string body;
 };
 
-/** @param path without its query. @return nothing where there is no such path. */
+/** @param path without its query. @return the response, or nothing if the path is unknown. */
 using TextResponder = std::function<std::optional<TextAnswer>(const std::string& path)>;
 
-/** What a request is answered with on the wire. */
+/** A response in wire format. */
 struct RenderedAnswer {
   std::string bytes;
   /** Whether the connection stays open. */
   bool keep = true;
 };
 
-/** @param head the request's head without its empty line; pure but for the responder. */
+/** @param head the request's head without the terminating empty line. Has no side effects other
+ * than those of the responder. */
 RenderedAnswer renderAnswer(const std::string& head, const TextResponder& responder);
 
-/** Answers one path: 200 while ready, 503 otherwise. */
+/** @return a responder for one path: 200 while ready, 503 otherwise. */
 TextResponder readinessResponder(std::string path, std::function<bool()> ready);
 
-/** Not thread safe. */
+/** The HTTP server. Not thread safe. */
 class PollHttpPort {
  public:
-  /** @param loop borrowed. @param responder asked at each request. */
+  /** @param loop borrowed. @param responder called for each request. */
   static Result<std::unique_ptr<PollHttpPort>, PortError> open(const Endpoint& local,
                                                                PollLoop& loop,
                                                                TextResponder responder);
@@ -63,21 +64,21 @@
 
  private:
   struct Connection {
-    /** What has arrived of the next request. */
+    /** Received part of the next request. */
     std::string head;
-    /** What the caller has not taken yet of the last answer. */
+    /** Part of the last response that is not sent yet. */
     std::string unsent;
     bool keep = true;
-    /** Tells a connection from a later one with the same descriptor. */
+    /** Distinguishes a connection from a later one with the same descriptor. */
     uint64_t number = 0;
-    int sendTries = 0;
+    int sendRetries = 0;
   };
 
   PollHttpPort(int listener, PollLoop& loop, TextResponder responder);
   void accept();
   void read(int descriptor);
   void send(int descriptor);
-  /** Sends the rest a little later, unless the connection has ended meanwhile. */
+  /** Sends the rest after kSendRetryDelay, unless the connection has been closed by then. */
   void sendLater(int descriptor);
   void close(int descriptor);
 
--- a/source/common/server/poll_loop.cc
+++ b/source/common/server/poll_loop.cc
@@ -12,7 +12,7 @@
   changed_ = true;
 }
 
-void PollLoop::forget(int descriptor) {
+void PollLoop::unwatch(int descriptor) {
   handlers_.erase(descriptor);
   changed_ = true;
 }
@@ -58,7 +58,7 @@
   for (const pollfd& ready : descriptors_) {
     const auto place = ready.revents == 0 ? handlers_.end() : handlers_.find(ready.fd);
     if (place != handlers_.end()) {
-      // A copy: the handler may forget itself.
+      // A copy, since the handler may remove itself.
       const Handler handler = place->second;
       handler();
     }
--- a/source/common/server/poll_loop.h
+++ b/source/common/server/poll_loop.h
@@ -1,7 +1,7 @@
 /**
- * @file A loop over poll(2) that wakes only for readable descriptors and for deadlines.
+ * @file A loop based on poll(2) that wakes up only for readable descriptors and timers.
  *
- * For processes that pay for each wake-up. event_loop.h is the one of nodes with ticks.
+ * For processes in which each wake-up is costly. event_loop.h is the loop of nodes with ticks.
  */
 #pragma once
 
@@ -16,18 +16,19 @@
 
 namespace umberhold {
 
-/** Not thread safe: everything is called on the thread of run(). */
+/** Not thread safe: all functions and handlers run on the thread of run(). */
 class PollLoop {
  public:
   using Handler = std::function<void()>;
 
-  /** Calls the handler whenever the descriptor is readable or broken; replaces an earlier one. */
+  /** Calls the handler whenever the descriptor is readable or has an error; replaces an earlier
+   * handler. */
   void watch(int descriptor, Handler onReadable);
-  /** May be called from any handler, also for its own descriptor. */
-  void forget(int descriptor);
-  /** Calls the handler once, not before the instant. */
+  /** Stops watching the descriptor. May be called from any handler, including its own. */
+  void unwatch(int descriptor);
+  /** Calls the handler once, at the given time or later. */
   void at(TimePoint when, Handler handler);
-  /** Serves until a handler calls stop(). */
+  /** Runs until a handler calls stop(). */
   void run();
   void stop() { stopped_ = true; }
 
--- a/source/common/server/probe_client.cc
+++ b/source/common/server/probe_client.cc
@@ -1,4 +1,4 @@
-/** @file Probes by POCO's HTTP client. */
+/** @file Probes with POCO's HTTP client. */
 #include "common/server/probe_client.h"
 
 #include <Poco/JSON/Object.h>
@@ -23,12 +23,13 @@
 using Poco::Net::HTTPRequest;
 using Poco::Net::HTTPResponse;
 
-/** Idle connections kept. */
+/** Maximum number of idle connections kept open. */
 constexpr size_t kMaxIdleSessions = 256;
-/** Longest body of an answer, bytes. */
+/** Maximum length of a response body, bytes. */
 constexpr size_t kMaxAnswerBytes = 4096;
 
-/** @return the body of a 200 answer, or nothing. Throws where the connection fails. */
+/** @return the body of a 200 response, or nothing for other statuses. Throws if the connection
+ * fails. */
 std::optional<std::string> get(HTTPClientSession& session, const std::string& path) {
   HTTPRequest request(HTTPRequest::HTTP_GET, path, HTTPRequest::HTTP_1_1);
   session.sendRequest(request);
@@ -62,7 +63,7 @@
 
   explicit Parts(Duration limit) : timeout(limit.count()) {}
 
-  Session take(const Endpoint& endpoint) {
+  Session acquire(const Endpoint& endpoint) {
     {
       const std::lock_guard lock(mutex);
       const auto found = idle.find(endpoint);
@@ -95,7 +96,7 @@
 ProbeAnswer ProbeClient::probe(const Endpoint& endpoint) {
   ProbeAnswer answer;
   try {
-    Parts::Session session = parts_->take(endpoint);
+    Parts::Session session = parts_->acquire(endpoint);
     answer.healthy = get(*session, "/health").has_value();
     if (answer.healthy) {
       if (const auto body = get(*session, "/load")) {
@@ -104,7 +105,7 @@
     }
     parts_->giveBack(endpoint, std::move(session));
   } catch (const Poco::Exception&) {
-    // No answer to /health leaves the host unhealthy; a bad /load leaves it without a load.
+    // Without a response to /health the host stays unhealthy; with an invalid /load it has no load.
   }
   return answer;
 }
--- a/source/common/server/probe_client.h
+++ b/source/common/server/probe_client.h
@@ -1,4 +1,4 @@
-/** @file One probe of one host, with connections kept alive between probes. */
+/** @file Probes hosts over HTTP with connections kept alive between probes. */
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 namespace umberhold {
 
-/** What the host's endpoints said. */
+/** Result of a probe of a host's endpoints. */
 struct ProbeAnswer {
   bool healthy = false;
   bool hasLoad = false;
@@ -17,13 +17,13 @@
   uint32_t loadPercent = 0;
 };
 
-/** Probes hosts; connections are shared by all threads. Thread safe. */
+/** Probes hosts; all threads share the connections. Thread safe. */
 class ProbeClient {
  public:
   /** @param timeout of each request. */
   explicit ProbeClient(Duration timeout);
   ~ProbeClient();
-  /** Blocks for at most two requests. */
+  /** Sends at most two requests and blocks until they end. */
   ProbeAnswer probe(const Endpoint& endpoint);
 
  private:
--- a/source/common/server/settings_file.h
+++ b/source/common/server/settings_file.h
@@ -1,4 +1,4 @@
-/** @file Tells when a settings file has changed, also where no signal says so. */
+/** @file Detects changes of a settings file without a signal. */
 #pragma once
 
 #include <cstdint>
@@ -6,17 +6,17 @@
 
 namespace umberhold {
 
-/** Not thread safe. */
+/** Watches a settings file by its metadata. Not thread safe. */
 class SettingsFile {
  public:
   explicit SettingsFile(std::string path);
 
   const std::string& path() const { return path_; }
-  /** @return whether the file differs from what it was at the last call or at the construction. */
+  /** @return whether the file has changed since the last call or, at first, since construction. */
   bool takeChange();
 
  private:
-  /** What a file system tells of a file's content without reading it. */
+  /** Metadata of a file that changes with its content. */
   struct Stamp {
     int64_t changedAt = 0;
     int64_t changedNanoseconds = 0;
--- a/source/common/server/silence_text.h
+++ b/source/common/server/silence_text.h
@@ -1,4 +1,4 @@
-/** @file The log's line for a verdict on a silent host. */
+/** @file Log line for a verdict on a silent host. */
 #pragma once
 
 #include <chrono>
--- a/source/common/server/store_worker.cc
+++ b/source/common/server/store_worker.cc
@@ -1,4 +1,4 @@
-/** @file What a reader reads, on its way to the loop. */
+/** @file Passes what the reader reads to the loop. */
 #include "common/server/store_worker.h"
 
 #include <glog/logging.h>
@@ -19,14 +19,13 @@
 namespace umberhold {
 namespace {
 
-/** How long the reader waits for the loop; the worker lists again what was not handed over.
- */
-constexpr Duration kHandOverLimit = std::chrono::seconds(5);
+/** Timeout of a call to the loop; after a timeout the worker lists the objects again. */
+constexpr Duration kHandOverTimeout = std::chrono::seconds(5);
 
-/** Records of one hand-over, so that the loop is not held up. */
+/** Maximum number of records passed in one call, so that the loop is not blocked for long. */
 constexpr size_t kRecordsPerHandOver = 200;
 
-/** Hands what was read to the core, on the loop thread. */
+/** Passes what was read to the core on the loop thread. */
 class CoreSink : public ReaderSink {
  public:
   CoreSink(NodeId self, LoopMailbox& mailbox, NodeCore& core)
@@ -34,7 +33,7 @@
 
   ReaderRanks ranks() override {
     auto members =
-        mailbox_.call<std::vector<Member>>(kHandOverLimit, [this] { return core_.members(); });
+        mailbox_.call<std::vector<Member>>(kHandOverTimeout, [this] { return core_.members(); });
     return isOk(members) ? readerRanks(MemberSnapshot(self_, std::move(valueOf(members))))
                          : ReaderRanks{};
   }
@@ -52,7 +51,7 @@
   }
 
   void onListed(ListSummary summary) override {
-    buryUnlisted(summary);
+    deleteUnlisted(summary);
     listed_.insert(summary.kind);
     LOG(INFO) << "event=store_listed kind=" << static_cast<int>(summary.kind)
               << " version=" << summary.version << " objects=" << summary.names.size();
@@ -61,10 +60,10 @@
     }
   }
 
-  /** A node that has not caught up yet reads the store's list as fast as it can. */
+  /** A node that has not caught up yet reads the store's list without pacing. */
   bool isServing() override {
     const auto readiness =
-        mailbox_.call<NodeReadiness>(kHandOverLimit, [this] { return core_.readiness(); });
+        mailbox_.call<NodeReadiness>(kHandOverTimeout, [this] { return core_.readiness(); });
     return !isOk(readiness) || valueOf(readiness) == NodeReadiness::kReady;
   }
 
@@ -78,9 +77,9 @@
         [this, records = std::move(records)] { core_.onStoreRecords(steadyNow(), records); });
   }
 
-  /** Waits for the loop, so that a long list cannot flood the mailbox. */
+  /** Runs the work on the loop and waits for it, so that a long list cannot fill the mailbox. */
   bool run(const std::function<void()>& work) {
-    const auto done = mailbox_.call<Ok>(kHandOverLimit, [work] {
+    const auto done = mailbox_.call<Ok>(kHandOverTimeout, [work] {
       work();
       return Ok{};
     });
@@ -88,12 +87,12 @@
     return isOk(done);
   }
 
-  /** Makes a tombstone of every effective object that a whole list no longer has. */
-  void buryUnlisted(const ListSummary& summary) {
+  /** Creates a tombstone for every effective object that is missing from a complete list. */
+  void deleteUnlisted(const ListSummary& summary) {
     std::optional<uint64_t> cursor = 0;
     while (cursor) {
       const auto page = mailbox_.call<RecordPage>(
-          kHandOverLimit, [this, at = *cursor] { return core_.records(at); });
+          kHandOverTimeout, [this, at = *cursor] { return core_.records(at); });
       if (!isOk(page)) {
         return;
       }
@@ -119,7 +118,7 @@
   NodeId self_;
   LoopMailbox& mailbox_;
   NodeCore& core_;
-  /** Kinds listed whole so far. */
+  /** Kinds that have been listed completely. */
   std::set<ObjectKind> listed_;
 };
 
--- a/source/common/server/store_worker.h
+++ b/source/common/server/store_worker.h
@@ -1,4 +1,4 @@
-/** @file The thread in which a node takes part in the election of readers and, elected, reads the
+/** @file The thread that takes part in the election of store readers and, when elected, reads the
  * store. */
 #pragma once
 
@@ -11,17 +11,17 @@
 
 namespace umberhold {
 
-/** Owns the reader's thread; what it reads goes to the core through the mailbox. */
+/** Owns the reader thread, which passes the records it reads to the core through the mailbox. */
 class StoreWorker {
  public:
-  /** All are borrowed and must outlive the worker. */
+  /** The references are borrowed and must outlive the worker. */
   StoreWorker(NodeId self, PlatformStore& store, LoopMailbox& mailbox, NodeCore& core);
-  /** Waits for the reader's current call to the store. */
+  /** Waits for the reader's call to the store in progress. */
   ~StoreWorker();
   StoreWorker(const StoreWorker&) = delete;
   StoreWorker& operator=(const StoreWorker&) = delete;
 
-  /** Lets the reader give up its lease and end; does not wait. */
+  /** Makes the reader release its lease and end; does not wait for it. */
   void stop();
 
  private:
--- a/source/common/server/token_node.cc
+++ b/source/common/server/token_node.cc
@@ -23,10 +23,11 @@
 namespace umberhold {
 namespace {
 
-/** Sends packets in the format's own form: nothing is wrapped around them. */
+/** Sends packets in the packet format's own encoding, without further encapsulation. */
 class DirectOutput : public PacketOutput {
  public:
-  /** @param port borrowed. @param callerPort where callers take answers of the service. */
+  /** @param port borrowed. @param callerPort port on which callers receive packets of the service.
+   */
   DirectOutput(UdpPort& port, uint16_t callerPort) : port_(port), callerPort_(callerPort) {}
 
   void sendToHost(const Endpoint& host, std::string_view packet) override {
@@ -44,13 +45,14 @@
   const uint16_t callerPort_;
 };
 
-/** How often the settings file is looked at. */
+/** Interval at which the settings file is checked for changes. */
 constexpr Duration kSettingsInterval = std::chrono::seconds(5);
-/** How soon lines that the output had no room for are tried again. */
+/** Delay before pending log lines are written again after the output was full. */
 constexpr Duration kFlushInterval = std::chrono::milliseconds(100);
-/** How soon resets that were too many at once go on; packets that arrived meanwhile come first. */
+/** Delay between two batches of resets; packets that arrive in between are handled first. */
 constexpr Duration kResetInterval = std::chrono::milliseconds(5);
-/** Openings that wait are looked at no more often without packets: each wake-up costs. */
+/** Minimum interval at which waiting openings are checked when no packets arrive, since each
+ * wake-up is costly. */
 constexpr Duration kReleaseInterval = std::chrono::milliseconds(5);
 /** Content type of Prometheus' text format. */
 constexpr const char* kMetricsType = "text/plain; version=0.0.4";
@@ -114,13 +116,13 @@
     releaseWaiting();
     exchangeObservations();
     sendResets();
-    logPaces();
+    logSlownessChanges();
     logSilence();
     flushLog();
   }
 
-  /** Lets packets go on whose turn it is, or whose host is there, and comes back for openings that
-   * wait on. */
+  /** Releases waiting packets that are due or whose host has become available, and schedules the
+   * next check for the remaining ones. */
   void releaseWaiting() {
     const TimePoint now = steadyNow();
     for (std::string& bytes : director.takeReleased(now)) {
@@ -157,19 +159,20 @@
     }
     const TimePoint now = steadyNow();
     hooks.observations->add(now, director.takeSamples(), director.takeAckStates());
-    if (const auto news = hooks.observations->takeUpdate()) {
-      director.applyStandings(now, news->standings);
-      director.applySilentHosts(now, news->silentHosts);
-      director.applySpeeds(now, news->speeds);
+    if (const auto update = hooks.observations->takeUpdate()) {
+      director.applyStandings(now, update->standings);
+      director.applySilentHosts(now, update->silentHosts);
+      director.applySpeeds(now, update->speeds);
     }
   }
 
-  void logPaces() {
-    for (const HostSlownessChange& pace : director.takeSlownessChanges()) {
+  void logSlownessChanges() {
+    for (const HostSlownessChange& slownessChange : director.takeSlownessChanges()) {
       if (flowLog.admit(steadyNow(), LineKind::kStateChange)) {
         LOG_TO_SINK_BUT_NOT_TO_LOGFILE(flowLog.sink(), INFO)
-            << "event=host_" << (pace.slow ? "slow" : "usual") << " pool=" << pace.pool
-            << " host=" << pace.host << " slowness=" << pace.slowness;
+            << "event=host_" << (slownessChange.slow ? "slow" : "usual")
+            << " pool=" << slownessChange.pool << " host=" << slownessChange.host
+            << " slowness=" << slownessChange.slowness;
       }
     }
     for (const SpeedChange& change : director.takeSpeedChanges()) {
@@ -203,20 +206,20 @@
     }
   }
 
-  void take(const CatalogChanges& news) {
+  void applyUpdate(const CatalogChanges& update) {
     const TimePoint now = steadyNow();
     if (hooks.storeStatus) {
       director.setZoneNodes(hooks.storeStatus().zoneNodes);
     }
     director.setWallClock({now, unixMilliseconds()});
-    for (const CatalogChange& change : news.changes) {
-      std::visit([&](const auto& object) { apply(now, news.version, object); }, change);
+    for (const CatalogChange& change : update.changes) {
+      std::visit([&](const auto& object) { apply(now, update.version, object); }, change);
     }
-    changeTimes.Observe(secondsOf(steadyNow() - news.receivedAt));
-    LOG(INFO) << "event=catalogue_in_force catalogue=" << news.version
-              << " changes=" << news.changes.size() << " services=" << director.serviceCount()
+    changeTimes.Observe(secondsOf(steadyNow() - update.receivedAt));
+    LOG(INFO) << "event=catalogue_in_force catalogue=" << update.version
+              << " changes=" << update.changes.size() << " services=" << director.serviceCount()
               << " hosts=" << director.listedHostCount()
-              << " took_us=" << (steadyNow() - news.receivedAt).count();
+              << " took_us=" << (steadyNow() - update.receivedAt).count();
     flushLog();
     sendResets();
     configured = true;
@@ -260,7 +263,7 @@
     logLacking(evacuatedZones, fresh, "zone_returned");
   }
 
-  /** The first catalogue is told by its counts alone. */
+  /** Hosts of the first catalog are not logged individually; its totals are logged instead. */
   void logHosts(TimePoint now, const std::vector<HostChange>& changes) {
     for (const HostChange& change : changes) {
       if (configured && flowLog.admit(now, LineKind::kStateChange)) {
@@ -272,7 +275,7 @@
     }
   }
 
-  /** Says when the answer to the readiness question changes. */
+  /** Logs changes of readiness. */
   void logReadiness() {
     if (ready() == wasReady) {
       return;
@@ -287,10 +290,10 @@
   void takeSignals() {
     uint64_t count = 0;
     [[maybe_unused]] const ssize_t taken = ::read(signalDescriptor, &count, sizeof count);
-    if (reloadAsked.exchange(false)) {
+    if (reloadRequested.exchange(false)) {
       reload("signal");
     }
-    if (stopAsked && !stopping) {
+    if (stopRequested && !stopping) {
       beginStop();
     }
   }
@@ -341,8 +344,8 @@
             [this] { loop.stop(); });
   }
 
-  std::optional<TextAnswer> answerMetrics(const std::string& asked) const {
-    if (asked != settings.metricsPath) {
+  std::optional<TextAnswer> answerMetrics(const std::string& requestedPath) const {
+    if (requestedPath != settings.metricsPath) {
       return std::nullopt;
     }
     const TokenNodeMetrics metrics{
@@ -393,22 +396,22 @@
   prometheus::Histogram changeTimes = makeChangeTimes();
   ReloadCounters reloads;
   std::unique_ptr<PollHttpPort> readiness;
-  /** Not there where the settings give no address. */
+  /** Null if the settings give no address. */
   std::unique_ptr<PollHttpPort> metricsPort;
-  /** Not there where the settings give no address. */
+  /** Null if the settings give no address. */
   std::unique_ptr<PollHttpPort> peerPort;
   std::unique_ptr<CatalogReader> reader;
-  /** Wakes the loop for stopAsked and reloadAsked. */
+  /** Wakes the loop for stopRequested and reloadRequested. */
   const int signalDescriptor;
-  std::atomic<bool> stopAsked{false};
-  std::atomic<bool> reloadAsked{false};
+  std::atomic<bool> stopRequested{false};
+  std::atomic<bool> reloadRequested{false};
   EvacuatedZones evacuatedZones;
   bool flushPlanned = false;
   bool resetsPlanned = false;
   bool releasePlanned = false;
   bool configured = false;
   bool stopping = false;
-  /** What logReadiness() last said. */
+  /** Readiness at the last call of logReadiness(). */
   bool wasReady = false;
 };
 
@@ -453,7 +456,7 @@
     parts->peerPort = std::move(valueOf(peerPort));
   }
   parts->reader = std::make_unique<CatalogReader>(source, [shared](CatalogChanges changes) {
-    shared->mailbox.post([shared, news = std::move(changes)] { shared->take(news); });
+    shared->mailbox.post([shared, update = std::move(changes)] { shared->applyUpdate(update); });
   });
   return std::unique_ptr<TokenNode>(new TokenNode(std::move(parts)));
 }
@@ -464,13 +467,13 @@
 }
 
 void TokenNode::stop() {
-  parts_->stopAsked = true;
+  parts_->stopRequested = true;
   const uint64_t one = 1;
   [[maybe_unused]] const ssize_t written = ::write(parts_->signalDescriptor, &one, sizeof one);
 }
 
 void TokenNode::reload() {
-  parts_->reloadAsked = true;
+  parts_->reloadRequested = true;
   const uint64_t one = 1;
   [[maybe_unused]] const ssize_t written = ::write(parts_->signalDescriptor, &one, sizeof one);
 }
--- a/source/common/server/token_node.h
+++ b/source/common/server/token_node.h
@@ -1,7 +1,8 @@
 /**
- * @file A node with the strategy "token" as a process: one thread for packets, readiness and
- * metrics, fed by a CatalogReader. It holds no flow state, talks to no other node and wakes only
- * for work, and every few seconds to look at its settings file.
+ * @file The process of a node with the strategy "token": one thread for packets, readiness and
+ * metrics, which receives configuration from a CatalogReader. It keeps no flow state, connects to
+ * no other node and wakes up only for work and, every few seconds, to check its settings file for
+ * changes.
  */
 #pragma once
 
@@ -20,25 +21,28 @@
 
 namespace umberhold {
 
-/** What a program may give its node besides; each may be empty. Called on the loop's thread. */
+/** Optional collaborators of a node. Functions are called on the loop thread. */
 struct TokenNodeHooks {
-  /** Borrowed. Without it, decisions are counted and not logged. */
+  /** Borrowed. Without it, decisions are counted but not logged. */
   StructuredLog* log = nullptr;
-  /** Borrowed. What this node and others see of hosts; without it, each judges alone. */
+  /** Borrowed. Shares observations of hosts between nodes; without it, each node uses only its own.
+   */
   ObservationExchange* observations = nullptr;
   std::function<StoreReadStatus()> storeStatus;
-  /** Answers other nodes at the settings' peerAddress; without it there is no such port. */
+  /** Answers requests of other nodes on the settings' peerAddress; without it, that port is not
+   * opened. */
   TextResponder answerPeer;
   /** Reads the settings again; without it reload() does nothing. */
   std::function<Result<TokenNodeSettings, SettingsError>()> readSettings;
-  /** Whether the settings have changed without reload() being called; asked every few seconds. */
+  /** Returns whether the settings have changed without a call of reload(); polled every few
+   * seconds. */
   std::function<bool()> settingsChanged;
 };
 
-/** See the file comment. */
+/** The node process; see the file comment. */
 class TokenNode {
  public:
-  /** Opens the ports. @param format, source borrowed; they must outlive the node. */
+  /** Opens the ports. @param format, source borrowed; must outlive the node. */
   static Result<std::unique_ptr<TokenNode>, PortError> create(const TokenNodeSettings& settings,
                                                               const PacketFormat& format,
                                                               CatalogSource& source,
@@ -46,19 +50,20 @@
   ~TokenNode();
 
   /**
-   * Serves until stop() and then for the linger time: not ready, but forwarding.
+   * Runs until stop() and then for the linger time, during which the node reports not ready but
+   * still forwards packets.
    */
   void run();
-  /** Begins the end. Async-signal safe. */
+  /** Starts the shutdown. Async-signal safe. */
   void stop();
-  /** Has the settings read again: checked, then applied as far as a running node can, or refused as
-   * a whole. Async-signal safe. */
+  /** Requests a reload of the settings. Options that can change at run time are applied; invalid
+   * settings are rejected as a whole. Async-signal safe. */
   void reload();
-  /** @return where packets are taken. */
+  /** @return the endpoint that receives packets. */
   Endpoint data() const;
-  /** @return where readiness is answered. */
+  /** @return the endpoint that serves readiness. */
   Endpoint readiness() const;
-  /** @return where metrics are answered; port 0 where the settings give no address. */
+  /** @return the endpoint that serves metrics; port 0 if the settings give no address. */
   Endpoint metrics() const;
 
  private:
--- a/source/common/server/token_node_metrics.h
+++ b/source/common/server/token_node_metrics.h
@@ -1,4 +1,4 @@
-/** @file What a node with the strategy "token" shows at its metrics path. */
+/** @file Metrics of a node with the strategy "token". */
 #pragma once
 
 #include <prometheus/histogram.h>
@@ -16,12 +16,13 @@
 
 namespace umberhold {
 
-/** Time from a datagram's reading to the end of its handling, seconds. */
+/** Histogram of the time from reading a datagram to the end of its handling, seconds. */
 prometheus::Histogram makePacketTimes();
-/** Time from a change's arrival in the process to its being effective, seconds. */
+/** Histogram of the time from the arrival of a change in the process until it takes effect,
+ * seconds. */
 prometheus::Histogram makeChangeTimes();
 
-/** A snapshot, taken on the loop's thread; all references are borrowed. */
+/** A snapshot, taken on the loop thread; all references are borrowed. */
 struct TokenNodeMetrics {
   TimePoint now;
   bool ready = false;
@@ -39,10 +40,10 @@
   LineCounters output;
   const prometheus::Histogram& packetTimes;
   const prometheus::Histogram& changeTimes;
-  /** Nothing where the process doesn't say. */
+  /** Empty if the process doesn't report it. */
   std::optional<StoreReadStatus> store;
   ReloadCounters reloads;
-  /** Nothing where the process takes no reports. */
+  /** Empty if the process receives no host reports. */
   std::optional<ReportCounters> hostReports;
 };
 
--- a/source/common/server/udp_port.cc
+++ b/source/common/server/udp_port.cc
@@ -1,4 +1,4 @@
-/** @file UDP over POCO's socket, with recvmmsg for batches. */
+/** @file UDP with POCO's socket and batched reception by recvmmsg. */
 #include "common/server/udp_port.h"
 
 #include <Poco/Net/DatagramSocket.h>
@@ -11,7 +11,8 @@
 namespace umberhold {
 namespace {
 
-/** Receive buffer asked for, bytes; the system may grant less. It bridges a pause of the loop. */
+/** Requested receive buffer, bytes; the system may grant less. It holds datagrams that arrive while
+ * the loop pauses. */
 constexpr int kReceiveBufferBytes = 4 << 20;
 constexpr int kSendBufferBytes = 1 << 20;
 
@@ -33,14 +34,14 @@
   Poco::Net::DatagramSocket datagrams{Poco::Net::SocketAddress::IPv4};
 };
 
-/** Memory of one batch. */
+/** Buffers for one batch. */
 struct UdpPort::Buffers {
-  std::array<std::array<char, kLongestDatagram>, kReceiveBatch> bytes;
+  std::array<std::array<char, kMaxReceivedBytes>, kReceiveBatch> bytes;
   std::array<sockaddr_in, kReceiveBatch> senders{};
   std::array<iovec, kReceiveBatch> vectors{};
   std::array<mmsghdr, kReceiveBatch> messages{};
 
-  /** recvmmsg changes the headers, so each call starts from fresh ones. */
+  /** recvmmsg modifies the headers, so they are reset before each call. */
   void prepare() {
     for (size_t index = 0; index < kReceiveBatch; ++index) {
       vectors[index] = {bytes[index].data(), bytes[index].size()};
--- a/source/common/server/udp_port.h
+++ b/source/common/server/udp_port.h
@@ -14,23 +14,23 @@
 
 namespace umberhold {
 
-/** Datagrams that one call of receive takes at most. */
+/** Maximum number of datagrams per call of receive(). */
 constexpr size_t kReceiveBatch = 32;
-/** Longest datagram taken, bytes: a jumbo frame. */
-constexpr size_t kLongestDatagram = 9216;
+/** Maximum length of a received datagram, bytes: a jumbo frame. */
+constexpr size_t kMaxReceivedBytes = 9216;
 
 /** Why a port could not be opened. */
 struct PortError {
   Endpoint endpoint;
-  /** The system's words, for people. */
+  /** The system's error text, for humans. */
   std::string detail;
 };
 
-/** What became of datagrams that did not pass. */
+/** Counters of datagrams that could not be sent or received. */
 struct UdpCounters {
-  /** The send buffer was full or the system refused the datagram. */
+  /** Datagrams not sent because the send buffer was full or the system returned an error. */
   uint64_t sendFailures = 0;
-  /** Longer than kLongestDatagram. */
+  /** Received datagrams longer than kMaxReceivedBytes. */
   uint64_t tooLong = 0;
 };
 
@@ -39,7 +39,7 @@
  public:
   using Receiver = std::function<void(const Endpoint& from, std::string_view bytes)>;
 
-  /** Binds the endpoint; port 0 takes a free one. */
+  /** Binds the endpoint; port 0 binds a free port. */
   static Result<std::unique_ptr<UdpPort>, PortError> open(const Endpoint& local);
   ~UdpPort() override;
   UdpPort(const UdpPort&) = delete;
@@ -49,9 +49,9 @@
   Endpoint local() const { return local_; }
   /** @return the descriptor, for poll(2). */
   int descriptor() const { return descriptor_; }
-  /** Hands what has arrived to the receiver, at most kReceiveBatch; @return how many there were. */
+  /** Passes up to kReceiveBatch received datagrams to the receiver. @return their number. */
   size_t receive(const Receiver& receiver);
-  /** Sends the datagram, or counts that it could not be sent. */
+  /** Sends the datagram; a failure is only counted. */
   void send(const Endpoint& to, std::string_view bytes) override;
   const UdpCounters& counters() const { return counters_; }
 
--- a/test/common/server/catalog_reader_test.cc
+++ b/test/common/server/catalog_reader_test.cc
@@ -1,4 +1,4 @@
-/** @file The reader's thread against a store whose answers are scripted, and the loop it feeds. */
+/** @file Tests of the reader thread with a scripted store, and of PollLoop. */
 #include "common/server/catalog_reader.h"
 
 #include <unistd.h>
@@ -45,7 +45,7 @@
   return object;
 }
 
-/** Lists what it holds; watches answer what the test scripts, and wait while nothing is there. */
+/** Lists its objects; watches return the scripted answers and block while there are none. */
 class ScriptedStore : public PlatformStore {
  public:
   std::vector<StoredObject> objects;
@@ -78,7 +78,7 @@
   Result<uint64_t, StoreError> remove(const StoredObject&) override { return StoreError{}; }
   Result<std::vector<Machine>, StoreError> machines() override { return StoreError{}; }
 
-  /** @param listed what lists say from then on; nothing: as before. */
+  /** @param listed objects that list() returns from now on; nullopt keeps the current ones. */
   void answer(Result<WatchBatch, StoreError> answer,
               std::optional<std::vector<StoredObject>> listed = std::nullopt) {
     const std::lock_guard lock(mutex_);
@@ -99,10 +99,10 @@
   bool stopped_ = false;
 };
 
-/** @return "+name" for an object, "-name" for one that has gone, in order. */
-std::string describe(const CatalogChanges& news) {
+/** @return "+name" for each object and "-name" for each deleted one, in order. */
+std::string describe(const CatalogChanges& update) {
   std::string text;
-  for (const CatalogChange& change : news.changes) {
+  for (const CatalogChange& change : update.changes) {
     if (const auto* gone = std::get_if<DeletedObject>(&change)) {
       text += "-" + gone->name;
     } else if (const auto* pool = std::get_if<HostPool>(&change)) {
@@ -124,9 +124,9 @@
   std::deque<CatalogChanges> batches;
 
   std::unique_ptr<CatalogReader> read() {
-    return std::make_unique<CatalogReader>(catalog, [this](CatalogChanges news) {
+    return std::make_unique<CatalogReader>(catalog, [this](CatalogChanges update) {
       const std::lock_guard lock(mutex);
-      batches.push_back(std::move(news));
+      batches.push_back(std::move(update));
       arrived.notify_all();
     });
   }
@@ -142,7 +142,7 @@
   }
 };
 
-TEST(CatalogReader, GivesTheWholeWithPoolsFirstAndThenChanges) {
+TEST(CatalogReader, DeliversFullCatalogPoolsFirstThenChanges) {
   store.objects = {serviceObject("pickup", 1), poolObject("dispatch", 1)};
   const auto reader = read();
   STRCMP_EQUAL("+dispatch+pickup", next().c_str());
@@ -155,7 +155,7 @@
   store.stop();
 }
 
-TEST(CatalogReader, FindsWhatHasGoneWhenTheHistoryIsLost) {
+TEST(CatalogReader, ReportsDeletionsWhenTheHistoryIsLost) {
   store.objects = {serviceObject("pickup", 1), serviceObject("seat", 1), poolObject("old", 1)};
   const auto reader = read();
   next();
@@ -165,7 +165,7 @@
   store.stop();
 }
 
-TEST(CatalogReader, GoesOnWatchingAfterAFailure) {
+TEST(CatalogReader, ContinuesWatchingAfterAFailure) {
   const auto reader = read();
   next();
   store.answer(StoreError{StoreErrorCode::kUnavailable, "", std::nullopt});
@@ -179,14 +179,14 @@
   std::string order;
 };
 
-TEST(PollLoop, RunsWhatIsDueInOrderAndReadableDescriptorsUntilTheyAreForgotten) {
+TEST(PollLoop, RunsDueTimersInOrderAndServesDescriptorsUntilUnwatched) {
   std::array<int, 2> ends{};
   CHECK_EQUAL(0, ::pipe(ends.data()));
   CHECK_EQUAL(1, ::write(ends[1], "x", 1));
   const TimePoint now = steadyNow();
   loop.watch(ends[0], [&] {
     order += "r";
-    loop.forget(ends[0]);
+    loop.unwatch(ends[0]);
     loop.at(now + milliseconds(2), [&] {
       order += "c";
       loop.stop();
--- a/test/common/server/http_test.cc
+++ b/test/common/server/http_test.cc
@@ -1,4 +1,4 @@
-/** @file Tests of the HTTP server, the metrics' form and the prober, over loopback. */
+/** @file Tests of the HTTP server, the metrics format and the prober over loopback. */
 #include <Poco/Net/HTTPClientSession.h>
 #include <Poco/Net/HTTPRequest.h>
 #include <Poco/Net/HTTPResponse.h>
@@ -43,16 +43,16 @@
   return answer;
 }
 
-/** Answers as a back end's probe endpoint, or keeps what it was asked. */
+/** Responds as a host's probe endpoint and records the requests. */
 class RecordingHandler : public AdminHandler {
  public:
-  AdminResponse handle(const AdminRequest& asked) override {
+  AdminResponse handle(const AdminRequest& incoming) override {
     const std::lock_guard lock(mutex);
-    requests.push_back(asked);
-    if (asked.path == "/health") {
+    requests.push_back(incoming);
+    if (incoming.path == "/health") {
       return {healthy ? 200 : 503, "application/json", "{}", std::nullopt};
     }
-    if (asked.path == "/load") {
+    if (incoming.path == "/load") {
       return {200, "application/json", load, std::nullopt};
     }
     return {202, "application/json", "{\"seen\":true}", 7};
@@ -73,7 +73,7 @@
   std::unique_ptr<HttpServer> server = std::move(valueOf(HttpServer::start(
       kAnyPort, {[this] { return readiness; }, [] { return "metric 1\n"; }, &admin})));
 
-  /** Probes the server once and returns what the loop got. */
+  /** Probes the server once and returns the result that the loop received. */
   ProbeResult probeOnce() {
     LoopMailbox mailbox;
     EventLoop loop(mailbox);
@@ -85,7 +85,7 @@
   }
 };
 
-TEST(Http, ReadinessFollowsTheNodeAndSaysWhenToComeBack) {
+TEST(Http, ReadinessFollowsTheNodeAndSetsRetryAfter) {
   CHECK_EQUAL(200, request(server->local(), "GET", "/readyz").status);
   readiness = NodeReadiness::kCatchingUp;
   const Answer waiting = request(server->local(), "GET", "/readyz");
@@ -95,40 +95,40 @@
   CHECK_EQUAL(200, request(server->local(), "GET", "/healthz").status);
 }
 
-TEST(Http, ALoopThatDoesNotAnswerIsNotHealthy) {
+TEST(Http, UnresponsiveLoopIsUnhealthy) {
   readiness = std::nullopt;
   CHECK_EQUAL(503, request(server->local(), "GET", "/healthz").status);
   CHECK_EQUAL(503, request(server->local(), "GET", "/readyz").status);
 }
 
-TEST(Http, OtherPathsReachTheAdminApiWhole) {
+TEST(Http, PassesOtherPathsToTheAdminApiUnchanged) {
   const Answer answer =
       request(server->local(), "PUT", "/v1/services/a%20b?dry_run=true&x=1", "{\"a\":1}");
   CHECK_EQUAL(202, answer.status);
   CHECK(answer.body == "{\"seen\":true}");
   CHECK(answer.retryAfter == "7");
-  const AdminRequest& seen = admin.requests.at(0);
-  CHECK(seen.method == "PUT");
-  CHECK(seen.path == "/v1/services/a b");
-  CHECK(seen.findQuery("dry_run") == "true");
-  CHECK_FALSE(seen.findQuery("y").has_value());
-  CHECK(seen.authorization == "Bearer token");
-  CHECK(seen.body == "{\"a\":1}");
+  const AdminRequest& received = admin.requests.at(0);
+  CHECK(received.method == "PUT");
+  CHECK(received.path == "/v1/services/a b");
+  CHECK(received.findQuery("dry_run") == "true");
+  CHECK_FALSE(received.findQuery("y").has_value());
+  CHECK(received.authorization == "Bearer token");
+  CHECK(received.body == "{\"a\":1}");
 }
 
-TEST(Http, BodiesBeyondTheLimitAreRefused) {
+TEST(Http, RejectsBodiesBeyondTheLimit) {
   const Answer answer =
       request(server->local(), "PUT", "/v1/services/a", std::string(kAdminBodyLimit + 1, 'x'));
   CHECK_EQUAL(413, answer.status);
   CHECK(admin.requests.empty());
 }
 
-TEST(Http, APortInUseIsATypedError) {
+TEST(Http, PortInUseReturnsATypedError) {
   const auto again = HttpServer::start(server->local(), {});
   CHECK(errorOf(again).endpoint == server->local());
 }
 
-TEST(Http, ProbesTellHealthAndLoad) {
+TEST(Http, ProbesReportHealthAndLoad) {
   const ProbeResult result = probeOnce();
   CHECK(result.service == ServiceId{1});
   CHECK(result.host == HostId{2});
@@ -137,7 +137,7 @@
   CHECK_EQUAL(35U, result.loadPercent);
 }
 
-TEST(Http, ProbesOfBadHostsAreUnhealthyOrWithoutLoad) {
+TEST(Http, ProbesOfFaultyHostsReportUnhealthyOrNoLoad) {
   for (const char* load : {"", "[]", "{}", R"({"load_percent": "x"})", R"({"load_percent": -1})"}) {
     admin.load = load;
     const ProbeResult odd = probeOnce();
@@ -148,7 +148,7 @@
   CHECK_FALSE(probeOnce().healthy);
 }
 
-TEST(Http, MetricsCarryEveryReasonAndClass) {
+TEST(Http, MetricsIncludeEveryReasonAndClass) {
   NodeMetrics metrics;
   metrics.core.packets.forwarded = 12;
   metrics.core.packets.dropped[static_cast<size_t>(DropReason::kNoOwner)] = 3;
--- a/test/common/server/loop_test.cc
+++ b/test/common/server/loop_test.cc
@@ -1,4 +1,4 @@
-/** @file Tests of the loop, its mailbox and the control port on loopback. */
+/** @file Tests of the event loop, its mailbox and the control port over loopback. */
 #include <atomic>
 #include <memory>
 #include <string>
@@ -23,7 +23,7 @@
   return std::move(valueOf(UdpPort::open(kAnyPort)));
 }
 
-/** Runs a loop until the condition holds or far too much time has passed. */
+/** Runs a loop until the condition holds or a generous timeout expires. */
 void runUntil(EventLoop& loop, const std::function<bool()>& condition) {
   const TimePoint limit = steadyNow() + kLong;
   loop.run([&] { return !condition() && steadyNow() < limit; });
@@ -37,7 +37,7 @@
   EventLoop loop{mailbox};
 };
 
-TEST(Loop, AnswersCallsOfOtherThreads) {
+TEST(Loop, AnswersCallsFromOtherThreads) {
   std::atomic<bool> done{false};
   std::thread::id runner;
   Result<int, MailboxError> answer = MailboxError::kClosed;
@@ -55,7 +55,7 @@
   CHECK(runner == std::this_thread::get_id());
 }
 
-TEST(Loop, ACallThatTimedOutNeverRuns) {
+TEST(Loop, TimedOutCallNeverRuns) {
   bool ran = false;
   const auto answer = mailbox.call<int>(kShort, [&ran] {
     ran = true;
@@ -66,25 +66,25 @@
   CHECK_FALSE(ran);
 }
 
-TEST(Loop, AClosedMailboxAnswersAtOnce) {
+TEST(Loop, ClosedMailboxFailsCallsImmediately) {
   std::thread closer([this] {
     std::this_thread::sleep_for(kShort);
     mailbox.close();
   });
-  const auto forgotten = mailbox.call<int>(kLong, [] { return 1; });
+  const auto discarded = mailbox.call<int>(kLong, [] { return 1; });
   closer.join();
-  CHECK(errorOf(forgotten) == MailboxError::kClosed);
+  CHECK(errorOf(discarded) == MailboxError::kClosed);
   CHECK(errorOf(mailbox.post([] {})) == MailboxError::kClosed);
 }
 
-TEST(Loop, AFullMailboxRefuses) {
+TEST(Loop, FullMailboxRejectsPosts) {
   for (size_t count = 0; count < kMailboxCapacity; ++count) {
     CHECK(isOk(mailbox.post([] {})));
   }
   CHECK(errorOf(mailbox.post([] {})) == MailboxError::kFull);
 }
 
-TEST(Loop, HandsDatagramsWithTheirSenderOn) {
+TEST(Loop, DeliversDatagramsWithTheirSender) {
   const auto receiver = openPort();
   const auto sender = openPort();
   std::vector<std::string> got;
@@ -95,7 +95,7 @@
                  got.emplace_back(bytes);
                });
   sender->send(receiver->local(), "one");
-  sender->send(receiver->local(), std::string(kLongestDatagram + 1, 'x'));
+  sender->send(receiver->local(), std::string(kMaxReceivedBytes + 1, 'x'));
   sender->send(receiver->local(), "two");
   runUntil(loop, [&] { return got.size() == 2; });
   CHECK(got == (std::vector<std::string>{"one", "two"}));
@@ -103,14 +103,14 @@
   CHECK_EQUAL(1U, receiver->counters().tooLong);
 }
 
-TEST(Loop, APortInUseIsATypedError) {
+TEST(Loop, PortInUseReturnsATypedError) {
   const auto taken = openPort();
   const auto again = UdpPort::open(taken->local());
   CHECK_FALSE(isOk(again));
   CHECK(errorOf(again).endpoint == taken->local());
 }
 
-TEST(Loop, MessagesPassAuthenticatedAndMetered) {
+TEST(Loop, AuthenticatesAndMetersMessages) {
   const auto left = openPort();
   const auto right = openPort();
   KeyRing keys = valueOf(KeyRing::create({{1, std::string(16, 'k')}}, 1));
--- a/test/common/server/poll_http_port_test.cc
+++ b/test/common/server/poll_http_port_test.cc
@@ -1,4 +1,4 @@
-/** @file The small HTTP port: what it answers, and callers that take their time. */
+/** @file Tests of PollHttpPort: its responses, and slow clients. */
 #include "common/server/poll_http_port.h"
 
 #include <netinet/in.h>
@@ -37,7 +37,7 @@
   return descriptor;
 }
 
-/** @return all bytes until the server closes. */
+/** @return all bytes received until the server closes the connection. */
 std::string readAll(int descriptor) {
   std::string text;
   std::array<char, 65536> part{};
@@ -75,7 +75,7 @@
       }
     });
   }
-  std::string ask(const std::string& request) const {
+  std::string sendRequest(const std::string& request) const {
     const int descriptor = connectTo(port->local());
     LONGS_EQUAL(request.size(), ::send(descriptor, request.data(), request.size(), 0));
     const std::string answer = readAll(descriptor);
@@ -84,35 +84,35 @@
   }
 };
 
-TEST(PollHttpPort, AnswersKnownPathsWithoutTheirQuery) {
-  const std::string answer = ask("GET /small?x=1 HTTP/1.1\r\nConnection: close\r\n\r\n");
+TEST(PollHttpPort, AnswersKnownPathsIgnoringTheQuery) {
+  const std::string answer = sendRequest("GET /small?x=1 HTTP/1.1\r\nConnection: close\r\n\r\n");
   STRCMP_EQUAL(
       "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 6\r\nConnection: "
       "close\r\n\r\nsmall\n",
       answer.c_str());
 }
 
-TEST(PollHttpPort, RefusesOtherPathsAndMethods) {
+TEST(PollHttpPort, RejectsOtherPathsAndMethods) {
   for (const char* line :
        {"GET /none HTTP/1.1", "POST /small HTTP/1.1", "GET", "", "GET /small2 x"}) {
-    const std::string answer = ask(std::string(line) + "\r\nConnection: close\r\n\r\n");
+    const std::string answer = sendRequest(std::string(line) + "\r\nConnection: close\r\n\r\n");
     STRCMP_CONTAINS("404 Not Found", answer.c_str());
   }
 }
 
-TEST(PollHttpPort, SendsALargeAnswerWholeToACallerThatReadsLate) {
+TEST(PollHttpPort, SendsALargeResponseCompletelyToASlowClient) {
   const int descriptor = connectTo(port->local());
   const std::string request = "GET /large HTTP/1.1\r\nConnection: close\r\n\r\n";
   ::send(descriptor, request.data(), request.size(), 0);
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
-  // Another caller isn't held up meanwhile.
-  STRCMP_CONTAINS("small", ask("GET /small HTTP/1.1\r\nConnection: close\r\n\r\n").c_str());
+  // Another client isn't delayed meanwhile.
+  STRCMP_CONTAINS("small", sendRequest("GET /small HTTP/1.1\r\nConnection: close\r\n\r\n").c_str());
   const std::string answer = readAll(descriptor);
   ::close(descriptor);
   CHECK_TRUE(answer.size() > kLargeBody);
 }
 
-TEST(PollHttpPort, SaysNotReadyUntilReady) {
+TEST(PollHttpPort, ReportsNotReadyUntilReady) {
   bool ready = false;
   const TextResponder responder = readinessResponder("/readyz", [&ready] { return ready; });
   STRCMP_CONTAINS("503", renderAnswer("GET /readyz HTTP/1.1\r\n", responder).bytes.c_str());
