--- a/source/common/server/probe_client.cc
+++ b/source/common/server/probe_client.cc
@@ -78,7 +78,7 @@
     return session;
   }
 
-  void giveBack(const Endpoint& endpoint, Session session) {
+  void release(const Endpoint& endpoint, Session session) {
     const std::lock_guard lock(mutex);
     if (idle.size() < kMaxIdleSessions) {
       idle[endpoint] = std::move(session);
@@ -103,7 +103,7 @@
         readLoad(*body, answer);
       }
     }
-    parts_->giveBack(endpoint, std::move(session));
+    parts_->release(endpoint, std::move(session));
   } catch (const Poco::Exception&) {
     // Without a response to /health the host stays unhealthy; with an invalid /load it has no load.
   }
--- a/test/common/server/catalog_reader_test.cc
+++ b/test/common/server/catalog_reader_test.cc
@@ -61,7 +61,7 @@
     }
     return all;
   }
-  Result<WatchBatch, StoreError> watch(uint64_t since, Duration /*patience*/) override {
+  Result<WatchBatch, StoreError> watch(uint64_t since, Duration /*timeout*/) override {
     std::unique_lock lock(mutex_);
     changed_.wait(lock, [this] { return stopped_ || !answers_.empty(); });
     if (answers_.empty()) {
