--- a/source/common/health/host_observations.cc
+++ b/source/common/health/host_observations.cc
@@ -19,7 +19,7 @@
 constexpr double kMinLateScore = 1.5;
 constexpr size_t kMinReporters = 2;
 /** Encoded size in a response. */
-constexpr size_t kStandingBytes = 12;
+constexpr size_t kSlowHostBytes = 12;
 constexpr size_t kSpeedBytes = 10;
 constexpr double kPercent = 100.0;
 constexpr uint32_t kMaxPercent = static_cast<uint32_t>(ResponseScore::kMaxSample * kPercent);
@@ -32,9 +32,9 @@
 
 }  // namespace
 
-size_t maxSpeedsBeside(size_t standings) {
-  const size_t left = kMaxStandings - std::min(standings, kMaxStandings);
-  return std::min(kMaxLearnedSpeeds, left * kStandingBytes / kSpeedBytes);
+size_t maxSpeedsBeside(size_t slowHosts) {
+  const size_t left = kMaxSlowHosts - std::min(slowHosts, kMaxSlowHosts);
+  return std::min(kMaxLearnedSpeeds, left * kSlowHostBytes / kSpeedBytes);
 }
 
 std::string_view toString(ReportOutcome outcome) {
@@ -85,7 +85,7 @@
 
 ReportOutcome ZoneObservations::merge(TimePoint now, const HostReport& report) {
   const bool isValidReport = report.hosts.size() <= kMaxReportedHosts &&
-                             report.livenessReports.size() <= kMaxReportedSigns &&
+                             report.livenessReports.size() <= kMaxLivenessReports &&
                              std::all_of(report.hosts.begin(), report.hosts.end(), isValid);
   if (!isValidReport) {
     return ReportOutcome::kInvalid;
@@ -133,9 +133,9 @@
   return (sum - highest) / counted;
 }
 
-std::vector<SlowHost> ZoneObservations::standings(TimePoint now) {
+std::vector<SlowHost> ZoneObservations::slowHosts(TimePoint now) {
   removeExpired(now);
-  std::vector<SlowHost> standings;
+  std::vector<SlowHost> slowHosts;
   for (const auto& [token, observations] : hosts_) {
     const double score = scoreOf(observations);
     if (observations.size() < kMinReporters || score < kMinLateScore) {
@@ -145,14 +145,14 @@
         observations.begin(), observations.end(),
         [](const Observation& left, const Observation& right) { return left.at < right.at; });
     const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - youngest->at);
-    standings.push_back({token, static_cast<uint32_t>(std::lround(score * kPercent)),
+    slowHosts.push_back({token, static_cast<uint32_t>(std::lround(score * kPercent)),
                          static_cast<uint32_t>(age.count())});
   }
-  std::sort(standings.begin(), standings.end(), [](const SlowHost& left, const SlowHost& right) {
+  std::sort(slowHosts.begin(), slowHosts.end(), [](const SlowHost& left, const SlowHost& right) {
     return left.percentOfUsual > right.percentOfUsual;
   });
-  standings.resize(std::min(standings.size(), kMaxStandings));
-  return standings;
+  slowHosts.resize(std::min(slowHosts.size(), kMaxSlowHosts));
+  return slowHosts;
 }
 
 }  // namespace umberhold
--- a/source/common/health/host_observations.h
+++ b/source/common/health/host_observations.h
@@ -24,18 +24,18 @@
 
 /**
  * Maximum number of hosts in one report, 13 bytes each; hosts seen later are omitted. Together with
- * kMaxStandings, this limit keeps polls every 0.6 s below 2.7 KB/s.
+ * kMaxSlowHosts, this limit keeps polls every 0.6 s below 2.7 KB/s.
  */
 constexpr size_t kMaxReportedHosts = 48;
 /** Maximum number of hosts in one response, 12 bytes each, highest response times first. */
-constexpr size_t kMaxStandings = 80;
+constexpr size_t kMaxSlowHosts = 80;
 /** Maximum number of speeds in one response, 10 bytes each. */
 constexpr size_t kMaxLearnedSpeeds = 60;
 /**
  * @return the number of speeds that fit into a response with this many standings: both together
- * take no more bytes than kMaxStandings standings.
+ * take no more bytes than kMaxSlowHosts standings.
  */
-size_t maxSpeedsBeside(size_t standings);
+size_t maxSpeedsBeside(size_t slowHosts);
 
 /** Collects the samples of this node until its next report. Not thread safe. */
 class SampleCollector {
@@ -86,7 +86,7 @@
    * node counts once per host, whatever its number of samples, and the highest value is discarded,
    * so that a single faulty node cannot eject a host.
    */
-  std::vector<SlowHost> standings(TimePoint now);
+  std::vector<SlowHost> slowHosts(TimePoint now);
   /** @return the estimated speeds of at most `maxCount` hosts; see SpeedLearner. */
   std::vector<LearnedSpeed> speeds(TimePoint now, size_t maxCount) {
     return speeds_.speeds(now, maxCount);
--- a/source/common/health/observation_exchange.cc
+++ b/source/common/health/observation_exchange.cc
@@ -65,8 +65,8 @@
 }
 
 ZoneUpdate ObservationExchange::currentUpdate(TimePoint now) {
-  ZoneUpdate update{zone_.standings(now), silence_.silentHosts(now), {}};
-  update.speeds = zone_.speeds(now, maxSpeedsBeside(update.standings.size()));
+  ZoneUpdate update{zone_.slowHosts(now), silence_.silentHosts(now), {}};
+  update.speeds = zone_.speeds(now, maxSpeedsBeside(update.slowHosts.size()));
   return update;
 }
 
--- a/source/common/health/observation_exchange.h
+++ b/source/common/health/observation_exchange.h
@@ -24,7 +24,7 @@
 /** Aggregated host state of a zone. */
 struct ZoneUpdate {
   /** Hosts with high response times. */
-  std::vector<SlowHost> standings;
+  std::vector<SlowHost> slowHosts;
   /** Hosts that are silent to all nodes. */
   std::vector<SilentHost> silentHosts;
   /** Hosts with a known speed; only some of them if there are many. */
--- a/source/common/health/zone_silence.cc
+++ b/source/common/health/zone_silence.cc
@@ -31,7 +31,7 @@
 
 void AckStateCollector::add(const std::vector<HostAckState>& states) {
   for (const HostAckState& state : states) {
-    if (pending_.size() < kMaxReportedSigns || pending_.contains(state.token) || state.copies > 0) {
+    if (pending_.size() < kMaxLivenessReports || pending_.contains(state.token) || state.copies > 0) {
       pending_[state.token] = state;
     }
   }
@@ -53,7 +53,7 @@
                    [](const HostLivenessReport& left, const HostLivenessReport& right) {
                      return left.copies > right.copies;
                    });
-  report.resize(std::min(report.size(), kMaxReportedSigns));
+  report.resize(std::min(report.size(), kMaxLivenessReports));
   std::erase_if(pending_, [now](const auto& named) {
     return named.second.copies == 0 || now - named.second.lastCopyAt > kWindow;
   });
--- a/source/common/server/token_node.cc
+++ b/source/common/server/token_node.cc
@@ -158,7 +158,7 @@
     const TimePoint now = steadyNow();
     hooks.observations->add(now, director.takeSamples(), director.takeAckStates());
     if (const auto news = hooks.observations->takeUpdate()) {
-      director.applyStandings(now, news->standings);
+      director.applySlowHosts(now, news->slowHosts);
       director.applySilentHosts(now, news->silentHosts);
       director.applySpeeds(now, news->speeds);
     }
--- a/source/common/token/token_director.cc
+++ b/source/common/token/token_director.cc
@@ -462,8 +462,8 @@
   return summary;
 }
 
-void TokenDirector::applyStandings(TimePoint now, const std::vector<SlowHost>& standings) {
-  for (const SlowHost& standing : standings) {
+void TokenDirector::applySlowHosts(TimePoint now, const std::vector<SlowHost>& slowHosts) {
+  for (const SlowHost& standing : slowHosts) {
     TokenHost* host = hosts_.find(standing.token);
     const TimePoint at = now - std::chrono::milliseconds(standing.ageMilliseconds);
     if (host != nullptr && host->isCurrentGenerationAt(at)) {
--- a/source/common/token/token_director.h
+++ b/source/common/token/token_director.h
@@ -138,7 +138,7 @@
   /** @return this node's own samples since the last call. */
   std::vector<HostSample> takeSamples() { return std::exchange(samples_, {}); }
   /** Applies the response time scores on which the nodes of the zone agree. */
-  void applyStandings(TimePoint now, const std::vector<SlowHost>& standings);
+  void applySlowHosts(TimePoint now, const std::vector<SlowHost>& slowHosts);
   /** Applies the host speeds that the nodes of the zone have estimated together. */
   void applySpeeds(TimePoint now, const std::vector<LearnedSpeed>& speeds);
   SpeedSummary speeds(TimePoint now) const;
--- a/test/common/health/host_observations_test.cc
+++ b/test/common/health/host_observations_test.cc
@@ -40,11 +40,11 @@
     merge(reporter, kUsualHost, 110);
   }
   now += milliseconds(300);
-  const auto standings = zone.standings(now);
-  LONGS_EQUAL(1, standings.size());
-  LONGS_EQUAL(kSlowHost, standings[0].token);
-  LONGS_EQUAL(310, standings[0].percentOfUsual);  // (2 + 3 x 4.5) / (2 + 3)
-  LONGS_EQUAL(300, standings[0].ageMilliseconds);
+  const auto slowHosts = zone.slowHosts(now);
+  LONGS_EQUAL(1, slowHosts.size());
+  LONGS_EQUAL(kSlowHost, slowHosts[0].token);
+  LONGS_EQUAL(310, slowHosts[0].percentOfUsual);  // (2 + 3 x 4.5) / (2 + 3)
+  LONGS_EQUAL(300, slowHosts[0].ageMilliseconds);
 }
 
 TEST(HostObservations, SingleNodeEjectsNoHostHoweverOftenItReports) {
@@ -52,22 +52,22 @@
     merge(1, kSlowHost, 500);
     now += milliseconds(10);
   }
-  CHECK_TRUE(zone.standings(now).empty());
+  CHECK_TRUE(zone.slowHosts(now).empty());
 }
 
 TEST(HostObservations, SingleFaultyNodeEjectsNoHost) {
   for (uint64_t reporter = 1; reporter <= 6; ++reporter) {
     merge(reporter, kSlowHost, reporter == 1 ? 500 : 100);
   }
-  CHECK_TRUE(zone.standings(now).empty());
+  CHECK_TRUE(zone.slowHosts(now).empty());
 }
 
 TEST(HostObservations, DropsOldReports) {
   merge(1, kSlowHost, 500);
   merge(2, kSlowHost, 500);
-  LONGS_EQUAL(1, zone.standings(now).size());
+  LONGS_EQUAL(1, zone.slowHosts(now).size());
   now += seconds(4);
-  CHECK_TRUE(zone.standings(now).empty());
+  CHECK_TRUE(zone.slowHosts(now).empty());
 }
 
 TEST(HostObservations, AcceptsAReportOnceAndNoOlderOne) {
@@ -97,9 +97,9 @@
       merge(reporter, token, token == 77 ? 500 : 400);
     }
   }
-  const auto standings = zone.standings(now);
-  LONGS_EQUAL(kMaxStandings, standings.size());
-  LONGS_EQUAL(77, standings[0].token);
+  const auto slowHosts = zone.slowHosts(now);
+  LONGS_EQUAL(kMaxSlowHosts, slowHosts.size());
+  LONGS_EQUAL(77, slowHosts[0].token);
 }
 
 TEST(HostObservations, ReportContainsMeansOfABoundedNumberOfHosts) {
@@ -145,12 +145,12 @@
 
 TEST(HostObservations, SpeedsFitIntoTheSpaceLeftByStandings) {
   LONGS_EQUAL(kMaxLearnedSpeeds, maxSpeedsBeside(0));
-  LONGS_EQUAL(12, maxSpeedsBeside(kMaxStandings - 10));
-  LONGS_EQUAL(0, maxSpeedsBeside(kMaxStandings));
-  const auto bytesOf = [](size_t standings, size_t speeds) {
+  LONGS_EQUAL(12, maxSpeedsBeside(kMaxSlowHosts - 10));
+  LONGS_EQUAL(0, maxSpeedsBeside(kMaxSlowHosts));
+  const auto bytesOf = [](size_t slowHosts, size_t speeds) {
     PeerChanges changes;
     uint64_t number = 0;  // Tokens that cannot be compressed.
-    for (size_t index = 0; index < standings; ++index) {
+    for (size_t index = 0; index < slowHosts; ++index) {
       changes.slowHosts.push_back({flowTokenOf(++number), 500, 3000});
     }
     for (size_t index = 0; index < speeds; ++index) {
@@ -158,11 +158,11 @@
     }
     return valueOf(encodePeerChanges(changes)).size();
   };
-  constexpr size_t kStandingBytes = 12;
+  constexpr size_t kSlowHostBytes = 12;
   constexpr size_t kListHeads = 4;
-  const size_t most = bytesOf(0, 0) + kListHeads + kStandingBytes * kMaxStandings;
-  for (size_t standings = 0; standings <= kMaxStandings; ++standings) {
-    CHECK_TRUE(bytesOf(standings, maxSpeedsBeside(standings)) <= most);
+  const size_t most = bytesOf(0, 0) + kListHeads + kSlowHostBytes * kMaxSlowHosts;
+  for (size_t slowHosts = 0; slowHosts <= kMaxSlowHosts; ++slowHosts) {
+    CHECK_TRUE(bytesOf(slowHosts, maxSpeedsBeside(slowHosts)) <= most);
   }
 }
 
@@ -170,17 +170,17 @@
   ObservationExchange exchange("front-1");
   const auto encoded = encodeHostReport({1, 1, {{kSlowHost, 1, 500}}, {}});
   exchange.merge(now, valueOf(encoded));
-  CHECK_TRUE(exchange.zoneUpdate(now).standings.empty());
+  CHECK_TRUE(exchange.zoneUpdate(now).slowHosts.empty());
   exchange.add(now, {{kSlowHost, 5.0}}, {});
   const auto news = exchange.takeUpdate();
   CHECK_TRUE(news.has_value());
-  LONGS_EQUAL(1, news->standings.size());
+  LONGS_EQUAL(1, news->slowHosts.size());
   CHECK_FALSE(exchange.takeUpdate().has_value());
 }
 
 TEST(HostObservations, RejectsAReportWithTooManySigns) {
   HostReport tooLong{1, 1, {}, {}};
-  tooLong.livenessReports.resize(kMaxReportedSigns + 1);
+  tooLong.livenessReports.resize(kMaxLivenessReports + 1);
   CHECK_TRUE(zone.merge(now, tooLong) == ReportOutcome::kInvalid);
 }
 
@@ -212,7 +212,7 @@
   exchange.merge(now, "no report");
   exchange.merge(now, std::string(3000, '\x91'));
   LONGS_EQUAL(2, exchange.counters()[static_cast<size_t>(ReportOutcome::kMalformed)]);
-  CHECK_TRUE(exchange.zoneUpdate(now).standings.empty());
+  CHECK_TRUE(exchange.zoneUpdate(now).slowHosts.empty());
 }
 
 }  // namespace umberhold
--- a/test/common/health/zone_silence_test.cc
+++ b/test/common/health/zone_silence_test.cc
@@ -123,14 +123,14 @@
 TEST(ZoneSilence, CollectorRepeatsSilentHostsFirstAndReportsAnswersOnce) {
   AckStateCollector gatherer;
   std::vector<HostAckState> states;
-  for (uint32_t token = 1; token <= 2 * kMaxReportedSigns; ++token) {
+  for (uint32_t token = 1; token <= 2 * kMaxLivenessReports; ++token) {
     states.push_back({token, now, 0, {}, {}, {}});
   }
   states.push_back({5000, std::nullopt, 2, {11, 12}, now - milliseconds(400), now});
   gatherer.add(states);
   now += milliseconds(100);
   const auto first = gatherer.take(now);
-  LONGS_EQUAL(kMaxReportedSigns, first.size());
+  LONGS_EQUAL(kMaxLivenessReports, first.size());
   LONGS_EQUAL(5000, first[0].token);
   LONGS_EQUAL(500, first[0].silentMilliseconds);
   LONGS_EQUAL(kNeverAnswered, first[0].answeredAgoMilliseconds);
--- a/test/platform/store/peer_question_test.cc
+++ b/test/platform/store/peer_question_test.cc
@@ -27,7 +27,7 @@
   HostReport report{UINT64_MAX, UINT64_MAX, {}, {}};
   report.hosts.assign(kMaxReportedHosts, {UINT32_MAX, 1000, 500});
   const std::vector<uint32_t> callers(kMaxReportedCallers, UINT32_MAX);
-  report.livenessReports.assign(kMaxReportedSigns,
+  report.livenessReports.assign(kMaxLivenessReports,
                                 {UINT32_MAX, kNeverAnswered, 1000, callers, 60000});
   const std::string path = pathOf({UINT64_MAX, valueOf(encodeHostReport(report))});
   CHECK_TRUE(path.size() + 200 < kPollHttpHeadBytes);
--- a/test/platform/store/zone_reader_test.cc
+++ b/test/platform/store/zone_reader_test.cc
@@ -286,7 +286,7 @@
     }
     const auto news = nodes.back()->observations().takeUpdate();
     heard = heard ||
-            (news && news->standings.size() == 1 && news->standings.front().token == kLateHost);
+            (news && news->slowHosts.size() == 1 && news->slowHosts.front().token == kLateHost);
     return heard;
   };
   CHECK_TRUE(soon(isHeard));
