--- a/source/common/shard/known_flows.cc
+++ b/source/common/shard/known_flows.cc
@@ -59,7 +59,7 @@
 }
 
 bool KnownFlowStream::needsRenewal(size_t liveFlows) const {
-  return running() && end() - start_ > 2 * liveFlows + kMaximumEndedFlows;
+  return running() && end() - start_ > 2 * liveFlows + kMaxEndedFlows;
 }
 
 std::optional<KnownFlowBatch> KnownFlowStream::poll(TimePoint now, ByteBudget& budget,
@@ -67,7 +67,7 @@
   const bool nothingNew = announced_ && waiting_.empty();
   const bool full = waiting_.size() >= kBatchFlows;
   const Duration interval = full || !announced_ || budget.isAtLeastHalfFull(now)
-                                ? kMinimumBatchInterval
+                                ? kMinBatchInterval
                                 : kPartialBatchDelay;
   const Duration delay = inFlight_ ? kResendInterval : (flushRequested_ ? Duration(0) : interval);
   if (state_ == State::kStopped || nothingNew || now - lastSend_ < delay) {
@@ -87,7 +87,7 @@
                                                                   ByteBudget& budget) {
   const size_t count = waiting_.size();
   const bool fits =
-      announced_ && running() && !inFlight_ && count > 0 && count <= kMaximumPiggybackedFlows;
+      announced_ && running() && !inFlight_ && count > 0 && count <= kMaxPiggybackedFlows;
   if (!fits || !budget.tryConsume(now, static_cast<double>(kFingerprintBytes * count))) {
     return std::nullopt;
   }
--- a/source/common/shard/known_flows.h
+++ b/source/common/shard/known_flows.h
@@ -46,15 +46,15 @@
    * Minimum interval between two full batches, or between any two while the budget is ample. Until
    * the replica has received a flow, the flow counts as new if its owner dies.
    */
-  static constexpr Duration kMinimumBatchInterval = std::chrono::milliseconds(250);
+  static constexpr Duration kMinBatchInterval = std::chrono::milliseconds(250);
   static constexpr Duration kResendInterval = std::chrono::seconds(1);
   static constexpr size_t kBatchFlows = 200;
   /** Maximum number of flows that are added to a datagram of the replication log. */
-  static constexpr size_t kMaximumPiggybackedFlows = 50;
+  static constexpr size_t kMaxPiggybackedFlows = 50;
   /**
    * Ended flows remain listed; the list is renewed when it exceeds twice the live flows by this.
    */
-  static constexpr size_t kMaximumEndedFlows = 4096;
+  static constexpr size_t kMaxEndedFlows = 4096;
 
   /** Starts a new list for a replica that has none. */
   void restart(std::vector<FlowFingerprint> all);
--- a/source/common/shard/local_shard_replication.cc
+++ b/source/common/shard/local_shard_replication.cc
@@ -10,7 +10,7 @@
 
 /** Minimum interval and minimum weight change of base table updates that change only weights. */
 constexpr Duration kWeightAdvanceInterval = std::chrono::minutes(5);
-constexpr int kMinimumWeightChange = 64;
+constexpr int kMinWeightChange = 64;
 
 std::vector<BaseHost> sortedByHost(std::vector<BaseHost> hosts) {
   std::sort(hosts.begin(), hosts.end(),
@@ -27,7 +27,7 @@
 /** Both lists must contain the same hosts in the same order. */
 bool weightsDiffer(const std::vector<BaseHost>& left, const std::vector<BaseHost>& right) {
   for (size_t index = 0; index < left.size(); ++index) {
-    if (std::abs(int{left[index].weight} - int{right[index].weight}) >= kMinimumWeightChange) {
+    if (std::abs(int{left[index].weight} - int{right[index].weight}) >= kMinWeightChange) {
       return true;
     }
   }
--- a/source/common/shard/replication_log.cc
+++ b/source/common/shard/replication_log.cc
@@ -48,7 +48,7 @@
 
 void ReplicationLog::append(const Change& change) {
   changes_.push_back(change);
-  if (changes_.size() > kMaximumChanges) {
+  if (changes_.size() > kMaxChanges) {
     startSnapshot();
   }
 }
@@ -106,7 +106,7 @@
 }
 
 bool ReplicationLog::canDelay(TimePoint now) const {
-  return now - changes_.front().when < kMaximumRemovalDelay &&
+  return now - changes_.front().when < kMaxRemovalDelay &&
          oldestUrgentChangeTime() == TimePoint::max();
 }
 
@@ -122,7 +122,7 @@
   ReplicaAppend batch = makeBatch(shard, epoch, bytes);
   budget.consume(now, static_cast<double>(bytes));
   if (inFlight_) {
-    resendAfter_ = std::min(resendAfter_ * 2, kMaximumResendInterval);
+    resendAfter_ = std::min(resendAfter_ * 2, kMaxResendInterval);
   } else {
     firstSend_ = now;
   }
@@ -144,8 +144,8 @@
 }
 
 bool ReplicationLog::current(TimePoint now) const {
-  const bool unacknowledged = inFlight_ && now - firstSend_ > kMaximumUnacknowledgedTime;
-  const bool lags = !changes_.empty() && now - changes_.front().when > kMaximumLag;
+  const bool unacknowledged = inFlight_ && now - firstSend_ > kMaxUnacknowledgedTime;
+  const bool lags = !changes_.empty() && now - changes_.front().when > kMaxLag;
   return synchronised_ && !unacknowledged && !lags;
 }
 
--- a/source/common/shard/replication_log.h
+++ b/source/common/shard/replication_log.h
@@ -23,17 +23,17 @@
 class ReplicationLog {
  public:
   static constexpr Duration kInitialResendInterval = std::chrono::milliseconds(300);
-  static constexpr Duration kMaximumResendInterval = std::chrono::seconds(3);
+  static constexpr Duration kMaxResendInterval = std::chrono::seconds(3);
   /** If a change is unacknowledged for longer, the replica counts as unreliable. */
-  static constexpr Duration kMaximumLag = std::chrono::seconds(2);
+  static constexpr Duration kMaxLag = std::chrono::seconds(2);
   /** How long removed flows wait for an added one, to share its datagram. */
-  static constexpr Duration kMaximumRemovalDelay = std::chrono::seconds(1);
+  static constexpr Duration kMaxRemovalDelay = std::chrono::seconds(1);
   /**
    * If a batch is unacknowledged for longer, resends included, the replica counts as unreliable.
    */
-  static constexpr Duration kMaximumUnacknowledgedTime = std::chrono::milliseconds(700);
+  static constexpr Duration kMaxUnacknowledgedTime = std::chrono::milliseconds(700);
   /** If it is exceeded the log is discarded and the replica needs a snapshot. */
-  static constexpr size_t kMaximumChanges = 8192;
+  static constexpr size_t kMaxChanges = 8192;
   static constexpr size_t kBatchBytes = 1100;
 
   /** Starts an epoch with an empty log and a replica without state. */
--- a/source/common/shard/shard_context.h
+++ b/source/common/shard/shard_context.h
@@ -92,7 +92,7 @@
   std::optional<TimePoint> lastHeal;
   bool leaving = false;
   /** Maximum number of recorded senders that this node's view does not contain (yet). */
-  static constexpr size_t kMaximumUnknownSenders = 1024;
+  static constexpr size_t kMaxUnknownSenders = 1024;
   std::unordered_map<NodeId, Endpoint> unknownSenders;
 
   NodeId self() const { return view.self(); }
@@ -129,7 +129,7 @@
   void recordSender(NodeId sender, const Endpoint& from) {
     if (view.find(sender) != nullptr) {
       unknownSenders.erase(sender);
-    } else if (unknownSenders.size() < kMaximumUnknownSenders) {
+    } else if (unknownSenders.size() < kMaxUnknownSenders) {
       unknownSenders[sender] = from;
     }
   }
--- a/source/common/shard/snapshot.cc
+++ b/source/common/shard/snapshot.cc
@@ -15,7 +15,7 @@
 constexpr size_t kPermitBytes = 21;
 constexpr size_t kOldFlowBytes = 5;
 /** Snapshots with more chunks are rejected. */
-constexpr uint32_t kMaximumChunks = 65536;
+constexpr uint32_t kMaxChunks = 65536;
 
 size_t bytesOf(const HostPermits& permits) {
   return kPermitBytes + kHostBytes * (permits.lent.size() + permits.borrowed.size());
@@ -137,7 +137,7 @@
 }
 
 void SnapshotAssembler::accept(const SnapshotChunk& chunk) {
-  if (total_ == 0 && chunk.chunks > 0 && chunk.chunks <= kMaximumChunks) {
+  if (total_ == 0 && chunk.chunks > 0 && chunk.chunks <= kMaxChunks) {
     total_ = chunk.chunks;
     epoch_ = chunk.epoch;
     chunks_.resize(total_);
--- a/source/common/shard/snapshot_sender.cc
+++ b/source/common/shard/snapshot_sender.cc
@@ -16,7 +16,7 @@
   }
   if (nextToSend_ > acknowledged_ && now - lastSend_ >= resendAfter_) {
     nextToSend_ = acknowledged_;
-    resendAfter_ = std::min(resendAfter_ * 2, kMaximumResendInterval);
+    resendAfter_ = std::min(resendAfter_ * 2, kMaxResendInterval);
   }
   const auto end = std::min<size_t>(chunks_.size(), static_cast<size_t>(acknowledged_) + kWindow);
   while (nextToSend_ < end && budget.hasTokens(now)) {
--- a/source/common/shard/snapshot_sender.h
+++ b/source/common/shard/snapshot_sender.h
@@ -19,7 +19,7 @@
  public:
   static constexpr uint32_t kWindow = 8;
   static constexpr Duration kInitialResendInterval = std::chrono::milliseconds(200);
-  static constexpr Duration kMaximumResendInterval = std::chrono::seconds(2);
+  static constexpr Duration kMaxResendInterval = std::chrono::seconds(2);
   /** The transfer fails if no acknowledgement makes progress for this long. */
   static constexpr Duration kProgressTimeout = std::chrono::seconds(15);
 
--- a/source/common/shard/unacknowledged_flows.h
+++ b/source/common/shard/unacknowledged_flows.h
@@ -24,11 +24,11 @@
 class UnacknowledgedFlows {
  public:
   /** Maximum number of held flows; further ones are forwarded at once. */
-  static constexpr size_t kMaximumFlows = 256;
+  static constexpr size_t kMaxFlows = 256;
   /** A replica that takes longer to acknowledge a record is partitioned or has no budget. */
   static constexpr Duration kAcknowledgementTimeout = std::chrono::milliseconds(250);
 
-  bool isFull() const { return flows_.size() >= kMaximumFlows; }
+  bool isFull() const { return flows_.size() >= kMaxFlows; }
   bool isEmpty() const { return flows_.empty(); }
   bool contains(FlowHash flow) const { return flows_.contains(flow); }
   /** @param sequence of the flow's record in the replication log. */
--- a/test/common/node/cluster_fuzzer.cc
+++ b/test/common/node/cluster_fuzzer.cc
@@ -10,13 +10,13 @@
 namespace {
 
 constexpr uint32_t kNodes = 5;
-constexpr size_t kMinimumNodes = 3;
-constexpr size_t kMaximumNodes = 7;
+constexpr size_t kMinNodes = 3;
+constexpr size_t kMaxNodes = 7;
 constexpr uint8_t kHosts = 6;
 constexpr Duration kSettleTime = std::chrono::seconds(10);
 constexpr Duration kDrainDeadline = std::chrono::seconds(6);
 /** The fabric applies a planned stop before the node's linger time is over. */
-constexpr Duration kMaximumFabricLag = std::chrono::seconds(2);
+constexpr Duration kMaxFabricLag = std::chrono::seconds(2);
 constexpr const char* kPolicy = "spread";
 constexpr const char* kServices[] = {"dispatch", "mapstore", "fleet"};
 
@@ -144,7 +144,7 @@
 
 uint32_t ClusterFuzzer::victim(uint32_t target) const {
   const std::vector<uint32_t> ready = readyNodes();
-  return ready.size() <= kMinimumNodes ? 0 : ready[target % ready.size()];
+  return ready.size() <= kMinNodes ? 0 : ready[target % ready.size()];
 }
 
 std::string ClusterFuzzer::serviceName(uint32_t target) const {
@@ -159,7 +159,7 @@
 
 void ClusterFuzzer::applyToNodes(const ClusterStep& step) {
   if (step.change == ClusterChange::kJoin) {
-    if (cluster_.runningNodes().size() < kMaximumNodes) {
+    if (cluster_.runningNodes().size() < kMaxNodes) {
       cluster_.addNode();
     }
     return;
@@ -365,7 +365,7 @@
                                        std::chrono::milliseconds(1 + step.target % 50)});
       break;
     case ClusterChange::kFabricLag:
-      cluster_.setFabricLag(kMaximumFabricLag * (step.target % 5) / 4);
+      cluster_.setFabricLag(kMaxFabricLag * (step.target % 5) / 4);
       break;
     case ClusterChange::kCutZones:
       cluster_.cutZones(step.target % SimulatedCluster::kZones,
--- a/test/common/node/node_core_property.cc
+++ b/test/common/node/node_core_property.cc
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr size_t kMaximumSteps = 10;
-constexpr uint32_t kMaximumStepMilliseconds = 4000;
+constexpr size_t kMaxSteps = 10;
+constexpr uint32_t kMaxStepMilliseconds = 4000;
 /** Maximum share of established flows that deaths and partitions may break, out of kBrokenOutOf. */
 constexpr uint64_t kBrokenFlows = 1;
 constexpr uint64_t kBrokenOutOf = 100;
@@ -26,8 +26,8 @@
                                 [](int number) { return static_cast<ClusterChange>(number); })),
       rc::gen::set(&ClusterStep::target, rc::gen::inRange<uint32_t>(0, 100)),
       rc::gen::set(&ClusterStep::milliseconds,
-                   rc::gen::inRange<uint32_t>(0, kMaximumStepMilliseconds)));
-  return rc::gen::mapcat(rc::gen::inRange<size_t>(1, kMaximumSteps), [step](size_t count) {
+                   rc::gen::inRange<uint32_t>(0, kMaxStepMilliseconds)));
+  return rc::gen::mapcat(rc::gen::inRange<size_t>(1, kMaxSteps), [step](size_t count) {
     return rc::gen::container<std::vector<ClusterStep>>(count, step);
   });
 }
--- a/test/common/shard/known_flows_test.cc
+++ b/test/common/shard/known_flows_test.cc
@@ -46,7 +46,7 @@
 /** Sending only some of them would leave the replica with an incomplete list. */
 TEST(KnownFlows, AreSentWithDatagramAllOrNone) {
   announce();
-  for (FlowFingerprint flow = 1; flow <= KnownFlowStream::kMaximumPiggybackedFlows + 1; ++flow) {
+  for (FlowFingerprint flow = 1; flow <= KnownFlowStream::kMaxPiggybackedFlows + 1; ++flow) {
     stream.add(flow);
   }
   CHECK_FALSE(stream.takePiggybackBatch(now, budget).has_value());
@@ -69,7 +69,7 @@
   constexpr double kBurst = 1000.0;
   announce();
   stream.add(7);
-  now += KnownFlowStream::kMinimumBatchInterval;
+  now += KnownFlowStream::kMinBatchInterval;
   const auto soon = stream.poll(now, budget, lists);
   CHECK_TRUE(soon.has_value());
   deliver(*soon);
@@ -77,7 +77,7 @@
   ByteBudget scarce{{kPerSecond, kBurst}};
   scarce.consume(now, 0.8 * kBurst);
   stream.add(8);
-  now += KnownFlowStream::kMinimumBatchInterval;
+  now += KnownFlowStream::kMinBatchInterval;
   CHECK_FALSE(stream.poll(now, scarce, lists).has_value());
   now += KnownFlowStream::kPartialBatchDelay;
   CHECK_TRUE(stream.poll(now, scarce, lists).has_value());
--- a/test/common/shard/region_fuzzer.h
+++ b/test/common/shard/region_fuzzer.h
@@ -88,8 +88,8 @@
   }
 
  private:
-  static constexpr size_t kMinimumNodes = 3;
-  static constexpr uint32_t kMaximumNodes = 8;
+  static constexpr size_t kMinNodes = 3;
+  static constexpr uint32_t kMaxNodes = 8;
   static constexpr uint32_t kShards = 3;
 
   static RegionOptions optionsOf(uint64_t seed) {
@@ -122,7 +122,7 @@
         candidates.push_back(id);
       }
     }
-    return candidates.size() <= kMinimumNodes ? 0 : candidates[target % candidates.size()];
+    return candidates.size() <= kMinNodes ? 0 : candidates[target % candidates.size()];
   }
 
   void disturb(const FuzzStep& step) {
@@ -173,7 +173,7 @@
   }
 
   void join() {
-    for (uint32_t id = 1; id <= kMaximumNodes; ++id) {
+    for (uint32_t id = 1; id <= kMaxNodes; ++id) {
       if (!region().isRunning(id)) {
         std::erase(leaving_, id);
         region().startNode(id, RegionScenario::zoneOf(id));
--- a/test/common/shard/region_property.cc
+++ b/test/common/shard/region_property.cc
@@ -12,7 +12,7 @@
 
 constexpr uint32_t kAmpleLimit = 2000;
 constexpr uint32_t kScarceLimit = 60;
-constexpr size_t kMaximumSteps = 8;
+constexpr size_t kMaxSteps = 8;
 
 rc::Gen<std::vector<FuzzStep>> stepsUpTo(int disturbances) {
   const auto step = rc::gen::build<FuzzStep>(
@@ -21,7 +21,7 @@
                                 [](int number) { return static_cast<Disturbance>(number); })),
       rc::gen::set(&FuzzStep::target, rc::gen::inRange<uint32_t>(0, 100)),
       rc::gen::set(&FuzzStep::milliseconds, rc::gen::inRange<uint32_t>(0, 5000)));
-  return rc::gen::mapcat(rc::gen::inRange<size_t>(1, kMaximumSteps), [step](size_t count) {
+  return rc::gen::mapcat(rc::gen::inRange<size_t>(1, kMaxSteps), [step](size_t count) {
     return rc::gen::container<std::vector<FuzzStep>>(count, step);
   });
 }
--- a/test/common/shard/replication_log_test.cc
+++ b/test/common/shard/replication_log_test.cc
@@ -223,7 +223,7 @@
   CHECK_EQUAL(2U, changesOf(*together));
   deliver(*together);
   remove(3);
-  now += ReplicationLog::kMaximumRemovalDelay;
+  now += ReplicationLog::kMaxRemovalDelay;
   CHECK_EQUAL(1U, changesOf(*poll()));
 }
 
--- a/test/common/shard/start_together_test.cc
+++ b/test/common/shard/start_together_test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr uint64_t kMaximumGapMilliseconds = 400;
+constexpr uint64_t kMaxGapMilliseconds = 400;
 constexpr uint32_t kHosts = 15;
 
 /** @return the number of owned shards whose owner knows all flows: no flow was placed yet. */
@@ -27,7 +27,7 @@
   RandomSource random(seed);
   for (uint32_t id = 1; id <= RegionScenario::kNodes; ++id) {
     region.startNode(id, RegionScenario::zoneOf(id));
-    region.runFor(std::chrono::milliseconds(random.below(kMaximumGapMilliseconds)));
+    region.runFor(std::chrono::milliseconds(random.below(kMaxGapMilliseconds)));
   }
   region.runFor(std::chrono::seconds(10));
   uint32_t complete = 0;
--- a/test/common/shard/unacknowledged_flows_test.cc
+++ b/test/common/shard/unacknowledged_flows_test.cc
@@ -45,7 +45,7 @@
 }
 
 TEST(UnacknowledgedFlows, AreBounded) {
-  for (uint64_t flow = 1; flow <= UnacknowledgedFlows::kMaximumFlows; ++flow) {
+  for (uint64_t flow = 1; flow <= UnacknowledgedFlows::kMaxFlows; ++flow) {
     CHECK_FALSE(flows.isFull());
     flows.add(now, FlowHash{flow}, 1, "", PacketSource::kFabric);
   }
