--- a/source/common/admission/opening_queue.h
+++ b/source/common/admission/opening_queue.h
@@ -61,8 +61,8 @@
 struct OpeningClaim {
   /** Service::priority. */
   uint32_t priority = 0;
-  /** They are queued while at least this many openings of all priorities are under way at the pool;
-   * the rest of the pool's limit is reserved for more urgent ones. */
+  /** These openings are queued while at least this many openings of all priorities are under way at
+   * the pool; the rest of the pool's limit is reserved for more urgent ones. */
   uint32_t limit = std::numeric_limits<uint32_t>::max();
   /** This many openings of this priority may be under way regardless of the others, which prevents
    * starvation. */
--- a/source/common/admission/pool_use.h
+++ b/source/common/admission/pool_use.h
@@ -27,7 +27,7 @@
 
  private:
   static constexpr int kSamples = 8;
-  /** Hosts' queues empty within a second, so older samples say nothing about them. */
+  /** Hosts' queues empty within a second, so older samples are no evidence about them. */
   static constexpr Duration kExpiry = std::chrono::seconds(2);
 
   Duration value_{0};
--- a/source/common/admission/room_limits.cc
+++ b/source/common/admission/room_limits.cc
@@ -8,11 +8,11 @@
 
 /** Transit time between callers, nodes and hosts, including the node's own packet queue. */
 constexpr Duration kTransitTime = std::chrono::milliseconds(20);
-/** Openings are released in FIFO order during 1/kFifoDivisor of the remaining time. After that,
- * newer openings go first; they then have most of their time left for the host and for another
- * attempt. */
+/** Openings are released in FIFO order during 1/kFifoDivisor of the target latency that is left
+ * after the time at hosts and in transit. After that, newer openings go first; they then have most
+ * of their time left for the host and for another attempt. */
 constexpr int kFifoDivisor = 4;
-/** Upper bound of the result, in effect no limit. */
+/** Upper bound of yieldingOpenings(), in effect no limit. */
 constexpr double kMaxOpenings = 1e6;
 
 }  // namespace
--- a/source/common/config/service.h
+++ b/source/common/config/service.h
@@ -132,7 +132,7 @@
   std::vector<HostSpec> hosts;
   /**
    * Pools whose hosts serve new flows, with their shares; if there are any, `hosts` is empty. Only
-   * for the strategy "token" (flow/token_director.h).
+   * for the strategy "token" (token/token_director.h).
    */
   std::vector<HostGroup> groups;
   /**
--- a/source/common/flow/flow_director.h
+++ b/source/common/flow/flow_director.h
@@ -77,7 +77,7 @@
   /** The host's load by this node's own traffic, in recent packets. */
   double load = 0.0;
   uint32_t weight = 0;
-  /** Learnt speed of the host as a multiple of the usual speed; 1: not known. */
+  /** Estimated speed of the host as a multiple of the usual speed; 1: not known. */
   double speed = 1.0;
   /** Number of hosts that could have taken the flow. */
   uint32_t candidates = 0;
--- a/source/common/health/host_health.cc
+++ b/source/common/health/host_health.cc
@@ -9,7 +9,7 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** Age reported for a host that was present at start-up. */
+/** Age in seconds reported for a host that was present at start-up. */
 constexpr double kWarmAge = 1e9;
 /** Minimum fraction of its weight that a cold host receives. */
 constexpr double kMinRampFactor = 0.1;
--- a/source/common/health/host_health.h
+++ b/source/common/health/host_health.h
@@ -43,14 +43,14 @@
   Duration coldRamp = std::chrono::seconds(30);
   /**
    * How long panic mode lasts after the panic threshold was last exceeded. It exceeds the time
-   * until an owner learns of a recovery: two probes and the interval of LoadShare.
+   * until a recovery is reported to all owners: two probes and the interval of LoadShare.
    */
   Duration panicHold = std::chrono::seconds(15);
   /** How long a result of another owner remains valid. */
   Duration remoteResultLifetime = std::chrono::seconds(60);
 };
 
-/** A host as the prober sees it. */
+/** Attributes of a host that its probing depends on. */
 struct ProbedHost {
   HostId host;
   /** False if the host has no probe endpoint and therefore always counts as healthy. */
--- a/source/common/health/host_observations.cc
+++ b/source/common/health/host_observations.cc
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-size_t maxSpeedsBeside(size_t slowHosts) {
-  const size_t left = kMaxSlowHosts - std::min(slowHosts, kMaxSlowHosts);
+size_t maxSpeedsBeside(size_t slowHostCount) {
+  const size_t left = kMaxSlowHosts - std::min(slowHostCount, kMaxSlowHosts);
   return std::min(kMaxLearnedSpeeds, left * kSlowHostBytes / kSpeedBytes);
 }
 
--- a/source/common/health/host_observations.h
+++ b/source/common/health/host_observations.h
@@ -32,10 +32,10 @@
 /** Maximum number of speeds in one response, 10 bytes each. */
 constexpr size_t kMaxLearnedSpeeds = 60;
 /**
- * @return the number of speeds that fit into a response with this many standings: both together
- * take no more bytes than kMaxSlowHosts standings.
+ * @return the number of speeds that fit into a response with this many slow hosts: both together
+ * take no more bytes than kMaxSlowHosts slow hosts.
  */
-size_t maxSpeedsBeside(size_t slowHosts);
+size_t maxSpeedsBeside(size_t slowHostCount);
 
 /** Collects the samples of this node until its next report. Not thread safe. */
 class SampleCollector {
--- a/source/common/health/zone_silence.cc
+++ b/source/common/health/zone_silence.cc
@@ -31,7 +31,8 @@
 
 void AckStateCollector::add(const std::vector<HostAckState>& states) {
   for (const HostAckState& state : states) {
-    if (pending_.size() < kMaxLivenessReports || pending_.contains(state.token) || state.copies > 0) {
+    if (pending_.size() < kMaxLivenessReports || pending_.contains(state.token) ||
+        state.copies > 0) {
       pending_[state.token] = state;
     }
   }
@@ -61,18 +62,18 @@
 }
 
 void ZoneSilence::merge(TimePoint now, uint64_t reporter,
-                        const std::vector<HostLivenessReport>& signs) {
-  for (const HostLivenessReport& sign : signs) {
-    Host& host = hosts_[sign.token];
-    if (sign.answeredAgoMilliseconds != kNeverAnswered) {
-      const auto ago = std::chrono::milliseconds(sign.answeredAgoMilliseconds);
+                        const std::vector<HostLivenessReport>& livenessReports) {
+  for (const HostLivenessReport& reported : livenessReports) {
+    Host& host = hosts_[reported.token];
+    if (reported.answeredAgoMilliseconds != kNeverAnswered) {
+      const auto ago = std::chrono::milliseconds(reported.answeredAgoMilliseconds);
       host.answeredAt = std::max(host.answeredAt, now - ago);
     }
-    if (sign.copies == 0) {
+    if (reported.copies == 0) {
       host.reports.erase(reporter);
     } else {
-      const auto ago = std::chrono::milliseconds(sign.silentMilliseconds);
-      host.reports[reporter] = {now, sign.copies, sign.callers, now - ago};
+      const auto ago = std::chrono::milliseconds(reported.silentMilliseconds);
+      host.reports[reporter] = {now, reported.copies, reported.callers, now - ago};
     }
   }
 }
--- a/source/common/health/zone_silence.h
+++ b/source/common/health/zone_silence.h
@@ -44,7 +44,8 @@
 class ZoneSilence {
  public:
   /** @param reporter identifies the node within the zone. */
-  void merge(TimePoint now, uint64_t reporter, const std::vector<HostLivenessReport>& signs);
+  void merge(TimePoint now, uint64_t reporter,
+             const std::vector<HostLivenessReport>& livenessReports);
   /**
    * @return the hosts that left data of several callers unacknowledged at two or more nodes, and
    * that acknowledged no data at any node from the first transmission of that data until at least
--- a/source/common/membership/joiner.cc
+++ b/source/common/membership/joiner.cc
@@ -9,8 +9,8 @@
 
 /** Members per page, so that a page fits into one datagram. */
 constexpr size_t kPageMembers = 28;
-/** If this many seeds were asked and none has joined, the whole region is starting. */
-constexpr size_t kMaxSeedsAsked = 8;
+/** If this many seeds were queried and none has joined, the whole region is starting. */
+constexpr size_t kMaxQueriedSeeds = 8;
 
 }  // namespace
 
@@ -53,15 +53,15 @@
   if (complete_ || now < nextRequest_) {
     return;
   }
-  if (joiningMemberReplied_ && allSeedsAsked()) {
+  if (joiningMemberReplied_ && allSeedsQueried()) {
     complete_ = true;
     return;
   }
   request(now);
 }
 
-bool Joiner::allSeedsAsked() const {
-  return seedsAsked_ >= std::min(seeds_.size(), kMaxSeedsAsked);
+bool Joiner::allSeedsQueried() const {
+  return queriedSeeds_ >= std::min(seeds_.size(), kMaxQueriedSeeds);
 }
 
 void Joiner::request(TimePoint now) {
@@ -69,8 +69,8 @@
   const Member* member =
       cursor_ == NodeId{} ? nullptr : context_.table.pick(context_.random, isTrustedEntry);
   const Endpoint to = member != nullptr ? member->controlEndpoint()
-                                        : seeds_[(firstSeed_ + seedsAsked_) % seeds_.size()];
-  seedsAsked_ += cursor_ == NodeId{} ? 1 : 0;
+                                        : seeds_[(firstSeed_ + queriedSeeds_) % seeds_.size()];
+  queriedSeeds_ += cursor_ == NodeId{} ? 1 : 0;
   context_.sink.send(to, Message{JoinRequest{context_.table.self(), cursor_}});
 }
 
@@ -91,7 +91,7 @@
   }
   joiningMemberReplied_ = true;
   cursor_ = NodeId{};
-  if (allSeedsAsked()) {
+  if (allSeedsQueried()) {
     complete_ = true;
   } else {
     request(now);
--- a/source/common/membership/joiner.h
+++ b/source/common/membership/joiner.h
@@ -24,20 +24,20 @@
    */
   void onReply(TimePoint now, const JoinReply& reply, bool fromJoiningMember);
   /**
-   * @return whether a joined member has sent the complete list, or all nodes that answered are
-   * still joining themselves, or there are no seeds.
+   * @return whether a joined member has sent the complete list, or all seeds (or kMaxQueriedSeeds
+   * of them) were queried and only nodes that are still joining answered, or there are no seeds.
    */
   bool complete() const { return complete_; }
   const std::vector<Endpoint>& seeds() const { return seeds_; }
 
  private:
   void request(TimePoint now);
-  bool allSeedsAsked() const;
+  bool allSeedsQueried() const;
 
   MembershipContext& context_;
   std::vector<Endpoint> seeds_;
-  /** Number of seeds asked so far, in order from a random first one. */
-  size_t seedsAsked_ = 0;
+  /** Number of seeds queried so far, in order from a random first one. */
+  size_t queriedSeeds_ = 0;
   size_t firstSeed_ = 0;
   /** Whether a member that is still joining has sent its list. */
   bool joiningMemberReplied_ = false;
--- a/source/common/membership/prober.cc
+++ b/source/common/membership/prober.cc
@@ -150,13 +150,13 @@
 
 void Prober::sendRequests(const Probe& probe) {
   const MemberEntry* entry = context_.table.find(probe.target);
-  std::vector<NodeId> asked;
+  std::vector<NodeId> chosen;
   for (size_t index = 0; index < context_.options.helpers; ++index) {
     const Member* helper = pickHelper(probe, index == 0);
-    if (helper == nullptr || std::find(asked.begin(), asked.end(), helper->id) != asked.end()) {
+    if (helper == nullptr || std::find(chosen.begin(), chosen.end(), helper->id) != chosen.end()) {
       continue;
     }
-    asked.push_back(helper->id);
+    chosen.push_back(helper->id);
     context_.sink.send(
         helper->controlEndpoint(),
         Message{PingRequest{probe.sequence, probe.target, entry->member.controlEndpoint()}});
--- a/source/common/membership/update_queue.h
+++ b/source/common/membership/update_queue.h
@@ -15,7 +15,7 @@
  */
 class UpdateQueue {
  public:
-  /** @param withAddress whether other nodes may not know the address of the member. */
+  /** @param withAddress whether other nodes may lack the address of the member. */
   void add(NodeId id, bool withAddress, bool urgent);
   /** @return up to `limit` updates, counted as sent `copies` times. Entries that have been sent
    * often enough are removed from the queue. */
--- a/source/common/messages/member.h
+++ b/source/common/messages/member.h
@@ -30,7 +30,7 @@
   MemberState state = MemberState::kAlive;
   RegionId region;
   ZoneId zone;
-  /** IPv4 address of the node, host byte order. */
+  /** IPv4 address of the node, host byte order; the ports below belong to it. */
   uint32_t address = 0;
   /** UDP port for messages between nodes (wire/envelope.h). */
   uint16_t controlPort = 0;
--- a/source/common/messages/membership_messages.h
+++ b/source/common/messages/membership_messages.h
@@ -9,7 +9,7 @@
 
 namespace umberhold {
 
-/** State change of a member. Carries no address: the receiver usually knows it already. */
+/** State change of a member. Carries no address: the receiver usually has it already. */
 struct MemberUpdate {
   NodeId id;
   uint64_t incarnation = 0;
--- a/source/common/messages/peer_messages.h
+++ b/source/common/messages/peer_messages.h
@@ -57,20 +57,20 @@
   }
 };
 
-/** Value of HostLivenessReport::answeredAgoMilliseconds if the host never answered. */
+/** Value of HostLivenessReport::answeredAgoMilliseconds if the host acknowledged nothing so far. */
 constexpr uint32_t kNeverAnswered = UINT32_MAX;
 
 /** Whether a host acknowledged the data that the callers of a node sent to it. */
 struct HostLivenessReport {
   /** Flow token of the host. */
   uint32_t token = 0;
-  /** Time since its last answer, milliseconds. */
+  /** Time since its last acknowledgement, milliseconds. */
   uint32_t answeredAgoMilliseconds = kNeverAnswered;
-  /** Transmissions of data by callers since then, retransmissions included. */
+  /** Retransmissions of data by callers since then. */
   uint32_t copies = 0;
   /** Distinct addresses of some of these callers. */
   std::vector<uint32_t> callers;
-  /** Time since the first transmission of the oldest of that data, milliseconds. */
+  /** Time since the first transmission of the earliest unacknowledged data, milliseconds. */
   uint32_t silentMilliseconds = 0;
 
   bool operator==(const HostLivenessReport&) const = default;
@@ -99,10 +99,10 @@
   }
 };
 
-/** A host that is unresponsive for all nodes of a zone. */
+/** A host that is silent (acknowledges no data) to all nodes of a zone. */
 struct SilentHost {
   uint32_t token = 0;
-  /** Duration of the unresponsiveness, milliseconds. */
+  /** Duration of the silence, milliseconds. */
   uint32_t silentMilliseconds = 0;
 
   bool operator==(const SilentHost&) const = default;
@@ -212,7 +212,7 @@
   uint64_t evacuationsVersion = 0;
   /** All zones that are evacuated at that version. */
   std::vector<std::string> evacuatedZones;
-  /** Hosts that are unresponsive for all nodes of the zone. */
+  /** Hosts that are silent to all nodes of the zone. */
   std::vector<SilentHost> silentHosts;
   /** Hosts whose speed is known; only some of them if there are many. */
   std::vector<LearnedSpeed> speeds;
--- a/source/common/messages/shard_messages.h
+++ b/source/common/messages/shard_messages.h
@@ -96,7 +96,7 @@
   bool acquiring = false;
   /** The sender's view contains a dead member: state may have been lost with it. */
   bool memberDied = false;
-  /** The sender recently detected an unresponsive zone, a member's death or a healed partition:
+  /** The sender recently detected an unreachable zone, a member's death or a healed partition:
    * another owner may exist there. */
   bool mayHaveRivals = false;
 
@@ -253,7 +253,8 @@
 struct HostLoad {
   HostId host;
   uint32_t flows = 0;
-  /** Load reported by the host, percent; 255: not probed by the sender. */
+  /** Load reported by the host, percent; 255: the sender has no load report of the host, because it
+   * does not probe it or the host reports none. */
   uint8_t reportedLoad = 255;
   bool healthy = true;
 
--- a/source/common/packet/packet_format.h
+++ b/source/common/packet/packet_format.h
@@ -3,7 +3,7 @@
  *
  * The default is a complete IPv4 packet, forwarded unchanged (GUE variant 1). A format may carry a
  * flow token, 32 bits that both ends of a flow echo in their own packets. With it, any node can
- * determine a flow's host without flow state (flow/token_director.h).
+ * determine a flow's host without flow state (token/token_director.h).
  */
 #pragma once
 
--- a/source/common/platform/reader_candidacy.h
+++ b/source/common/platform/reader_candidacy.h
@@ -18,7 +18,8 @@
 /** Candidates per region and slot. */
 constexpr uint8_t kCandidatesPerRegion = 3;
 
-/** This node's rank among the region's candidates, by slot; nothing where it is not a candidate. */
+/** This node's rank among the region's candidates, by slot; nothing for slots for which it is not a
+ * candidate. */
 using ReaderRanks = std::array<std::optional<uint8_t>, kReaderSlots>;
 
 /**
--- a/source/common/platform/reader_roster.cc
+++ b/source/common/platform/reader_roster.cc
@@ -32,8 +32,8 @@
     }
   }
   candidates_.clear();
-  readersAhead_.clear();
-  standInStep_ = 0;
+  higherRankedReaders_.clear();
+  fallbackStep_ = 0;
   readsItself_ = ranked.size() < options_.minZoneNodes;
   if (readsItself_) {
     return;
@@ -44,10 +44,10 @@
   const size_t readers = (ranked.size() + options_.nodesPerReader - 1) / options_.nodesPerReader;
   readsItself_ = self < readers;
   if (readsItself_) {
-    readersAhead_.assign(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(self));
+    higherRankedReaders_.assign(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(self));
     return;
   }
-  standInStep_ = static_cast<uint32_t>(std::bit_width(self / readers)) - 1;
+  fallbackStep_ = static_cast<uint32_t>(std::bit_width(self / readers)) - 1;
   const size_t first = hashBytes(self_.name) % readers;
   std::rotate(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(first),
               ranked.begin() + static_cast<std::ptrdiff_t>(readers));
--- a/source/common/platform/reader_roster.h
+++ b/source/common/platform/reader_roster.h
@@ -56,22 +56,22 @@
    * @return the readers ranked before this one, which a reader without data polls: one list of the
    * store is enough for all readers of a zone.
    */
-  const std::vector<RosterNode>& higherRankedReaders() const { return readersAhead_; }
+  const std::vector<RosterNode>& higherRankedReaders() const { return higherRankedReaders_; }
   /**
    * @return the step at which this node lists the store itself if no reader supplies data: 0 for
    * the readers and for as many nodes ranked after them, 1 for twice as many, 2 for four times as
    * many. The number of nodes of a zone that list the store thus doubles with each step, and they
    * never all list at once.
    */
-  uint32_t fallbackStep() const { return standInStep_; }
+  uint32_t fallbackStep() const { return fallbackStep_; }
 
  private:
   const RosterNode self_;
   const RosterOptions options_;
   bool readsItself_ = true;
   std::vector<RosterNode> candidates_;
-  std::vector<RosterNode> readersAhead_;
-  uint32_t standInStep_ = 0;
+  std::vector<RosterNode> higherRankedReaders_;
+  uint32_t fallbackStep_ = 0;
 };
 
 }  // namespace umberhold
--- a/source/common/platform/reader_worker.h
+++ b/source/common/platform/reader_worker.h
@@ -74,7 +74,7 @@
   uint64_t unreadable = 0;
   uint64_t storeFailures = 0;
   uint64_t leasesTaken = 0;
-  /** Slot held after the last step. */
+  /** Slot whose lease the worker held after its last step. */
   std::optional<uint8_t> slot;
 };
 
--- a/source/common/platform/store_liveness.h
+++ b/source/common/platform/store_liveness.h
@@ -3,8 +3,8 @@
  *
  * A pending watch receives nothing for many seconds, both when nothing changes and when its answer
  * is lost: a store that becomes unresponsive keeps its connections open and never answers the
- * requests that it received meanwhile. Small probes at a short interval detect this; once they are
- * answered again, every pending call must be repeated. Pure decision logic without I/O.
+ * requests that it received in that time. Small probes at a short interval detect this; once they
+ * are answered again, every pending call must be repeated. Pure decision logic without I/O.
  */
 #pragma once
 
--- a/source/common/shard/takeover.cc
+++ b/source/common/shard/takeover.cc
@@ -168,11 +168,11 @@
   if (!isPassedOn || now - startedAt_ >= timeout || start_.view.isDead(holder)) {
     return false;
   }
-  const Candidate* asked = find(holder);
-  if (asked == nullptr || !asked->answered) {
-    return asked == nullptr || !start_.view.isReachable(holder);
+  const Candidate* queried = find(holder);
+  if (queried == nullptr || !queried->answered) {
+    return queried == nullptr || !start_.view.isReachable(holder);
   }
-  return asked->reply.role == HeldRole::kStillOwner && !asked->failed;
+  return queried->reply.role == HeldRole::kStillOwner && !queried->failed;
 }
 
 bool Takeover::isUsable(TimePoint now, const Candidate& candidate) const {
--- a/source/common/spread/config_spread.h
+++ b/source/common/spread/config_spread.h
@@ -3,8 +3,10 @@
  *
  * New records are disseminated as rumors (push with a fan-out, as in Demers et al., 1987).
  * Anti-entropy by comparison of digests repairs what the rumors missed, transfers the records to
- * starting nodes, and connects regions through their contacts. Both carry a completeness claim: a
- * node with the same total as a node at an effective version holds every change up to that version.
+ * starting nodes, and connects regions through their contacts. Both carry a
+ * CompletenessClaim: the digest of all records of a node ("total") and the store version up to
+ * which they are complete. Any node whose records have the same digest is complete up to that
+ * version.
  */
 #pragma once
 
--- a/source/common/token/cold_hosts.h
+++ b/source/common/token/cold_hosts.h
@@ -29,7 +29,7 @@
   bool operator==(const ColdHostOptions&) const = default;
 };
 
-/** Number of nodes that may send to a host, as far as this node knows. */
+/** Number of nodes that may send to a host, according to this node's member list. */
 struct SendingNodes {
   /** Nodes in this node's zone, including this node. */
   uint32_t nodesInZone = 1;
--- a/source/common/token/dead_host_flows.h
+++ b/source/common/token/dead_host_flows.h
@@ -38,8 +38,8 @@
   /**
    * Handles the restart of a host under the same token. Flows that were last seen before the
    * restart are reset. Flows seen later reached the restarted host, which itself resets flows that
-   * it does not know.
-   * @param born start time of the new process by this node's clock.
+   * it does not hold.
+   * @param startedAt start time of the new process by this node's clock.
    */
   void onRestarted(TimePoint now, uint32_t token, TimePoint startedAt);
   /**
--- a/source/common/token/flow_progress.h
+++ b/source/common/token/flow_progress.h
@@ -31,7 +31,7 @@
 
 /**
  * Tracks the oldest unacknowledged data of the most recently seen flows. The state of a flow that
- * is evicted starts anew with its next packet. Not thread safe.
+ * is evicted starts again with its next packet. Not thread safe.
  */
 class FlowProgress {
  public:
--- a/source/common/token/token_director.cc
+++ b/source/common/token/token_director.cc
@@ -463,11 +463,11 @@
 }
 
 void TokenDirector::applySlowHosts(TimePoint now, const std::vector<SlowHost>& slowHosts) {
-  for (const SlowHost& standing : slowHosts) {
-    TokenHost* host = hosts_.find(standing.token);
-    const TimePoint at = now - std::chrono::milliseconds(standing.ageMilliseconds);
+  for (const SlowHost& slowHost : slowHosts) {
+    TokenHost* host = hosts_.find(slowHost.token);
+    const TimePoint at = now - std::chrono::milliseconds(slowHost.ageMilliseconds);
     if (host != nullptr && host->isCurrentGenerationAt(at)) {
-      host->estimate.onShared(at, standing.percentOfUsual / kPercent);
+      host->estimate.onShared(at, slowHost.percentOfUsual / kPercent);
     }
   }
 }
--- a/source/common/token/token_director.h
+++ b/source/common/token/token_director.h
@@ -137,7 +137,7 @@
   std::vector<HostSlownessChange> takeSlownessChanges() { return placement_.takeSlownessChanges(); }
   /** @return this node's own samples since the last call. */
   std::vector<HostSample> takeSamples() { return std::exchange(samples_, {}); }
-  /** Applies the response time scores on which the nodes of the zone agree. */
+  /** Applies the response time scores that the nodes of the zone have computed together. */
   void applySlowHosts(TimePoint now, const std::vector<SlowHost>& slowHosts);
   /** Applies the host speeds that the nodes of the zone have estimated together. */
   void applySpeeds(TimePoint now, const std::vector<LearnedSpeed>& speeds);
@@ -308,7 +308,7 @@
   FlowPlacement placement_;
   OpeningWatch openings_;
   Admission admission_;
-  /** Packets held for hosts that this node does not know yet. */
+  /** Packets held for hosts that this node has not received yet. */
   HeldPackets heldForHost_;
   /** Held packets whose hosts have become known. */
   std::vector<std::string> released_;
--- a/source/common/wire/codec.h
+++ b/source/common/wire/codec.h
@@ -3,7 +3,8 @@
  *
  * A struct is encoded as the array of its fields in the order of visitFields; a message as
  * [number, fields...], where the number is the index in MessageBody. A decoder ignores fields that
- * a newer version has appended to a struct and rejects a struct with missing fields. To add an
+ * a newer version has appended to a struct. It rejects a struct with missing fields, except for the
+ * last kOptionalFields ones of structs that define this constant. To add an
  * object type, add two functions to codec.cc that use encodeStruct and decodeStruct. Services and
  * policies are compressed if that makes them shorter (wire/payload_compression.h).
  */
--- a/source/common/wire/payload_compression.h
+++ b/source/common/wire/payload_compression.h
@@ -22,7 +22,7 @@
 
 /** Trade-off between processor time and size. */
 enum class CompressionEffort : uint8_t {
-  /** For data that is encoded anew after each change and sent to a few nearby nodes. */
+  /** For data that is encoded again after each change and sent to a few nearby nodes. */
   kFast,
   /** For data that every node stores and sends. */
   kBest,
--- a/test/common/health/host_observations_test.cc
+++ b/test/common/health/host_observations_test.cc
@@ -103,29 +103,29 @@
 }
 
 TEST(HostObservations, ReportContainsMeansOfABoundedNumberOfHosts) {
-  SampleCollector gatherer(5);
-  gatherer.add({{kSlowHost, 2.0}, {kSlowHost, 1000.0}, {kUsualHost, 1.0}});
-  const HostReport report = gatherer.takeReport(now);
+  SampleCollector collector(5);
+  collector.add({{kSlowHost, 2.0}, {kSlowHost, 1000.0}, {kUsualHost, 1.0}});
+  const HostReport report = collector.takeReport(now);
   LONGS_EQUAL(5, report.reporter);
   LONGS_EQUAL(2, report.hosts.size());
   for (const HostObservation& seen : report.hosts) {
     LONGS_EQUAL(seen.token == kSlowHost ? 350 : 100, seen.percentOfUsual);
     LONGS_EQUAL(seen.token == kSlowHost ? 2 : 1, seen.requests);
   }
-  CHECK_TRUE(gatherer.takeReport(now).hosts.empty());
+  CHECK_TRUE(collector.takeReport(now).hosts.empty());
   std::vector<HostSample> many;
   for (uint32_t token = 1; token <= 1000; ++token) {
     many.push_back({token, 1.0});
   }
-  gatherer.add(many);
-  LONGS_EQUAL(kMaxReportedHosts, gatherer.takeReport(now).hosts.size());
+  collector.add(many);
+  LONGS_EQUAL(kMaxReportedHosts, collector.takeReport(now).hosts.size());
 }
 
 TEST(HostObservations, ReportContainsProcessingTimesOfUnqueuedRequests) {
-  SampleCollector gatherer(5);
-  gatherer.add({{kSlowHost, 2.0, 1.0}, {kSlowHost, 2.0, 4.0}, {kSlowHost, 9.0, std::nullopt}});
-  gatherer.add({{kUsualHost, 1.0, std::nullopt}});
-  for (const HostObservation& seen : gatherer.takeReport(now).hosts) {
+  SampleCollector collector(5);
+  collector.add({{kSlowHost, 2.0, 1.0}, {kSlowHost, 2.0, 4.0}, {kSlowHost, 9.0, std::nullopt}});
+  collector.add({{kUsualHost, 1.0, std::nullopt}});
+  for (const HostObservation& seen : collector.takeReport(now).hosts) {
     LONGS_EQUAL(seen.token == kSlowHost ? 200 : 0, seen.workPercent);
   }
   CHECK_TRUE(zone.merge(now, {1, 1, {{kSlowHost, 1, 100, 401}}, {}}) == ReportOutcome::kInvalid);
@@ -143,7 +143,7 @@
   CHECK_TRUE(speeds[0].percentOfUsual < 60);
 }
 
-TEST(HostObservations, SpeedsFitIntoTheSpaceLeftByStandings) {
+TEST(HostObservations, SpeedsFitIntoTheSpaceLeftBySlowHosts) {
   LONGS_EQUAL(kMaxLearnedSpeeds, maxSpeedsBeside(0));
   LONGS_EQUAL(12, maxSpeedsBeside(kMaxSlowHosts - 10));
   LONGS_EQUAL(0, maxSpeedsBeside(kMaxSlowHosts));
@@ -172,13 +172,13 @@
   exchange.merge(now, valueOf(encoded));
   CHECK_TRUE(exchange.zoneUpdate(now).slowHosts.empty());
   exchange.add(now, {{kSlowHost, 5.0}}, {});
-  const auto news = exchange.takeUpdate();
-  CHECK_TRUE(news.has_value());
-  LONGS_EQUAL(1, news->slowHosts.size());
+  const auto update = exchange.takeUpdate();
+  CHECK_TRUE(update.has_value());
+  LONGS_EQUAL(1, update->slowHosts.size());
   CHECK_FALSE(exchange.takeUpdate().has_value());
 }
 
-TEST(HostObservations, RejectsAReportWithTooManySigns) {
+TEST(HostObservations, RejectsAReportOnTheLivenessOfTooManyHosts) {
   HostReport tooLong{1, 1, {}, {}};
   tooLong.livenessReports.resize(kMaxLivenessReports + 1);
   CHECK_TRUE(zone.merge(now, tooLong) == ReportOutcome::kInvalid);
@@ -201,10 +201,10 @@
   exchange.merge(now, valueOf(encodeHostReport(other)));
   CHECK_TRUE(exchange.zoneUpdate(now).silentHosts.empty());
   exchange.add(now, {}, {{kSlowHost, std::nullopt, 1, {12}, now - milliseconds(300), now}});
-  const auto news = exchange.takeUpdate();
-  CHECK_TRUE(news.has_value());
-  LONGS_EQUAL(1, news->silentHosts.size());
-  LONGS_EQUAL(600, news->silentHosts[0].silentMilliseconds);
+  const auto update = exchange.takeUpdate();
+  CHECK_TRUE(update.has_value());
+  LONGS_EQUAL(1, update->silentHosts.size());
+  LONGS_EQUAL(600, update->silentHosts[0].silentMilliseconds);
 }
 
 TEST(HostObservations, MalformedReportIsCountedAndIgnored) {
--- a/test/common/health/zone_silence_test.cc
+++ b/test/common/health/zone_silence_test.cc
@@ -121,25 +121,25 @@
 }
 
 TEST(ZoneSilence, CollectorRepeatsSilentHostsFirstAndReportsAnswersOnce) {
-  AckStateCollector gatherer;
+  AckStateCollector collector;
   std::vector<HostAckState> states;
   for (uint32_t token = 1; token <= 2 * kMaxLivenessReports; ++token) {
     states.push_back({token, now, 0, {}, {}, {}});
   }
   states.push_back({5000, std::nullopt, 2, {11, 12}, now - milliseconds(400), now});
-  gatherer.add(states);
+  collector.add(states);
   now += milliseconds(100);
-  const auto first = gatherer.take(now);
+  const auto first = collector.take(now);
   LONGS_EQUAL(kMaxLivenessReports, first.size());
   LONGS_EQUAL(5000, first[0].token);
   LONGS_EQUAL(500, first[0].silentMilliseconds);
   LONGS_EQUAL(kNeverAnswered, first[0].answeredAgoMilliseconds);
   LONGS_EQUAL(2, first[0].callers.size());
   LONGS_EQUAL(100, first[1].answeredAgoMilliseconds);
-  LONGS_EQUAL(1, gatherer.take(now).size());
+  LONGS_EQUAL(1, collector.take(now).size());
   now += seconds(4);
-  gatherer.take(now);  // The last retransmission is too old to be reported again.
-  CHECK_TRUE(gatherer.take(now).empty());
+  collector.take(now);  // The last retransmission is too old to be reported again.
+  CHECK_TRUE(collector.take(now).empty());
 }
 
 }  // namespace umberhold
--- a/test/common/token/host_lives_test.cc
+++ b/test/common/token/host_lives_test.cc
@@ -209,7 +209,7 @@
   LONGS_EQUAL(1, director.speeds(now + seconds(41)).known);
 }
 
-TEST(HostRestart, IgnoresStandingsFromBeforeTheRestart) {
+TEST(HostRestart, IgnoresSharedScoresFromBeforeTheRestart) {
   TokenHosts hosts{seconds(60)};
   hosts.setWallClock({now, unixNow()});
   hosts.setPool(now, {"dispatch", {makeHost(1, unixNow() - 300)}}, 1);
--- a/test/common/token/living_hosts_property.cc
+++ b/test/common/token/living_hosts_property.cc
@@ -105,7 +105,8 @@
    */
   void partitionNode(uint32_t node) { partitionedNode_ = node; }
   /**
-   * Pauses all hosts for a while; afterwards they answer everything that they received meanwhile.
+   * Pauses all hosts for a while; afterwards they answer everything that they received in that
+   * time.
    */
   void pauseHosts(milliseconds length) { pausedUntil_ = now_ + length; }
   /** Packet loss per thousand in each direction. */
--- a/test/common/token/token_director_test.cc
+++ b/test/common/token/token_director_test.cc
@@ -521,7 +521,7 @@
 }
 
 /**
- * A host that is down resets its callers directly, so a node only sees that they never continue.
+ * A host that is down resets its callers directly; the node only observes that they never continue.
  */
 TEST(TokenDirector, SkipsAHostWhoseCallersNeverContinue) {
   director.setPool(now, {"dispatch", {makeHost(1), makeHost(2), makeHost(3)}});
--- a/test/common/token/token_director_waiting_test.cc
+++ b/test/common/token/token_director_waiting_test.cc
@@ -192,7 +192,7 @@
   }
 }
 
-/** A node that started during an outage of the store learns of live hosts only later. */
+/** A node that started during an outage of the store receives the entries of live hosts later. */
 TEST(TokenDirectorWaiting, HoldsPacketsForAnUnknownHost) {
   FlowPacket early = packet(kUsual, 500, PacketPhase::kContinuing);
   early.token = flowTokenOf(3);
