--- a/source/common/placement/host_load_table.cc
+++ b/source/common/placement/host_load_table.cc
@@ -150,7 +150,7 @@
   othersDirty_ = true;
 }
 
-void HostLoadTable::forgetInherited(uint16_t shard) {
+void HostLoadTable::removeInherited(uint16_t shard) {
   const auto found = own_.find(shard);
   if (found == own_.end()) {
     return;
--- a/source/common/placement/host_load_table.h
+++ b/source/common/placement/host_load_table.h
@@ -64,7 +64,7 @@
   void removeOwnShard(TimePoint now, uint16_t shard);
   bool ownsShard(uint16_t shard) const { return own_.contains(shard); }
   /** Removes inherited flows that have not been seen. */
-  void forgetInherited(uint16_t shard);
+  void removeInherited(uint16_t shard);
 
   /** Counts a flow; an adopted flow is subtracted from the inherited count. The shard must be
    * owned. */
--- a/source/common/placement/service_placement.cc
+++ b/source/common/placement/service_placement.cc
@@ -81,7 +81,7 @@
 }
 
 void ServicePlacement::markFlowsComplete(ShardId shard) {
-  parts_->loads.forgetInherited(shard.index);
+  parts_->loads.removeInherited(shard.index);
 }
 
 void ServicePlacement::flowAdded(ShardId shard, HostId host, FlowOrigin origin) {
--- a/source/common/shard/local_shard.cc
+++ b/source/common/shard/local_shard.cc
@@ -185,7 +185,7 @@
   }
   markExceptions(now);
   for (const FlowHash& flow : content.refused) {
-    refused_.remember(now, flow);
+    refused_.record(now, flow);
   }
   knowsAllFlows_ = direct && content.knowsAllFlows;
   oldFlows_.reset();
--- a/source/common/shard/local_shard.h
+++ b/source/common/shard/local_shard.h
@@ -102,7 +102,7 @@
   /** After a change of the service: sends the replica all flows from before it without delay. */
   void flushKnownFlows() { knownFlows_.requestFlush(); }
   /** Handles the removal of an entry of this shard from the flow table. */
-  void onFlowForgotten(TimePoint now, const FlowEntry& entry);
+  void onFlowRemoved(TimePoint now, const FlowEntry& entry);
 
   ShardRole role() const { return role_; }
   uint32_t epoch() const { return epoch_; }
--- a/source/common/shard/local_shard_packets.cc
+++ b/source/common/shard/local_shard_packets.cc
@@ -117,10 +117,10 @@
 
 void LocalShard::dropEntry(TimePoint now, const FlowEntry& entry) {
   context_.flows.erase(flowSlot_, entry.flow);
-  onFlowForgotten(now, entry);
+  onFlowRemoved(now, entry);
 }
 
-void LocalShard::onFlowForgotten(TimePoint now, const FlowEntry& entry) {
+void LocalShard::onFlowRemoved(TimePoint now, const FlowEntry& entry) {
   if (role_ != ShardRole::kOwner) {
     return;
   }
@@ -265,7 +265,7 @@
 
 FlowDecision LocalShard::refuse(TimePoint now, const FlowPacket& packet) {
   // If another owner may have forwarded the flow, a refusal would be incorrect.
-  if (!replicationReliable(now) || !refused_.remember(now, packet.hash)) {
+  if (!replicationReliable(now) || !refused_.record(now, packet.hash)) {
     return DropPacket{DropReason::kNoHost};
   }
   ++context_.counters.refusals;
--- a/source/common/shard/refusal_memory.cc
+++ b/source/common/shard/refusal_memory.cc
@@ -2,7 +2,7 @@
 
 namespace umberhold {
 
-bool RefusalMemory::remember(TimePoint now, FlowHash flow) {
+bool RefusalMemory::record(TimePoint now, FlowHash flow) {
   if (flows_.contains(flow)) {
     return true;
   }
--- a/source/common/shard/refusal_memory.h
+++ b/source/common/shard/refusal_memory.h
@@ -19,7 +19,7 @@
   static constexpr size_t kCapacity = 65536;
 
   /** @return false if the set is full; then no refusal may be sent. */
-  bool remember(TimePoint now, FlowHash flow);
+  bool record(TimePoint now, FlowHash flow);
   bool contains(FlowHash flow) const { return flows_.contains(flow); }
   /** Removes flows that are older than kLifetime. */
   void expire(TimePoint now);
--- a/source/common/shard/replica_copy.cc
+++ b/source/common/shard/replica_copy.cc
@@ -42,7 +42,7 @@
     pinned_.erase(flow);
   }
   for (const FlowHash& flow : batch.refused) {
-    refused_.remember(now, flow);
+    refused_.record(now, flow);
   }
   nextSequence_ = batch.sequence + count;
   outdated_ = false;
@@ -92,7 +92,7 @@
   }
   refused_.clear();
   for (const FlowHash& flow : content.refused) {
-    refused_.remember(now, flow);
+    refused_.record(now, flow);
   }
   synchronised_ = true;
   outdated_ = false;
--- a/source/common/shard/shard_director.cc
+++ b/source/common/shard/shard_director.cc
@@ -355,7 +355,7 @@
                                   RemovalCause /*cause*/) {
   for (auto& [id, shard] : shards_) {
     if (shard->flowSlot() == shardSlot) {
-      shard->onFlowForgotten(now_, entry);
+      shard->onFlowRemoved(now_, entry);
       return;
     }
   }
--- a/source/common/spread/coverage.cc
+++ b/source/common/spread/coverage.cc
@@ -107,7 +107,7 @@
   refreshTree();
   report(now);
   if (now < queryUntil_ && now >= nextQuery_) {
-    askRoot(now);
+    queryRoot(now);
   }
 }
 
@@ -139,7 +139,7 @@
   }
 }
 
-void Coverage::askRoot(TimePoint now) {
+void Coverage::queryRoot(TimePoint now) {
   nextQuery_ = now + options_.queryPeriod;
   if (isRoot_) {
     summary_ = allRegions(now);
--- a/source/common/spread/coverage.h
+++ b/source/common/spread/coverage.h
@@ -72,7 +72,7 @@
   std::vector<CoverageReport> allRegions(TimePoint now);
   void report(TimePoint now);
   bool isChild(NodeId node) const;
-  void askRoot(TimePoint now);
+  void queryRoot(TimePoint now);
 
   CoverageOptions options_;
   const MembershipView& view_;
--- a/source/common/spread/record_store.cc
+++ b/source/common/spread/record_store.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /** Number of recent changes for which the previous total is kept. */
-constexpr size_t kRememberedChanges = 32;
+constexpr size_t kRetainedChanges = 32;
 
 uint64_t hashOf(const RecordKey& key) {
   return mixHash(hashBytes(key.name), static_cast<uint64_t>(key.kind));
@@ -65,7 +65,7 @@
   const uint64_t totalBefore = total_;
   replace(known, record, keyHash);
   trimTombstones();
-  rememberChange(totalBefore, record.key);
+  recordChange(totalBefore, record.key);
   if (record.key.kind != ObjectKind::kRegionContacts) {
     highestVersion_ = std::max(highestVersion_, record.version);
   }
@@ -137,9 +137,9 @@
   }
 }
 
-void RecordStore::rememberChange(uint64_t totalBefore, const RecordKey& key) {
+void RecordStore::recordChange(uint64_t totalBefore, const RecordKey& key) {
   changes_.push_back(Change{totalBefore, key});
-  if (changes_.size() > kRememberedChanges) {
+  if (changes_.size() > kRetainedChanges) {
     changes_.pop_front();
   }
 }
--- a/source/common/spread/record_store.h
+++ b/source/common/spread/record_store.h
@@ -118,7 +118,7 @@
   void toggleDigest(const Entry& entry);
   void trimTombstones();
   void removeEntry(uint64_t keyHash, uint64_t version);
-  void rememberChange(uint64_t totalBefore, const RecordKey& key);
+  void recordChange(uint64_t totalBefore, const RecordKey& key);
 
   std::array<Bucket, kDigestBuckets> buckets_;
   std::array<uint64_t, kDigestBuckets> digests_{};
--- a/source/common/token/opening_watch.cc
+++ b/source/common/token/opening_watch.cc
@@ -44,7 +44,7 @@
   return true;
 }
 
-void OpeningWatch::forgetHost(uint32_t token) {
+void OpeningWatch::discardHost(uint32_t token) {
   for (Entry& entry : entries_) {
     if (entry.token == token) {
       entry = {};
--- a/source/common/token/opening_watch.h
+++ b/source/common/token/opening_watch.h
@@ -52,7 +52,7 @@
    * Discards the openings of a host that has restarted; they are no evidence about its new
    * generation.
    */
-  void forgetHost(uint32_t token);
+  void discardHost(uint32_t token);
   /**
    * Called when all packets that had arrived are handled.
    * @return tokens of hosts with an opening that its caller did not continue; each opening is
--- a/source/common/token/recent_flows.cc
+++ b/source/common/token/recent_flows.cc
@@ -4,7 +4,7 @@
 
 namespace umberhold {
 
-void RecentFlows::forget(Entries::iterator entry) {
+void RecentFlows::remove(Entries::iterator entry) {
   byHash_.erase(entry->hash);
   entries_.erase(entry);
 }
@@ -15,7 +15,7 @@
     entries_.splice(entries_.end(), entries_, known->second);
   } else {
     if (entries_.size() >= kCapacity) {
-      forget(entries_.begin());
+      remove(entries_.begin());
     }
     entries_.push_back({packet.hash, {}, {}});
     byHash_[packet.hash] = std::prev(entries_.end());
@@ -27,7 +27,7 @@
   if (packet.phase != PacketPhase::kContinuing) {
     const auto known = byHash_.find(packet.hash);
     if (known != byHash_.end()) {
-      forget(known->second);
+      remove(known->second);
     }
     return;
   }
--- a/source/common/token/recent_flows.h
+++ b/source/common/token/recent_flows.h
@@ -57,7 +57,7 @@
       const auto next = std::next(entry);
       if (entry->at >= oldest && entry->at < end && isWanted(entry->flow)) {
         taken.push_back(entry->flow);
-        forget(entry);
+        remove(entry);
       }
       entry = next;
     }
@@ -74,7 +74,7 @@
   };
   using Entries = std::list<Entry>;
 
-  void forget(Entries::iterator entry);
+  void remove(Entries::iterator entry);
   /** @return the entry of the flow, created if necessary, moved to the most recent position. */
   Entry& latest(const FlowPacket& packet);
 
--- a/source/common/token/request_timer.cc
+++ b/source/common/token/request_timer.cc
@@ -69,7 +69,7 @@
   return isMeasured ? std::optional(now - entry.beganAt) : std::nullopt;
 }
 
-void RequestTimer::forgetHost(uint32_t token) {
+void RequestTimer::discardHost(uint32_t token) {
   for (Entry& entry : entries_) {
     if (entry.token == token) {
       entry.requestInFlight = false;
--- a/source/common/token/request_timer.h
+++ b/source/common/token/request_timer.h
@@ -52,7 +52,7 @@
    * Discards the requests in flight to a host that has restarted; they are lost and their times are
    * meaningless.
    */
-  void forgetHost(uint32_t token);
+  void discardHost(uint32_t token);
   /**
    * Called when all packets that had arrived are handled.
    * @return requests that became overdue; each is reported once.
--- a/source/common/token/token_director.cc
+++ b/source/common/token/token_director.cc
@@ -97,8 +97,8 @@
 
 void TokenDirector::handleRestart(TimePoint now, uint32_t token,
                                   std::optional<TimePoint> startedAt) {
-  openings_.forgetHost(token);
-  timer_.forgetHost(token);
+  openings_.discardHost(token);
+  timer_.discardHost(token);
   if (startedAt) {
     deadHostFlows_.onRestarted(now, token, *startedAt);
   }
--- a/test/common/placement/host_load_table_test.cc
+++ b/test/common/placement/host_load_table_test.cc
@@ -69,7 +69,7 @@
   table.flowAdded(1, kFirst, false);
   CHECK_EQUAL(4, table.shardFlows(1, 0));
   table.flowRemoved(1, kFirst);
-  table.forgetInherited(1);
+  table.removeInherited(1);
   CHECK_EQUAL(1, table.shardFlows(1, 0));
   DOUBLES_EQUAL(1.0, table.estimate(kStart)[0], 1e-9);
 }
--- a/test/common/spread/config_spread_test.cc
+++ b/test/common/spread/config_spread_test.cc
@@ -217,19 +217,19 @@
   request.keys.resize(4);
   const DigestRequest fromStartingNode{{12345, 0}, true, kAllGroups, {}};
   const DigestRequest fromCaughtUpNode{{12345, 0}, false, kAllGroups, {}};
-  const auto ask = [&](const auto& message) {
+  const auto query = [&](const auto& message) {
     answers = 0;
     node.spread.handle(network.now(), late.controlEndpoint(), late.id, message);
     network.advanceTo(network.now() + seconds(1));
     return answers;
   };
-  CHECK_TRUE(ask(request) > 0);
-  CHECK_TRUE(ask(fromStartingNode) >
+  CHECK_TRUE(query(request) > 0);
+  CHECK_TRUE(query(fromStartingNode) >
              0);  // Not caught up itself, so starting nodes are not limited.
   node.spread.setStoreListed();
-  CHECK_EQUAL(0, ask(fromStartingNode));
-  CHECK_TRUE(ask(fromCaughtUpNode) > 0);
-  CHECK_TRUE(ask(request) > 0);
+  CHECK_EQUAL(0, query(fromStartingNode));
+  CHECK_TRUE(query(fromCaughtUpNode) > 0);
+  CHECK_TRUE(query(request) > 0);
 }
 
 TEST(ConfigSpread, KeepsListedContactsAndReplacesUnlistedOnes) {
@@ -378,15 +378,15 @@
     request.keys.push_back(record.key);
   }
   node.spread.setStoreListed();
-  const auto ask = [&](const Member& peer, const auto& message) {
+  const auto query = [&](const Member& peer, const auto& message) {
     answers = 0;
     node.spread.handle(network.now(), peer.controlEndpoint(), peer.id, message);
     network.advanceTo(network.now() + seconds(1));
     return answers;
   };
-  CHECK_TRUE(ask(foreign, request) > 0);
+  CHECK_TRUE(query(foreign, request) > 0);
   const DigestRequest fromStartingNode{{12345, 0}, true, kAllGroups, {}};
-  CHECK_TRUE(ask(late, fromStartingNode) > 0);
+  CHECK_TRUE(query(late, fromStartingNode) > 0);
 }
 
 TEST(ConfigSpread, StartingContactFetchesFromItsOwnRegion) {
