--- a/source/common/base/byte_budget.h
+++ b/source/common/base/byte_budget.h
@@ -34,7 +34,7 @@
     tokens_ -= bytes;
   }
 
-  /** @return whether at least half of the burst is left. */
+  /** @return whether at least half of the burst is left, so that callers need not save bytes. */
   bool isAtLeastHalfFull(TimePoint now) {
     refill(now);
     return tokens_ >= options_.burstBytes / 2;
--- a/source/common/placement/host_load_table.h
+++ b/source/common/placement/host_load_table.h
@@ -96,7 +96,7 @@
   struct OwnShard {
     std::vector<uint32_t> known;
     std::vector<uint32_t> inherited;
-    /** known + inherited. */
+    /** Sum of `known` and `inherited`. */
     std::vector<uint32_t> flows;
   };
   struct OtherShard {
--- a/source/common/shard/known_flows.h
+++ b/source/common/shard/known_flows.h
@@ -52,7 +52,8 @@
   /** Maximum number of flows that are added to a datagram of the replication log. */
   static constexpr size_t kMaxPiggybackedFlows = 50;
   /**
-   * Ended flows remain listed; the list is renewed when it exceeds twice the live flows by this.
+   * Ended flows remain listed. The list is renewed once its length exceeds twice the number of live
+   * flows plus this number.
    */
   static constexpr size_t kMaxEndedFlows = 4096;
 
--- a/source/common/token/host_estimate.h
+++ b/source/common/token/host_estimate.h
@@ -51,7 +51,7 @@
   void onResponse(TimePoint now, double ratio) { responses_.add(now, ratio); }
 
   /**
-   * Sets the score on which the nodes of the zone agree.
+   * Sets the score that the nodes of the zone have computed together.
    * @param score a multiple of the usual response time as of `at`.
    */
   void onShared(TimePoint at, double score) { shared_.set(at, score); }
--- a/test/common/platform/reader_roster_test.cc
+++ b/test/common/platform/reader_roster_test.cc
@@ -114,7 +114,7 @@
   }
 }
 
-TEST(ReaderRoster, ReadersKnowHigherRankedReaders) {
+TEST(ReaderRoster, ReaderReturnsHigherRankedReaders) {
   const auto all = nodes(100);
   std::set<size_t> counts;
   for (const RosterNode& self : all) {
