--- a/source/common/flow/drop_reason.h
+++ b/source/common/flow/drop_reason.h
@@ -19,7 +19,7 @@
   kNotReady,
   /** To this node's knowledge, no live node owns the shard. */
   kNoOwner,
-  /** The packet was relayed more than kRelayLimit times. */
+  /** The time to live of a packet to be relayed has expired, most likely in a relay loop. */
   kRelayLoop,
   /** No host of the service may take the flow, and a refusal isn't safe because its request may
      already have been executed. */
