--- a/source/common/server/token_node.cc
+++ b/source/common/server/token_node.cc
@@ -160,7 +160,7 @@
     const TimePoint now = steadyNow();
     hooks.observations->add(now, director.takeSamples(), director.takeAckStates());
     if (const auto update = hooks.observations->takeUpdate()) {
-      director.applyStandings(now, update->standings);
+      director.applySlowHosts(now, update->slowHosts);
       director.applySilentHosts(now, update->silentHosts);
       director.applySpeeds(now, update->speeds);
     }
--- a/source/common/shard/local_shard.h
+++ b/source/common/shard/local_shard.h
@@ -102,7 +102,7 @@
   /** After a change of the service: sends the replica all flows from before it without delay. */
   void flushKnownFlows() { knownFlows_.requestFlush(); }
   /** Handles the removal of an entry of this shard from the flow table. */
-  void onFlowForgotten(TimePoint now, const FlowEntry& entry);
+  void onFlowRemoved(TimePoint now, const FlowEntry& entry);
 
   ShardRole role() const { return role_; }
   uint32_t epoch() const { return epoch_; }
@@ -168,7 +168,8 @@
   FlowDecision placeNew(TimePoint now, const FlowPacket& packet, std::string_view bytes);
   FlowDecision placeAtBase(TimePoint now, const FlowPacket& packet, std::string_view bytes);
   /**
-   * The first packet of an exception is held until the replica has the record, unless the replica
+   * The first packet of an exception (a flow whose host differs from the one in the base table) is
+   * held until the replica has the record, unless the replica
    * has acknowledged something recently: see UnacknowledgedFlows.
    */
   FlowDecision accept(TimePoint now, const FlowPacket& packet, std::string_view bytes, HostId host);
--- a/source/common/shard/shard_context.h
+++ b/source/common/shard/shard_context.h
@@ -80,7 +80,8 @@
   ByteBudget handoverListBudget;
   ShardCounters counters;
   UnixSeconds unixNow = 0;
-  /** Set after a pause of the process, since other nodes may own this node's shards by now. */
+  /** New flows follow the base table until this time. Set after a pause of the process, since other
+   * nodes may own this node's shards by now. */
   TimePoint baseOnlyUntil{};
   /** A whole zone is unreachable: its nodes may be alive and decide independently of this side. */
   bool zonePartitionSuspected = false;
@@ -92,7 +93,7 @@
   std::optional<TimePoint> lastHeal;
   bool leaving = false;
   /** Maximum number of recorded senders that this node's view does not contain (yet). */
-  static constexpr size_t kMaximumUnknownSenders = 1024;
+  static constexpr size_t kMaxUnknownSenders = 1024;
   std::unordered_map<NodeId, Endpoint> unknownSenders;
 
   NodeId self() const { return view.self(); }
@@ -129,7 +130,7 @@
   void recordSender(NodeId sender, const Endpoint& from) {
     if (view.find(sender) != nullptr) {
       unknownSenders.erase(sender);
-    } else if (unknownSenders.size() < kMaximumUnknownSenders) {
+    } else if (unknownSenders.size() < kMaxUnknownSenders) {
       unknownSenders[sender] = from;
     }
   }
--- a/source/common/token/token_director.cc
+++ b/source/common/token/token_director.cc
@@ -97,8 +97,8 @@
 
 void TokenDirector::handleRestart(TimePoint now, uint32_t token,
                                   std::optional<TimePoint> startedAt) {
-  openings_.forgetHost(token);
-  timer_.forgetHost(token);
+  openings_.discardHost(token);
+  timer_.discardHost(token);
   if (startedAt) {
     deadHostFlows_.onRestarted(now, token, *startedAt);
   }
@@ -462,12 +462,12 @@
   return summary;
 }
 
-void TokenDirector::applyStandings(TimePoint now, const std::vector<SlowHost>& standings) {
-  for (const SlowHost& standing : standings) {
-    TokenHost* host = hosts_.find(standing.token);
-    const TimePoint at = now - std::chrono::milliseconds(standing.ageMilliseconds);
+void TokenDirector::applySlowHosts(TimePoint now, const std::vector<SlowHost>& slowHosts) {
+  for (const SlowHost& slowHost : slowHosts) {
+    TokenHost* host = hosts_.find(slowHost.token);
+    const TimePoint at = now - std::chrono::milliseconds(slowHost.ageMilliseconds);
     if (host != nullptr && host->isCurrentGenerationAt(at)) {
-      host->estimate.onShared(at, standing.percentOfUsual / kPercent);
+      host->estimate.onShared(at, slowHost.percentOfUsual / kPercent);
     }
   }
 }
--- a/test/common/health/host_observations_test.cc
+++ b/test/common/health/host_observations_test.cc
@@ -40,11 +40,11 @@
     merge(reporter, kUsualHost, 110);
   }
   now += milliseconds(300);
-  const auto standings = zone.standings(now);
-  LONGS_EQUAL(1, standings.size());
-  LONGS_EQUAL(kSlowHost, standings[0].token);
-  LONGS_EQUAL(310, standings[0].percentOfUsual);  // (2 + 3 x 4.5) / (2 + 3)
-  LONGS_EQUAL(300, standings[0].ageMilliseconds);
+  const auto slowHosts = zone.slowHosts(now);
+  LONGS_EQUAL(1, slowHosts.size());
+  LONGS_EQUAL(kSlowHost, slowHosts[0].token);
+  LONGS_EQUAL(310, slowHosts[0].percentOfUsual);  // (2 + 3 x 4.5) / (2 + 3)
+  LONGS_EQUAL(300, slowHosts[0].ageMilliseconds);
 }
 
 TEST(HostObservations, SingleNodeEjectsNoHostHoweverOftenItReports) {
@@ -52,22 +52,22 @@
     merge(1, kSlowHost, 500);
     now += milliseconds(10);
   }
-  CHECK_TRUE(zone.standings(now).empty());
+  CHECK_TRUE(zone.slowHosts(now).empty());
 }
 
 TEST(HostObservations, SingleFaultyNodeEjectsNoHost) {
   for (uint64_t reporter = 1; reporter <= 6; ++reporter) {
     merge(reporter, kSlowHost, reporter == 1 ? 500 : 100);
   }
-  CHECK_TRUE(zone.standings(now).empty());
+  CHECK_TRUE(zone.slowHosts(now).empty());
 }
 
 TEST(HostObservations, DropsOldReports) {
   merge(1, kSlowHost, 500);
   merge(2, kSlowHost, 500);
-  LONGS_EQUAL(1, zone.standings(now).size());
+  LONGS_EQUAL(1, zone.slowHosts(now).size());
   now += seconds(4);
-  CHECK_TRUE(zone.standings(now).empty());
+  CHECK_TRUE(zone.slowHosts(now).empty());
 }
 
 TEST(HostObservations, AcceptsAReportOnceAndNoOlderOne) {
@@ -97,35 +97,35 @@
       merge(reporter, token, token == 77 ? 500 : 400);
     }
   }
-  const auto standings = zone.standings(now);
-  LONGS_EQUAL(kMaxStandings, standings.size());
-  LONGS_EQUAL(77, standings[0].token);
+  const auto slowHosts = zone.slowHosts(now);
+  LONGS_EQUAL(kMaxSlowHosts, slowHosts.size());
+  LONGS_EQUAL(77, slowHosts[0].token);
 }
 
 TEST(HostObservations, ReportContainsMeansOfABoundedNumberOfHosts) {
-  SampleCollector gatherer(5);
-  gatherer.add({{kSlowHost, 2.0}, {kSlowHost, 1000.0}, {kUsualHost, 1.0}});
-  const HostReport report = gatherer.takeReport(now);
+  SampleCollector collector(5);
+  collector.add({{kSlowHost, 2.0}, {kSlowHost, 1000.0}, {kUsualHost, 1.0}});
+  const HostReport report = collector.takeReport(now);
   LONGS_EQUAL(5, report.reporter);
   LONGS_EQUAL(2, report.hosts.size());
   for (const HostObservation& seen : report.hosts) {
     LONGS_EQUAL(seen.token == kSlowHost ? 350 : 100, seen.percentOfUsual);
     LONGS_EQUAL(seen.token == kSlowHost ? 2 : 1, seen.requests);
   }
-  CHECK_TRUE(gatherer.takeReport(now).hosts.empty());
+  CHECK_TRUE(collector.takeReport(now).hosts.empty());
   std::vector<HostSample> many;
   for (uint32_t token = 1; token <= 1000; ++token) {
     many.push_back({token, 1.0});
   }
-  gatherer.add(many);
-  LONGS_EQUAL(kMaxReportedHosts, gatherer.takeReport(now).hosts.size());
+  collector.add(many);
+  LONGS_EQUAL(kMaxReportedHosts, collector.takeReport(now).hosts.size());
 }
 
 TEST(HostObservations, ReportContainsProcessingTimesOfUnqueuedRequests) {
-  SampleCollector gatherer(5);
-  gatherer.add({{kSlowHost, 2.0, 1.0}, {kSlowHost, 2.0, 4.0}, {kSlowHost, 9.0, std::nullopt}});
-  gatherer.add({{kUsualHost, 1.0, std::nullopt}});
-  for (const HostObservation& seen : gatherer.takeReport(now).hosts) {
+  SampleCollector collector(5);
+  collector.add({{kSlowHost, 2.0, 1.0}, {kSlowHost, 2.0, 4.0}, {kSlowHost, 9.0, std::nullopt}});
+  collector.add({{kUsualHost, 1.0, std::nullopt}});
+  for (const HostObservation& seen : collector.takeReport(now).hosts) {
     LONGS_EQUAL(seen.token == kSlowHost ? 200 : 0, seen.workPercent);
   }
   CHECK_TRUE(zone.merge(now, {1, 1, {{kSlowHost, 1, 100, 401}}, {}}) == ReportOutcome::kInvalid);
@@ -143,14 +143,14 @@
   CHECK_TRUE(speeds[0].percentOfUsual < 60);
 }
 
-TEST(HostObservations, SpeedsFitIntoTheSpaceLeftByStandings) {
+TEST(HostObservations, SpeedsFitIntoTheSpaceLeftBySlowHosts) {
   LONGS_EQUAL(kMaxLearnedSpeeds, maxSpeedsBeside(0));
-  LONGS_EQUAL(12, maxSpeedsBeside(kMaxStandings - 10));
-  LONGS_EQUAL(0, maxSpeedsBeside(kMaxStandings));
-  const auto bytesOf = [](size_t standings, size_t speeds) {
+  LONGS_EQUAL(12, maxSpeedsBeside(kMaxSlowHosts - 10));
+  LONGS_EQUAL(0, maxSpeedsBeside(kMaxSlowHosts));
+  const auto bytesOf = [](size_t slowHosts, size_t speeds) {
     PeerChanges changes;
     uint64_t number = 0;  // Tokens that cannot be compressed.
-    for (size_t index = 0; index < standings; ++index) {
+    for (size_t index = 0; index < slowHosts; ++index) {
       changes.slowHosts.push_back({flowTokenOf(++number), 500, 3000});
     }
     for (size_t index = 0; index < speeds; ++index) {
@@ -158,11 +158,11 @@
     }
     return valueOf(encodePeerChanges(changes)).size();
   };
-  constexpr size_t kStandingBytes = 12;
+  constexpr size_t kSlowHostBytes = 12;
   constexpr size_t kListHeads = 4;
-  const size_t most = bytesOf(0, 0) + kListHeads + kStandingBytes * kMaxStandings;
-  for (size_t standings = 0; standings <= kMaxStandings; ++standings) {
-    CHECK_TRUE(bytesOf(standings, maxSpeedsBeside(standings)) <= most);
+  const size_t most = bytesOf(0, 0) + kListHeads + kSlowHostBytes * kMaxSlowHosts;
+  for (size_t slowHosts = 0; slowHosts <= kMaxSlowHosts; ++slowHosts) {
+    CHECK_TRUE(bytesOf(slowHosts, maxSpeedsBeside(slowHosts)) <= most);
   }
 }
 
@@ -170,17 +170,17 @@
   ObservationExchange exchange("front-1");
   const auto encoded = encodeHostReport({1, 1, {{kSlowHost, 1, 500}}, {}});
   exchange.merge(now, valueOf(encoded));
-  CHECK_TRUE(exchange.zoneUpdate(now).standings.empty());
+  CHECK_TRUE(exchange.zoneUpdate(now).slowHosts.empty());
   exchange.add(now, {{kSlowHost, 5.0}}, {});
-  const auto news = exchange.takeUpdate();
-  CHECK_TRUE(news.has_value());
-  LONGS_EQUAL(1, news->standings.size());
+  const auto update = exchange.takeUpdate();
+  CHECK_TRUE(update.has_value());
+  LONGS_EQUAL(1, update->slowHosts.size());
   CHECK_FALSE(exchange.takeUpdate().has_value());
 }
 
-TEST(HostObservations, RejectsAReportWithTooManySigns) {
+TEST(HostObservations, RejectsAReportOnTheLivenessOfTooManyHosts) {
   HostReport tooLong{1, 1, {}, {}};
-  tooLong.livenessReports.resize(kMaxReportedSigns + 1);
+  tooLong.livenessReports.resize(kMaxLivenessReports + 1);
   CHECK_TRUE(zone.merge(now, tooLong) == ReportOutcome::kInvalid);
 }
 
@@ -201,10 +201,10 @@
   exchange.merge(now, valueOf(encodeHostReport(other)));
   CHECK_TRUE(exchange.zoneUpdate(now).silentHosts.empty());
   exchange.add(now, {}, {{kSlowHost, std::nullopt, 1, {12}, now - milliseconds(300), now}});
-  const auto news = exchange.takeUpdate();
-  CHECK_TRUE(news.has_value());
-  LONGS_EQUAL(1, news->silentHosts.size());
-  LONGS_EQUAL(600, news->silentHosts[0].silentMilliseconds);
+  const auto update = exchange.takeUpdate();
+  CHECK_TRUE(update.has_value());
+  LONGS_EQUAL(1, update->silentHosts.size());
+  LONGS_EQUAL(600, update->silentHosts[0].silentMilliseconds);
 }
 
 TEST(HostObservations, MalformedReportIsCountedAndIgnored) {
@@ -212,7 +212,7 @@
   exchange.merge(now, "no report");
   exchange.merge(now, std::string(3000, '\x91'));
   LONGS_EQUAL(2, exchange.counters()[static_cast<size_t>(ReportOutcome::kMalformed)]);
-  CHECK_TRUE(exchange.zoneUpdate(now).standings.empty());
+  CHECK_TRUE(exchange.zoneUpdate(now).slowHosts.empty());
 }
 
 }  // namespace umberhold
