--- a/test/platform/store/object_store_adapter_test.cc
+++ b/test/platform/store/object_store_adapter_test.cc
@@ -9,7 +9,7 @@
 #include "common/platform/steady_now.h"
 #include "common/wire/codec.h"
 #include "common/wire/payload_compression.h"
-#include "platform/store/peer_question.h"
+#include "platform/store/peer_request.h"
 #include "platform/store/store_messages.h"
 #include "test/platform/store/standin_store.h"
 #include "test/support/without_leak_detection.h"
@@ -66,11 +66,11 @@
     made.limits.answer = answerLimit;
     made.presence.vanishedGrace = milliseconds(400);
     made.presence.outageGrace = milliseconds(400);
-    made.peerPatience = milliseconds(300);
+    made.peerTimeout = milliseconds(300);
     made.liveness.first = livenessInterval;
     made.liveness.interval = livenessInterval;
     made.liveness.intervalAfterMiss = milliseconds(20);
-    made.probePatience = milliseconds(200);
+    made.probeTimeout = milliseconds(200);
     return made;
   }
   void setHost(int index, const std::string& state = "ready") {
@@ -262,7 +262,7 @@
 
 TEST(ObjectStoreAdapter, IsUnavailableUntilThereIsAConfiguration) {
   ObjectStoreOptions impatient = options();
-  impatient.firstListPatience = milliseconds(50);
+  impatient.firstListTimeout = milliseconds(50);
   adapter = std::make_unique<ObjectStoreAdapter>(impatient);
   CHECK_TRUE(errorOf(adapter->list()).code == StoreErrorCode::kUnavailable);
   setUp(1);
@@ -364,7 +364,7 @@
   adapter = std::make_unique<ObjectStoreAdapter>(options());
   CHECK_FALSE(adapter->answerPeer(kPeerHeldPath)->available);
   CHECK_FALSE(adapter->answerPeer(kPeerConfigurationPath)->available);
-  CHECK_FALSE(adapter->answerPeer(pathOf(HostCopyQuestion{5, 0}))->available);
+  CHECK_FALSE(adapter->answerPeer(pathOf(HostCopyRequest{5, 0}))->available);
   CHECK_FALSE(adapter->answerPeer("/other").has_value());
   adapter.reset();
   setMood(test::StoreMood::kAnswering);
@@ -379,7 +379,7 @@
   }
   LONGS_EQUAL(1, held.copy.parts);
   const auto part =
-      decodeHostCopyPart(adapter->answerPeer(pathOf(HostCopyQuestion{held.copy.version, 0}))->body);
+      decodeHostCopyPart(adapter->answerPeer(pathOf(HostCopyRequest{held.copy.version, 0}))->body);
   LONGS_EQUAL(3, valueOf(part).hosts.size());
   const HostEvent& second = valueOf(part).hosts[1];
   STRCMP_EQUAL("i-2", second.host.name.c_str());
--- a/test/platform/store/peer_question_test.cc
+++ b/test/platform/store/peer_request_test.cc
@@ -1,5 +1,5 @@
 /** @file The path by which a node asks its reader, with what it saw of hosts. */
-#include "platform/store/peer_question.h"
+#include "platform/store/peer_request.h"
 
 #include "common/health/host_observations.h"
 #include "common/health/zone_silence.h"
@@ -11,19 +11,19 @@
 
 namespace umberhold::platform {
 
-TEST_GROUP(PeerQuestion){};
+TEST_GROUP(PeerRequest){};
 
-TEST(PeerQuestion, ComesBackFromItsPath) {
+TEST(PeerRequest, ComesBackFromItsPath) {
   for (const std::string& report :
        {std::string(), std::string("\0\xFF\xFE/+", 5), std::string(997, '\xFB')}) {
-    const auto parsed = parsePeerQuestion(pathOf({57, report}));
+    const auto parsed = parsePeerRequest(pathOf({57, report}));
     CHECK_TRUE(parsed.has_value());
     LONGS_EQUAL(57, parsed->since);
     CHECK_TRUE(parsed->report == report);
   }
 }
 
-TEST(PeerQuestion, FitsIntoAPathForEveryReport) {
+TEST(PeerRequest, FitsIntoAPathForEveryReport) {
   HostReport report{UINT64_MAX, UINT64_MAX, {}, {}};
   report.hosts.assign(kMaxReportedHosts, {UINT32_MAX, 1000, 500});
   const std::vector<uint32_t> callers(kMaxReportedCallers, UINT32_MAX);
@@ -34,15 +34,15 @@
   CHECK_EQUAL(std::string::npos, path.find_first_of(" ?#%\r\n+="));
 }
 
-TEST(PeerQuestion, IsNotReadFromOtherPaths) {
+TEST(PeerRequest, IsNotReadFromOtherPaths) {
   for (const char* path : {"/peers/changes/", "/peers/changes/x", "/peers/changes/5x/AAAA",
                            "/peers/configuration", "/peers/changes/99999999999999999999"}) {
-    CHECK_FALSE(parsePeerQuestion(path).has_value());
+    CHECK_FALSE(parsePeerRequest(path).has_value());
   }
 }
 
-TEST(PeerQuestion, HandsOnAReportThatIsNoBase64) {
-  const auto parsed = parsePeerQuestion("/peers/changes/5/!*!");
+TEST(PeerRequest, HandsOnAReportThatIsNoBase64) {
+  const auto parsed = parsePeerRequest("/peers/changes/5/!*!");
   CHECK_TRUE(parsed.has_value());
   LONGS_EQUAL(5, parsed->since);
   CHECK_FALSE(isOk(decodeHostReport(parsed->report)));
--- a/test/platform/store/store_copy_property.cc
+++ b/test/platform/store/store_copy_property.cc
@@ -120,7 +120,7 @@
     for (StoreObject& object : history.list(revision)) {
       copy.apply(now, std::move(object));
     }
-    copy.onLaggingHostList(revision);
+    copy.onStaleHostList(revision);
     version = revision;
   }
   void readList(TimePoint now, const History& history) {
@@ -129,7 +129,7 @@
       names.insert(object.name);
       copy.apply(now, std::move(object));
     }
-    copy.onHostList(now, version, history.revision(), names);
+    copy.onCurrentHostList(now, version, history.revision(), names);
     version = history.revision();
   }
   void watch(TimePoint now, const History& history) {
@@ -152,7 +152,7 @@
     if (!peer.copy.reaches(version)) {
       peer.prepareOffer(version);
       since = peer.offeredVersion;
-      copy.applyWhole(now, version, since, peer.offered);
+      copy.applySnapshot(now, version, since, peer.offered);
     }
     peer.copy.describeChanges(now, since, changes);
     copy.apply(now, now, version, changes);
--- a/test/platform/store/store_messages_test.cc
+++ b/test/platform/store/store_messages_test.cc
@@ -111,7 +111,8 @@
 TEST(StoreMessages, ReadsABirthWhereverTheEntrySaysItAtTheTop) {
   const auto birthIn = [](const std::string& body) {
     const auto decoded = decodePage(StoreKind::kHosts, body);
-    return std::get<RegisteredHost>(valueOf(decoded).objects.at(0).specification).bornMilliseconds;
+    return std::get<RegisteredHost>(valueOf(decoded).objects.at(0).specification)
+        .startedAtMilliseconds;
   };
   const std::string spec = kHost.substr(0, kHost.size() - 1);
   CHECK_TRUE(birthIn(page(kHost)) == 0);
--- a/test/platform/store/zone_reader_test.cc
+++ b/test/platform/store/zone_reader_test.cc
@@ -24,7 +24,7 @@
 /** A smaller zone has no reader. */
 constexpr uint32_t kFewestNodes = 6;
 /** The bound within which a change must be effective; the nodes' periods are parts of it. */
-constexpr Duration kBound = milliseconds(1500);
+constexpr Duration kChangeBound = milliseconds(1500);
 /** Objects of a page of the store's list. */
 constexpr size_t kPageSize = 100;
 /** Of the zones that start at once. */
@@ -129,7 +129,7 @@
   }
 
  private:
-  static Duration part(int percent) { return kBound * percent / 100; }
+  static Duration part(int percent) { return kChangeBound * percent / 100; }
 
   ObjectStoreOptions optionsOf(uint32_t number, const Endpoint& store) {
     ObjectStoreOptions options;
@@ -138,12 +138,12 @@
     options.seed = number;
     options.observations = &observations_;
     options.followsEvacuations = followsEvacuations_;
-    options.gatherEvacuations = milliseconds(10);
+    options.evacuationBatchDelay = milliseconds(10);
     options.self =
         RosterNode{"node-" + std::to_string(number), "bole", port_->local(), 1000 - number};
     options.follower.changeBatchDelay = milliseconds(20);
-    options.gatherForOthers = milliseconds(10);
-    options.peerPatience = part(15);
+    options.servingBatchDelay = milliseconds(10);
+    options.peerTimeout = part(15);
     options.source.pollInterval = part(10);
     options.source.maxConfirmationAge = part(25);
     options.source.unconfirmedTimeout = part(40);
@@ -153,13 +153,13 @@
     options.source.retryInterval = milliseconds(300);
     options.source.serveOthersDuration = seconds(1);
     options.registry = {milliseconds(100), seconds(1), milliseconds(200), milliseconds(50)};
-    options.settleTime = milliseconds(300);
+    options.recoveryDelay = milliseconds(300);
     options.roster.nodesPerReader = nodesPerReader_;
     options.liveness.first = milliseconds(100);
     options.liveness.interval = part(10);
     options.liveness.servingInterval = part(5);
     options.liveness.intervalAfterMiss = milliseconds(50);
-    options.probePatience = milliseconds(200);
+    options.probeTimeout = milliseconds(200);
     options.limits.connect = milliseconds(300);
     options.limits.answer = milliseconds(500);
     return options;
@@ -316,7 +316,7 @@
   const TimePoint lost = steadyNow();
   drain(1);
   CHECK_TRUE(allSee(3));
-  CHECK_TRUE(steadyNow() - lost < kBound);
+  CHECK_TRUE(steadyNow() - lost < kChangeBound);
   CHECK_TRUE(soon([this] { return readers() == 1; }, seconds(20)));
 }
 
@@ -326,7 +326,7 @@
   const TimePoint lost = steadyNow();
   drain(1);
   CHECK_TRUE(allSee(3));
-  CHECK_TRUE(steadyNow() - lost < kBound);
+  CHECK_TRUE(steadyNow() - lost < kChangeBound);
 }
 
 /** The reader answers, but what it holds grows old. */
@@ -343,12 +343,12 @@
   test::StandinFaults cut;
   cut.mood = test::StoreMood::kSilent;
   readersStore.setFaults(cut);
-  std::this_thread::sleep_for(kBound);
+  std::this_thread::sleep_for(kChangeBound);
   const TimePoint changed = steadyNow();
   drain(1);
   nodes.erase(nodes.begin());
   CHECK_TRUE(allSee(3));
-  CHECK_TRUE(steadyNow() - changed < kBound);
+  CHECK_TRUE(steadyNow() - changed < kChangeBound);
 }
 
 TEST(ZoneReader, AnOutageOfTheStoreTakesNothingBackAndEndsForAll) {
@@ -356,7 +356,7 @@
   test::StandinFaults down;
   down.mood = test::StoreMood::kReset;
   store.setFaults(down);
-  std::this_thread::sleep_for(kBound);
+  std::this_thread::sleep_for(kChangeBound);
   CHECK_TRUE(allSee(4));
   // All but the reader, and the two that may have been asked in its place, only probe.
   size_t calling = 0;
@@ -368,7 +368,7 @@
   const TimePoint back = steadyNow();
   store.setFaults({});
   CHECK_TRUE(allSee(3));
-  CHECK_TRUE(steadyNow() - back < kBound);
+  CHECK_TRUE(steadyNow() - back < kChangeBound);
   CHECK_TRUE(soon([this] { return readers() == 1; }, seconds(20)));
 }
 
@@ -381,7 +381,7 @@
   down.mood = test::StoreMood::kReset;
   store.setFaults(down);
   store.objects().endWaiting();
-  std::this_thread::sleep_for(kBound / 2);
+  std::this_thread::sleep_for(kChangeBound / 2);
   std::vector<uint64_t> before;
   for (const auto& node : nodes) {
     before.push_back(node->peerConfirmations());
@@ -395,7 +395,7 @@
         }
         return all && readers() == 1;
       },
-      2 * kBound));
+      2 * kChangeBound));
 }
 
 /** It knows nothing of what happened before its list: the reader tells it everything. */
@@ -504,21 +504,21 @@
   const EvacuatedZones both{{"bole", "merkato"}};
   store.objects().set("evacuations", "bole", "{}");
   store.objects().set("evacuations", "merkato", "{}");
-  CHECK_TRUE(allKnow(both, kBound));
+  CHECK_TRUE(allKnow(both, kChangeBound));
   // A node that starts knows them before it is ready.
   nodes.push_back(std::make_unique<Node>(kFewestNodes + 1, store.address(), true));
   nodes.back()->begin();
   CHECK_TRUE(soon([&] { return nodes.back()->activeHosts() == 4; }));
   CHECK_TRUE(nodes.back()->evacuated() == both);
   store.objects().remove("evacuations", "bole", 0);
-  CHECK_TRUE(allKnow({{"merkato"}}, kBound));
+  CHECK_TRUE(allKnow({{"merkato"}}, kChangeBound));
 }
 
 TEST(ZoneReader, EvacuationsOfAnOutageAreKnownAfterIt) {
   followsEvacuations = true;
   startAll(kFewestNodes);
   store.objects().set("evacuations", "merkato", "{}");
-  CHECK_TRUE(allKnow({{"merkato"}}, kBound));
+  CHECK_TRUE(allKnow({{"merkato"}}, kChangeBound));
   // Taken back and set again while nobody can hear of it.
   test::StandinFaults outage;
   outage.mood = test::StoreMood::kSilent;
@@ -527,7 +527,7 @@
   store.objects().set("evacuations", "bole", "{}");
   std::this_thread::sleep_for(milliseconds(300));
   store.setFaults({});
-  CHECK_TRUE(allKnow({{"bole"}}, 2 * kBound));
+  CHECK_TRUE(allKnow({{"bole"}}, 2 * kChangeBound));
 }
 
 /** While probes go unanswered, nodes are not listed; a follower stops probing once its reader is
@@ -537,7 +537,7 @@
   test::StandinFaults down;
   down.mood = test::StoreMood::kReset;
   store.setFaults(down);
-  std::this_thread::sleep_for(2 * kBound);
+  std::this_thread::sleep_for(2 * kChangeBound);
   store.setFaults({});
   CHECK_TRUE(soon([this] { return readers() == 1; }, seconds(20)));
   const uint64_t lists = store.calls().staleLists;
