--- a/test/platform/packet/echo_format_test.cc
+++ b/test/platform/packet/echo_format_test.cc
@@ -1,4 +1,4 @@
-/** @file The users' packets against the bytes of their own example. */
+/** @file Tests the users' packet format against the bytes of their published example. */
 #include "platform/packet/echo_format.h"
 
 #include <CppUTest/TestHarness.h>
@@ -32,7 +32,7 @@
   }
 };
 
-TEST(EchoFormat, ReadsTheExample) {
+TEST(EchoFormat, ParsesThePublishedExample) {
   const auto parsed = format.parse(syn);
   CHECK_TRUE(isOk(parsed));
   const ParsedPacket& packet = valueOf(parsed);
@@ -45,7 +45,7 @@
   LONGS_EQUAL(0, packet.dataBytes);
 }
 
-TEST(EchoFormat, ReadsTheNumbersOfData) {
+TEST(EchoFormat, ParsesSequenceNumbersOfData) {
   std::string data = syn + "abc";
   data[30] = 3;
   data[16] = 9;
@@ -54,13 +54,13 @@
   LONGS_EQUAL(9, valueOf(parsed).acknowledged);
 }
 
-TEST(EchoFormat, TellsThePhasesApart) {
+TEST(EchoFormat, DistinguishesPhases) {
   CHECK_TRUE(phaseWith(2) == PacketPhase::kContinuing);
   CHECK_TRUE(phaseWith(2 + 64) == PacketPhase::kClosing);
   CHECK_TRUE(phaseWith(4) == PacketPhase::kReset);
 }
 
-TEST(EchoFormat, RefusesWhatIsNoPacketOfACaller) {
+TEST(EchoFormat, RejectsPacketsThatNoCallerSends) {
   CHECK_TRUE(errorOf(format.parse(syn.substr(0, 30))) == DropReason::kTruncated);
   CHECK_TRUE(errorOf(format.parse(syn + "x")) == DropReason::kMalformed);
   std::string longer = syn;
@@ -71,7 +71,7 @@
   CHECK_TRUE(errorOf(format.parse(longer)) == DropReason::kMalformed);
 }
 
-TEST(EchoFormat, NamesTheHostAndStampsTheTokenAndChangesNothingElse) {
+TEST(EchoFormat, AddsIncarnationAndTokenAndChangesNothingElse) {
   std::string buffer;
   ForwardToHost decision;
   decision.incarnation = 0x7F3A91C2;
@@ -83,7 +83,7 @@
   LONGS_EQUAL(0xA0B0C0D0, valueOf(format.parse(sent.substr(8))).token);
 }
 
-TEST(EchoFormat, RefusesWithAResetNearWhatTheCallerAcknowledged) {
+TEST(EchoFormat, RefusesWithAResetNearTheCallersAcknowledgment) {
   CHECK_TRUE(bytesOf(kResetText) == valueOf(format.refusal(syn)));
   std::string later = syn;
   later[kFlagsAt] = 2;
@@ -92,7 +92,7 @@
   CHECK_TRUE(errorOf(format.refusal(bytesOf(kResetText))) == RefusalError::kIsReset);
 }
 
-TEST(EchoFormat, EndsAFlowThatSentNoPacketAsItRefusesOneThatDid) {
+TEST(EchoFormat, ResetsAFlowWithTheSameBytesAsItsRefusal) {
   const FlowKey key = valueOf(format.parse(syn)).key;
   CHECK_TRUE(bytesOf(kResetText) == valueOf(format.reset(key, 0)));
   CHECK_TRUE(bytesOf("00 01 02 03") == valueOf(format.reset(key, 0x00010203)).substr(9, 4));
--- a/test/platform/packet/flow_log_test.cc
+++ b/test/platform/packet/flow_log_test.cc
@@ -1,4 +1,4 @@
-/** @file Lines and counts of decisions, written to a sink that keeps them. */
+/** @file Tests log lines and counters of decisions with a sink that stores the lines. */
 #include "common/server/flow_log.h"
 
 #include <string>
@@ -95,10 +95,10 @@
   void setHosts(const std::vector<HostSpec>& hosts) {
     director.setPool(now, {"dispatch", hosts}, 57);
   }
-  void pass(const std::string& packet) {
+  void process(const std::string& packet) {
     path.onPacket(now, PacketSource::kFabric, packet);
   }
-  /** @return the last line, or empty. */
+  /** @return the last line, or an empty string. */
   std::string last() const {
     return sink.lines.empty() ? "" : sink.lines.back();
   }
@@ -107,9 +107,9 @@
   }
 };
 
-TEST(FlowLog, TellsWhatDecidedAPlacement) {
+TEST(FlowLog, LogsTheReasonOfAPlacement) {
   now += milliseconds(1200);
-  pass(packetOf(kSyn, 0));
+  process(packetOf(kSyn, 0));
   checkLast(
       "event=flow_placed flow=100.64.0.7:40001>198.18.0.1:8000 service=pickup pool=dispatch "
       "host=h-1 endpoint=10.128.0.1:8080 avoided=- zone=own leaves_zone=0 silent=0 vanished=0 "
@@ -119,7 +119,7 @@
   LONGS_EQUAL(1, log.counters().openedByPool.at("dispatch").ownZone);
 }
 
-TEST(FlowLog, TellsWhichPoolWasDueWhereAnotherTookTheFlow) {
+TEST(FlowLog, LogsTheOriginalPoolOfAnOverflowedFlow) {
   const std::string bytes = packetOf(kSyn, 0);
   const ParsedPacket packet = valueOf(format.parse(bytes));
   PlacementEvidence evidence;
@@ -133,7 +133,7 @@
   LONGS_EQUAL(1, log.counters().overflowed.at({"mapstore", "dispatch"}));
 }
 
-TEST(FlowLog, CountsPairsOfPoolsWithABound) {
+TEST(FlowLog, LimitsTheNumberOfCountedPoolPairs) {
   const std::string bytes = packetOf(kSyn, 0);
   const ParsedPacket packet = valueOf(format.parse(bytes));
   for (int number = 0; number < 100; ++number) {
@@ -149,80 +149,80 @@
   LONGS_EQUAL(36, log.counters().overflowed.at({"other", "other"}));
 }
 
-TEST(FlowLog, TellsOfARepeatedOpeningAndTheHostThatWasAvoided) {
-  pass(packetOf(kSyn, 0));
+TEST(FlowLog, LogsARepeatedOpeningAndTheAvoidedHost) {
+  process(packetOf(kSyn, 0));
   now += milliseconds(200);
-  pass(packetOf(kSyn, 0));
+  process(packetOf(kSyn, 0));
   STRCMP_CONTAINS("event=opening_repeated", last().c_str());
   STRCMP_CONTAINS("host=h-2 endpoint=10.128.0.2:8080 avoided=h-1 zone=other", last().c_str());
   LONGS_EQUAL(1, log.counters().repeatedOpenings);
 }
 
-TEST(FlowLog, TiesARequestToItsFlowAndHost) {
+TEST(FlowLog, LogsARequestWithItsFlowAndHost) {
   const std::string request = "GET / HTTP/1.1\r\nX-Request: q-77\r\n\r\n";
-  pass(packetOf(kAck, flowTokenOf(2), request));
+  process(packetOf(kAck, flowTokenOf(2), request));
   checkLast(
       "event=request request=q-77 flow=100.64.0.7:40001>198.18.0.1:8000 pool=dispatch host=h-2 "
       "endpoint=10.128.0.2:8080");
-  pass(packetOf(kAck, flowTokenOf(2)));
+  process(packetOf(kAck, flowTokenOf(2)));
   LONGS_EQUAL(1, sink.lines.size());
   LONGS_EQUAL(1, log.counters().requests);
 }
 
-TEST(FlowLog, TellsDropsAndWaitsWithTheirReasonAndRequest) {
+TEST(FlowLog, LogsDropsAndHoldsWithReasonAndRequest) {
   const std::string request = "GET / HTTP/1.1\r\nX-Request: q-1\r\n\r\n";
-  pass(packetOf(kAck, 0, request));
+  process(packetOf(kAck, 0, request));
   checkLast(
       "event=packet_dropped reason=host_gone flow=100.64.0.7:40001>198.18.0.1:8000 "
       "phase=continuing token=0 request=q-1");
-  pass(packetOf(kAck, 12345, request));
+  process(packetOf(kAck, 12345, request));
   checkLast(
       "event=packet_held reason=host_unknown flow=100.64.0.7:40001>198.18.0.1:8000 "
       "phase=continuing token=12345 request=q-1");
-  pass("short");
+  process("short");
   checkLast("event=packet_dropped reason=truncated bytes=5");
   path.setReady(false);
-  pass(packetOf(kSyn, 0));
+  process(packetOf(kSyn, 0));
   checkLast(
       "event=packet_dropped reason=not_ready flow=100.64.0.7:40001>198.18.0.1:8000 phase=opening "
       "token=0 request=-");
 }
 
-TEST(FlowLog, TellsRefusalsWithTheirReason) {
-  pass(packetOf(kSyn, 0, "", 40001, 9));
+TEST(FlowLog, LogsRefusalsWithTheirReason) {
+  process(packetOf(kSyn, 0, "", 40001, 9));
   checkLast(
       "event=flow_refused reason=unknown_service flow=100.64.0.7:40001>198.18.0.1:9 phase=opening "
       "request=-");
   setHosts({});
   now += seconds(2);
-  pass(packetOf(kSyn, 0));
+  process(packetOf(kSyn, 0));
   STRCMP_CONTAINS("event=flow_refused reason=no_host", last().c_str());
   HostSpec successor = makeHost(3, "bole");
   successor.endpoint = makeHost(1, "bole").endpoint;
   setHosts({successor});
-  pass(packetOf(kAck, flowTokenOf(1)));
+  process(packetOf(kAck, flowTokenOf(1)));
   STRCMP_CONTAINS("event=flow_refused reason=host_ended", last().c_str());
   LONGS_EQUAL(1, log.counters().refused[static_cast<size_t>(RefusalReason::kHostEnded)]);
 }
 
-TEST(FlowLog, TellsWhenACallerGivesUp) {
-  pass(packetOf(kRst, flowTokenOf(1)));
+TEST(FlowLog, LogsCallerResets) {
+  process(packetOf(kRst, flowTokenOf(1)));
   STRCMP_CONTAINS("event=caller_reset", last().c_str());
   LONGS_EQUAL(1, log.counters().callerResets);
 }
 
-TEST(FlowLog, CountsWhatItsBudgetSuppressesAndSaysSo) {
+TEST(FlowLog, CountsAndLogsSuppressedLines) {
   for (uint16_t port = 1; port <= 5000; ++port) {
-    pass(packetOf(kSyn, 0, "", port));
+    process(packetOf(kSyn, 0, "", port));
   }
   CHECK_TRUE(sink.lines.size() < 1000);
   const uint64_t suppressed = log.budget().suppressed(LineKind::kPlacement);
   CHECK_TRUE(suppressed > 4000);
-  // A failure has a budget of its own.
-  pass(packetOf(kSyn, 0, "", 40001, 9));
+  // Failures have a separate budget.
+  process(packetOf(kSyn, 0, "", 40001, 9));
   STRCMP_CONTAINS("event=flow_refused", last().c_str());
   now += seconds(1);
-  pass(packetOf(kSyn, 0, "", 6000));
+  process(packetOf(kSyn, 0, "", 6000));
   const std::string before = sink.lines[sink.lines.size() - 2];
   STRCMP_EQUAL(
       ("event=lines_suppressed kind=placement count=" + std::to_string(suppressed)).c_str(),
@@ -233,7 +233,7 @@
 TEST(FlowLog, CountsWithoutASink) {
   FlowLog silent(nullptr, format, "X-Request");
   path.setObserver(&silent);
-  pass(packetOf(kSyn, 0));
+  process(packetOf(kSyn, 0));
   LONGS_EQUAL(0, sink.lines.size());
   LONGS_EQUAL(1, silent.counters().openedByPool.at("dispatch").ownZone);
 }
--- a/test/platform/store/edge_node_test.cc
+++ b/test/platform/store/edge_node_test.cc
@@ -1,4 +1,4 @@
-/** @file The whole path on loopback: store, node, packets to a host, answers to a caller. */
+/** @file Tests the whole path on loopback: store, node, packets to a host, answers to a caller. */
 #include <Poco/Net/HTTPClientSession.h>
 #include <Poco/Net/HTTPRequest.h>
 #include <Poco/Net/HTTPResponse.h>
@@ -36,7 +36,7 @@
 constexpr uint8_t kAck = 2;
 constexpr size_t kIncarnationBytes = 8;
 constexpr size_t kFlagsAt = 4;
-constexpr Duration kLongest = seconds(20);
+constexpr Duration kTimeout = seconds(20);
 
 void put(std::string& packet, size_t offset, uint64_t value, size_t bytes) {
   for (size_t index = 0; index < bytes; ++index) {
@@ -44,7 +44,7 @@
   }
 }
 
-/** @return a packet of the caller to 198.18.0.1:8000. */
+/** @return a packet from the caller to 198.18.0.1:8000. */
 std::string packetOf(uint8_t flags, uint32_t token, uint16_t port = 8000) {
   std::string packet(31, '\0');
   put(packet, 4, flags, 1);
@@ -72,14 +72,14 @@
 TEST_GROUP_BASE(EdgeNode, test::WithoutLeakDetection) {
   std::unique_ptr<test::StandinStore> store = std::make_unique<test::StandinStore>();
   std::unique_ptr<UdpPort> host = std::move(valueOf(UdpPort::open(kAnyPort)));
-  /** Sends as the fabric does, and takes the node's answers where its own port number is. */
+  /** Sends packets as the fabric does, and receives the node's answers on its own port. */
   std::unique_ptr<UdpPort> caller = std::move(valueOf(UdpPort::open(kAnyPort)));
   EchoFormat format;
   std::unique_ptr<ObjectStoreAdapter> adapter;
   std::unique_ptr<TokenNode> node;
   std::thread thread;
   Endpoint readiness;
-  /** What the node reads when it is asked to reload. */
+  /** Settings that the node reads on a reload. */
   std::atomic<bool> settingsAreFaulty{false};
 
   TokenNodeSettings settingsOf() const {
@@ -153,12 +153,12 @@
     answer.status = response.getStatus();
     return answer;
   }
-  /** @return the status of a request for readiness. */
+  /** @return the HTTP status of a readiness request. */
   int askReadiness(const std::string& path = "/api/readiness") const {
     return ask(readiness, path).status;
   }
   bool awaitMetric(const std::string& line) const {
-    const TimePoint deadline = steadyNow() + kLongest;
+    const TimePoint deadline = steadyNow() + kTimeout;
     while (steadyNow() < deadline) {
       if (ask(node->metrics(), "/metrics").body.find("\n" + line + "\n") != std::string::npos) {
         return true;
@@ -168,7 +168,7 @@
     return false;
   }
   bool awaitReadiness(int status) const {
-    const TimePoint deadline = steadyNow() + kLongest;
+    const TimePoint deadline = steadyNow() + kTimeout;
     while (askReadiness() != status && steadyNow() < deadline) {
       std::this_thread::sleep_for(milliseconds(10));
     }
@@ -176,21 +176,24 @@
   }
   static std::optional<std::string> take(UdpPort & port) {
     std::optional<std::string> taken;
-    const TimePoint deadline = steadyNow() + kLongest;
+    const TimePoint deadline = steadyNow() + kTimeout;
     while (!taken && steadyNow() < deadline) {
       port.receive([&](const Endpoint&, std::string_view bytes) { taken = std::string(bytes); });
       std::this_thread::sleep_for(milliseconds(1));
     }
     return taken;
   }
-  /** Sends a packet through the node; @return what the host got. */
-  std::string pass(const std::string& packet) {
+  /**
+   * Sends a packet through the node.
+   * @return the packet that the host received.
+   */
+  std::string forward(const std::string& packet) {
     caller->send(node->data(), packet);
     return take(*host).value_or("");
   }
 };
 
-TEST(EdgeNode, IsReadyOnceConfigurationAndHostsAreInForceAndCarriesAFlow) {
+TEST(EdgeNode, IsReadyOnceConfigurationAndHostsAreEffectiveAndForwardsAFlow) {
   CHECK_EQUAL(503, askReadiness());
   CHECK_EQUAL(404, askReadiness("/other"));
   configure();
@@ -198,19 +201,19 @@
   const uint32_t token = flowTokenOf(kIncarnation);
   std::string expected(kIncarnationBytes, '\0');
   put(expected, 0, kIncarnation, kIncarnationBytes);
-  CHECK_TRUE(expected + packetOf(kSyn, token) == pass(packetOf(kSyn, 0)));
-  CHECK_TRUE(expected + packetOf(kAck, token) == pass(packetOf(kAck, token)));
+  CHECK_TRUE(expected + packetOf(kSyn, token) == forward(packetOf(kSyn, 0)));
+  CHECK_TRUE(expected + packetOf(kAck, token) == forward(packetOf(kAck, token)));
 }
 
-TEST(EdgeNode, GoesOnForwardingWhileItEnds) {
+TEST(EdgeNode, KeepsForwardingWhileStopping) {
   configure();
   CHECK_TRUE(awaitReadiness(200));
   node->stop();
   CHECK_TRUE(awaitReadiness(503));
-  CHECK_FALSE(pass(packetOf(kSyn, 0)).empty());
+  CHECK_FALSE(forward(packetOf(kSyn, 0)).empty());
 }
 
-TEST(EdgeNode, RefusesAFlowToAnAddressWithoutAServiceAtTheCallersAddress) {
+TEST(EdgeNode, SendsTheRefusalOfAFlowWithoutAServiceToTheCaller) {
   configure();
   CHECK_TRUE(awaitReadiness(200));
   const Endpoint answers{0x7F000002, node->data().port};
@@ -224,10 +227,10 @@
   LONGS_EQUAL(4, reset[kFlagsAt]);
 }
 
-TEST(EdgeNode, ShowsItsFiguresAtTheMetricsPath) {
+TEST(EdgeNode, ExposesMetricsAtTheMetricsPath) {
   configure();
   CHECK_TRUE(awaitReadiness(200));
-  pass(packetOf(kSyn, 0));
+  forward(packetOf(kSyn, 0));
   CHECK_TRUE(awaitMetric(R"(umberhold_opened_flows_total{pool="s-one",zone="own"} 1)"));
   const Answer answer = ask(node->metrics(), "/metrics?at=now");
   CHECK_EQUAL(200, answer.status);
@@ -241,7 +244,7 @@
   CHECK_EQUAL(404, ask(node->metrics(), "/").status);
 }
 
-TEST(EdgeNode, TakesWhatItCanOfNewSettingsAndRefusesFaultyOnes) {
+TEST(EdgeNode, AppliesReloadableSettingsAndRejectsInvalidOnes) {
   configure();
   CHECK_TRUE(awaitReadiness(200));
   settingsAreFaulty = true;
@@ -253,8 +256,8 @@
   CHECK_EQUAL(200, askReadiness());
 }
 
-/** After an outage of the store a host that lives may be without an entry for a while. */
-TEST(EdgeNode, CarriesAFlowOnWhoseHostIsRegisteredAfterItsPacketCame) {
+/** After an outage of the store, a running host may be without an entry for a while. */
+TEST(EdgeNode, ForwardsAFlowWhoseHostRegistersAfterItsPacketArrived) {
   configure();
   CHECK_TRUE(awaitReadiness(200));
   const auto later = UdpPort::open(kAnyPort);
@@ -267,16 +270,18 @@
   CHECK_TRUE(!got.empty() && got.substr(kIncarnationBytes) == packetOf(kAck, token));
 }
 
-/** A host of two slots has eight openings under way; the ninth waits until one of them, which its
- * caller does not follow, counts no longer. */
-TEST(EdgeNode, HoldsAnOpeningUntilTheHostHasRoomForIt) {
+/**
+ * A host with two slots has eight openings in progress. The ninth waits until one of them, whose
+ * caller does not continue, is no longer counted.
+ */
+TEST(EdgeNode, HoldsAnOpeningUntilTheHostHasCapacity) {
   configure();
   CHECK_TRUE(awaitReadiness(200));
   const TimePoint begin = steadyNow();
   for (uint16_t flow = 0; flow < 9; ++flow) {
     std::string packet = packetOf(kSyn, 0);
     put(packet, 17, kCallerPort + flow, 2);
-    CHECK_FALSE(flow < 8 && pass(packet).empty());
+    CHECK_FALSE(flow < 8 && forward(packet).empty());
     if (flow == 8) {
       caller->send(node->data(), packet);
     }
@@ -285,8 +290,8 @@
   CHECK_TRUE(steadyNow() - begin >= milliseconds(150));
 }
 
-/** The log's pipe is full and nobody reads it: packets and questions are answered all the same. */
-TEST(EdgeNode, GoesOnForwardingWhileNobodyReadsItsLog) {
+/** The log's pipe is full and not being read; packets and requests must still be answered. */
+TEST(EdgeNode, KeepsForwardingWhileItsLogIsNotRead) {
   std::array<int, 2> ends{-1, -1};
   LONGS_EQUAL(0, ::pipe(ends.data()));
   StructuredLog log("edge_node_test", ends[1]);
@@ -300,7 +305,7 @@
   }
   const uint64_t lost = log.output().counters().dropped;
   for (int packet = 0; packet < 50; ++packet) {
-    CHECK_FALSE(pass(packetOf(kSyn, 0)).empty());
+    CHECK_FALSE(forward(packetOf(kSyn, 0)).empty());
   }
   CHECK_EQUAL(200, askReadiness());
   CHECK_TRUE(log.output().counters().dropped > lost);
--- a/test/platform/store/object_store_adapter_test.cc
+++ b/test/platform/store/object_store_adapter_test.cc
@@ -1,4 +1,4 @@
-/** @file The adapter against the stand-in of the users' store, with the faults of that store. */
+/** @file Tests the adapter against the stand-in store and its simulated faults. */
 #include "platform/store/object_store_adapter.h"
 
 #include <memory>
@@ -45,7 +45,7 @@
   std::unique_ptr<test::StandinStore> store = std::make_unique<test::StandinStore>(3);
   std::unique_ptr<ObjectStoreAdapter> adapter;
   uint64_t seen = 0;
-  /** No probe disturbs the counts of a test that isn't about them. */
+  /** Keeps probes from affecting the call counts of tests that are not about probes. */
   Duration livenessInterval = std::chrono::hours(1);
   Duration maxWatchDuration = seconds(2);
   Duration answerLimit = milliseconds(500);
@@ -53,7 +53,7 @@
   std::map<std::string, HostPool> pools;
   std::map<std::string, Service> services;
 
-  /** Periods that are short enough for a test. */
+  /** Options with intervals that are short enough for a test. */
   ObjectStoreOptions options() {
     ObjectStoreOptions made;
     made.address = store->address();
@@ -107,10 +107,13 @@
       }
     }
   }
-  /** Follows the adapter until the condition holds; @return whether it does in time. */
+  /**
+   * Applies the adapter's changes until the condition holds.
+   * @return whether it holds in time.
+   */
   template <class Condition>
-  bool follow(const Condition& condition, Duration longest = seconds(10)) {
-    const TimePoint deadline = steadyNow() + longest;
+  bool follow(const Condition& condition, Duration timeout = seconds(10)) {
+    const TimePoint deadline = steadyNow() + timeout;
     while (!condition() && steadyNow() < deadline) {
       const auto batch = adapter->watch(seen, milliseconds(100));
       CHECK_TRUE(isOk(batch));
@@ -133,7 +136,7 @@
     faults.mood = mood;
     store->setFaults(faults);
   }
-  /** An outage that the adapter sees, of a store that forgets every host meanwhile. */
+  /** Simulates an outage that the adapter detects, after which the store has lost all hosts. */
   void outage(test::StoreMood mood) {
     setMood(mood);
     for (int index = 1; index <= 4; ++index) {
@@ -144,8 +147,11 @@
     setMood(test::StoreMood::kAnswering);
   }
 
-  /** Starts while the store is silent for a time, on connections that never say anything again.
-   * @return the time from the end of the silence until everything is known. */
+  /**
+   * Starts while the store is unresponsive for a time, on connections that stay open without
+   * further data.
+   * @return the time from the end of the outage until everything is known.
+   */
   Duration timeToStartAfterSilence(Duration silence) {
     answerLimit = seconds(30);
     setUp(4);
@@ -168,7 +174,7 @@
   }
 };
 
-TEST(ObjectStoreAdapter, ListsSeveralPagesAndWatchesOnOverTwoConnections) {
+TEST(ObjectStoreAdapter, ListsSeveralPagesAndThenWatchesOverTwoConnections) {
   setUp(8);
   start();
   LONGS_EQUAL(8, active());
@@ -182,7 +188,7 @@
   LONGS_EQUAL(2, store->calls().connections);
 }
 
-TEST(ObjectStoreAdapter, HostsThatRegisterAfterAStartOrAnOutageAreNotWaitedFor) {
+TEST(ObjectStoreAdapter, AppliesRegistrationsAfterAStartOrAnOutageWithoutBatchDelay) {
   changeBatchDelay = seconds(60);
   setUp(4);
   start();
@@ -199,51 +205,55 @@
   CHECK_TRUE(followToActive(8));
 }
 
-/** Found by a hunt: a watch that was asked while the store forgot its history heard nothing more,
- * and the watch of the other kind was told that the history is gone. */
-TEST(ObjectStoreAdapter, ALostHistoryEndsTheWatchesOfBothKinds) {
+/**
+ * A watch issued while the store lost its history never received another event, while the watch of
+ * the other kind got the error that the history is gone.
+ */
+TEST(ObjectStoreAdapter, ALostHistoryRenewsTheWatchesOfBothKinds) {
   maxWatchDuration = seconds(60);
   setUp(4);
   start();
   setHost(5);
   CHECK_TRUE(followToActive(5));
-  // Since an outage, the watch for configurations has had nothing to answer.
+  // Since an outage, the watch for configurations has had no event to return.
   setMood(test::StoreMood::kReset);
   CHECK_TRUE(follow([this] { return adapter->status().failures >= 2; }));
   setMood(test::StoreMood::kAnswering);
   setHost(6);
   CHECK_TRUE(followToActive(6));
   std::this_thread::sleep_for(milliseconds(300));
-  store->objects().muteWaiting("config");
+  store->objects().muteWatches("config");
   store->objects().set("config", "main", configuration(5, "s-one", 3));
   store->objects().forgetHistory();
   CHECK_TRUE(follow([this] { return services.size() == 3; }));
 }
 
-/** Found on a day with 295 nodes: the store cut both watches and then dropped its history. Watches
- * that were made in between were accepted and heard nothing more. */
-TEST(ObjectStoreAdapter, AWatchThatFollowsOneThatWasCutOffIsMadeOnceMore) {
+/**
+ * The store closed both watches and then dropped its history. Watches issued in between were
+ * accepted and never received another event. This occurred in a simulated day with 295 nodes.
+ */
+TEST(ObjectStoreAdapter, RenewsAWatchThatFollowsAFailedOne) {
   maxWatchDuration = seconds(60);
   setUp(4);
   start();
   setHost(5);
   CHECK_TRUE(followToActive(5));
-  std::this_thread::sleep_for(milliseconds(300));  // Both watches wait.
+  std::this_thread::sleep_for(milliseconds(300));  // Both watches are pending.
   setMood(test::StoreMood::kReset);
-  store->objects().endWaiting();
+  store->objects().endWatches();
   CHECK_TRUE(follow([this] { return adapter->status().failures >= 2; }));
   setMood(test::StoreMood::kAnswering);
   const uint64_t watches = store->calls().watches;
   CHECK_TRUE(follow([&] { return store->calls().watches >= watches + 2; }));
   std::this_thread::sleep_for(milliseconds(50));
-  store->objects().muteWaiting("config");
-  store->objects().muteWaiting("servers");
+  store->objects().muteWatches("config");
+  store->objects().muteWatches("servers");
   store->objects().set("config", "main", configuration(5, "s-one", 3));
   store->objects().forgetHistory();
   CHECK_TRUE(follow([this] { return services.size() == 3; }));
 }
 
-TEST(ObjectStoreAdapter, WakesAWaitingWatchForAConfigurationAlone) {
+TEST(ObjectStoreAdapter, AConfigurationAloneEndsAPendingWatch) {
   setUp(1);
   start();
   std::thread writer([this] {
@@ -255,7 +265,7 @@
   const auto batch = adapter->watch(seen, seconds(20));
   writer.join();
   CHECK_TRUE(isOk(batch));
-  // The host's pool would be here too if its change had been needed to wake the call.
+  // If the call had returned only because the host changed, the host's pool would be included.
   LONGS_EQUAL(1, valueOf(batch).changes.size());
   STRCMP_EQUAL("r-1", std::get<Service>(valueOf(batch).changes[0]).name.c_str());
 }
@@ -269,7 +279,7 @@
   CHECK_TRUE(follow([this] { return isOk(adapter->list()); }));
 }
 
-TEST(ObjectStoreAdapter, CatchesUpFromAListThatLags) {
+TEST(ObjectStoreAdapter, CatchesUpFromAStaleList) {
   setUp(4);
   store->objects().freezeStaleReads();
   setHost(4, "draining");
@@ -278,7 +288,7 @@
   CHECK_TRUE(follow([this] { return services.size() == 3 && active() == 3; }));
 }
 
-TEST(ObjectStoreAdapter, TakesNothingBackWhenTheHistoryIsGone) {
+TEST(ObjectStoreAdapter, RevertsNothingWhenTheHistoryIsLost) {
   setUp(8);
   start();
   store->objects().freezeStaleReads();
@@ -294,7 +304,7 @@
   CHECK_TRUE(store->calls().lists > 0);
 }
 
-TEST(ObjectStoreAdapter, KeepsHostsActiveThatABusyStoreForgotUntilTheyRegisterAnew) {
+TEST(ObjectStoreAdapter, KeepsHostsLostByABusyStoreActiveUntilTheyRegisterAgain) {
   setUp(4);
   start();
   outage(test::StoreMood::kBusy);
@@ -304,7 +314,7 @@
   CHECK_FALSE(follow([this] { return active() < 4; }, seconds(2)));
 }
 
-TEST(ObjectStoreAdapter, DrainsHostsThatStayAwayAfterTheStoreWasSilent) {
+TEST(ObjectStoreAdapter, DrainsHostsThatDoNotRegisterAgainAfterAnOutage) {
   setUp(4);
   start();
   outage(test::StoreMood::kSilent);
@@ -314,7 +324,7 @@
   LONGS_EQUAL(4, pools["s-one"].hosts.size());
 }
 
-TEST(ObjectStoreAdapter, OpensFreshConnectionsAfterResets) {
+TEST(ObjectStoreAdapter, OpensNewConnectionsAfterResets) {
   setUp(4);
   start();
   const uint64_t connections = store->calls().connections;
@@ -326,8 +336,8 @@
   CHECK_TRUE(store->calls().connections > connections);
 }
 
-/** Nothing tells the node but its probes: connections stay, and a watch waits for a minute. */
-TEST(ObjectStoreAdapter, MakesWatchesAnewThatASilentStoreNeverAnswers) {
+/** Only probes can detect this: connections stay open, and a watch has a timeout of one minute. */
+TEST(ObjectStoreAdapter, ReissuesWatchesThatAnUnresponsiveStoreNeverAnswers) {
   livenessInterval = milliseconds(50);
   maxWatchDuration = seconds(60);
   setUp(4);
@@ -346,20 +356,28 @@
   LONGS_EQUAL(0, adapter->status().failures);
 }
 
-/** Its connection says nothing further: without a probe the list would wait for its whole limit. */
-TEST(ObjectStoreAdapter, MakesAFirstListAnewThatASilentStoreNeverAnswers) {
+/**
+ * The connection stays open without data: without a probe, the list would wait for its full
+ * timeout.
+ */
+TEST(ObjectStoreAdapter, ReissuesAFirstListThatAnUnresponsiveStoreNeverAnswers) {
   livenessInterval = milliseconds(50);
   CHECK_TRUE(timeToStartAfterSilence(milliseconds(700)) < seconds(2));
 }
 
-/** The probes before and after are answered: nothing but the wait shows that the list is lost. */
-TEST(ObjectStoreAdapter, MakesAFirstListAnewThatFallsIntoASilenceBetweenTwoProbes) {
+/**
+ * The probes before and after the outage are answered; only the waiting time shows that the list is
+ * lost.
+ */
+TEST(ObjectStoreAdapter, ReissuesAFirstListLostBetweenTwoAnsweredProbes) {
   livenessInterval = milliseconds(700);
   CHECK_TRUE(timeToStartAfterSilence(milliseconds(200)) < seconds(5));
 }
 
-/** The peer is another store with the same objects: nodes answer each other in the store's form. */
-TEST(ObjectStoreAdapter, TellsPeersWhatItHoldsOnceItKnowsBothKinds) {
+/**
+ * The peer uses another store with the same objects: nodes answer each other in the store's form.
+ */
+TEST(ObjectStoreAdapter, AnswersPeersOnceItKnowsBothKinds) {
   setMood(test::StoreMood::kReset);
   adapter = std::make_unique<ObjectStoreAdapter>(options());
   CHECK_FALSE(adapter->answerPeer(kPeerHeldPath)->available);
@@ -391,17 +409,17 @@
   CHECK_TRUE(second.host.state == HostState::kDraining);
   const auto text = decompressPayload(adapter->answerPeer(kPeerConfigurationPath)->body);
   const auto config = decodePage(StoreKind::kConfiguration, valueOf(text));
-  const auto& told = std::get<Configuration>(valueOf(config).objects.at(0).specification);
-  LONGS_EQUAL(3, told.version);
-  LONGS_EQUAL(1, told.routes.size());
-  LONGS_EQUAL(8000, told.routes[0].listen.port);
-  STRCMP_EQUAL("s-one", told.routes[0].parts.at(0).service.c_str());
-  LONGS_EQUAL(2000, told.connectionLimits.at("s-one"));
-  CHECK_TRUE(told.idleTimeout == seconds(15));
+  const auto& decoded = std::get<Configuration>(valueOf(config).objects.at(0).specification);
+  LONGS_EQUAL(3, decoded.version);
+  LONGS_EQUAL(1, decoded.routes.size());
+  LONGS_EQUAL(8000, decoded.routes[0].listen.port);
+  STRCMP_EQUAL("s-one", decoded.routes[0].parts.at(0).service.c_str());
+  LONGS_EQUAL(2000, decoded.connectionLimits.at("s-one"));
+  CHECK_TRUE(decoded.idleTimeout == seconds(15));
 }
 
-/** Pools are made of all hosts: at 10,000 of them each time costs 5 ms of a core. */
-TEST(ObjectStoreAdapter, AListIsNotTranslatedWithEachOfItsPages) {
+/** Pools are rebuilt from all hosts, which takes 5 ms of CPU time for 10,000 hosts. */
+TEST(ObjectStoreAdapter, TranslatesAListOnceAndNotPerPage) {
   constexpr int kHosts = 30;
   constexpr uint64_t kPages = 10;
   setUp(kHosts);
@@ -415,12 +433,12 @@
   store->objects().forgetHistory();
   setMood(test::StoreMood::kAnswering);
   CHECK_TRUE(followToActive(0));
-  // Every page changes the pool: translated with each of them there would be a version for each.
+  // Each page changes the pool, so translating it per page would create a version for each page.
   CHECK_TRUE(seen - before < kPages / 2);
 }
 
-/** No call is within the rate at first, so that no second's boundary can let one pass. */
-TEST(ObjectStoreAdapter, WaitsAndAsksAgainBeyondTheRate) {
+/** The rate limit is 0 at first, so that no call can pass at the boundary of a second. */
+TEST(ObjectStoreAdapter, RetriesCallsBeyondTheRateLimit) {
   setUp(2);
   test::StandinFaults faults;
   faults.readsPerSecond = 0;
@@ -455,7 +473,7 @@
   CHECK_TRUE(follow([this] { return adapter->status().unreadable == 2; }));
 }
 
-TEST(ObjectStoreAdapter, EndsWaitingCallsWhenStopped) {
+TEST(ObjectStoreAdapter, EndsPendingCallsWhenStopped) {
   setUp(1);
   start();
   adapter->stop();
--- a/test/platform/store/object_translation_test.cc
+++ b/test/platform/store/object_translation_test.cc
@@ -1,4 +1,4 @@
-/** @file From the users' answers to the product's services and host pools. */
+/** @file Tests the translation of the users' answers to the product's services and host pools. */
 #include "platform/store/object_translation.h"
 
 #include "platform/store/store_messages.h"
@@ -41,7 +41,7 @@
 
 TEST_GROUP_BASE(ObjectTranslation, test::WithoutLeakDetection){};
 
-TEST(ObjectTranslation, MakesOneServiceOfEachRouteWithAGroupForEachPart) {
+TEST(ObjectTranslation, TranslatesEachRouteToAServiceWithAGroupPerPart) {
   const std::vector<Service> services = toServices(sampleConfiguration(), "addis");
   LONGS_EQUAL(2, services.size());
   const Service& split = services[0];
@@ -63,7 +63,7 @@
   LONGS_EQUAL(443, services[1].port);
 }
 
-TEST(ObjectTranslation, ReadsAnIncarnationOutOfAnId) {
+TEST(ObjectTranslation, ParsesTheIncarnationOfAnId) {
   CHECK_TRUE(incarnationOf("i-7f3a91c2") == 0x7F3A91C2U);
   CHECK_TRUE(incarnationOf("i-ffffffffffffffff") == 0xFFFFFFFFFFFFFFFFU);
   CHECK_FALSE(incarnationOf("i-").has_value());
@@ -71,7 +71,7 @@
   CHECK_FALSE(incarnationOf("i-1ffffffffffffffff").has_value());
 }
 
-TEST(ObjectTranslation, TakesAHostOverUnlessItHasNoIncarnation) {
+TEST(ObjectTranslation, TranslatesAHostOnlyIfItHasAnIncarnation) {
   RegisteredHost host = sampleHost();
   host.draining = true;
   const auto registration = toRegistration(host, 31, 7);
@@ -87,7 +87,7 @@
   CHECK_FALSE(toRegistration(host, 32, 7).has_value());
 }
 
-TEST(ObjectTranslation, KeepsReadableObjectsBesideAnUnreadableOne) {
+TEST(ObjectTranslation, KeepsReadableObjectsNextToAnUnreadableOne) {
   const auto page = decodePage(StoreKind::kHosts, R"({"items":[
     {"meta":{"name":"i-1","revision":4},"spec":{"service":"s-one","address":"10.0.0.1:80",
      "zone":"bole","version":"v1","slots":2,"state":"draining","cold_remaining_ms":1250,"sequence":4}},
@@ -103,7 +103,7 @@
   CHECK_TRUE(std::holds_alternative<Unreadable>(valueOf(page).objects[2].specification));
 }
 
-TEST(ObjectTranslation, ReadsTheEndOfAnObject) {
+TEST(ObjectTranslation, DecodesTheDeletionOfAnObject) {
   const auto changes = decodeChanges(
       StoreKind::kHosts,
       R"({"events":[{"gone":true,"object":{"meta":{"name":"i-1","revision":8}}}],"at":9})");
@@ -112,7 +112,7 @@
   LONGS_EQUAL(8, valueOf(changes).events.at(0).revision);
 }
 
-TEST(ObjectTranslation, RefusesABodyThatIsNoAnswer) {
+TEST(ObjectTranslation, RejectsABodyThatIsNotAnAnswer) {
   for (const char* body : {"", "[]", "{}", R"({"items":{},"more":false,"at":1})",
                            R"({"items":[1],"more":true,"at":1})", R"({"items":[],"at":1})"}) {
     CHECK_FALSE(isOk(decodePage(StoreKind::kHosts, body)));
@@ -141,7 +141,7 @@
   }
 };
 
-TEST(TranslatedObjects, HostsOfAServiceThatNoConfigurationNamesStayOut) {
+TEST(TranslatedObjects, IgnoresHostsOfUnconfiguredServices) {
   CHECK_TRUE(objects.setConfiguration(12, sampleConfiguration()));
   HostPool foreign = pool();
   foreign.name = "s-nobody";
@@ -155,7 +155,7 @@
   CHECK_TRUE(news && std::holds_alternative<HostPool>(news->changes.at(0)));
 }
 
-TEST(TranslatedObjects, SaysOnlyWhatChanged) {
+TEST(TranslatedObjects, ReportsOnlyChanges) {
   CHECK_TRUE(objects.setConfiguration(12, sampleConfiguration()));
   objects.setPools({pool()});
   const uint64_t before = objects.version();
@@ -173,7 +173,7 @@
   LONGS_EQUAL(1, serviceCount());
 }
 
-TEST(TranslatedObjects, NeverGoesBackToAnOlderConfiguration) {
+TEST(TranslatedObjects, IgnoresOlderConfigurations) {
   Configuration newer = sampleConfiguration();
   newer.version = 9;
   newer.routes.pop_back();
@@ -183,7 +183,7 @@
   LONGS_EQUAL(1, serviceCount());
 }
 
-TEST(TranslatedObjects, GivesHostsTheConnectionLimitOfTheirService) {
+TEST(TranslatedObjects, SetsTheConnectionLimitOfTheService) {
   objects.setPools({pool()});
   CHECK_TRUE(objects.setConfiguration(12, sampleConfiguration()));
   // Pools come before services.
@@ -191,7 +191,9 @@
   LONGS_EQUAL(1500, std::get<HostPool>(all.changes.at(0)).hosts.at(0).connectionLimit);
 }
 
-/** A log of states of a large pool would grow by the whole pool with each change of one host. */
+/**
+ * A log of the states of a large pool would grow by the whole pool with each change of one host.
+ */
 TEST(TranslatedObjects, KeepsTheLatestStateOfAPoolHoweverOftenItChanges) {
   constexpr int kMany = 5000;
   CHECK_TRUE(objects.setConfiguration(12, sampleConfiguration()));
@@ -209,7 +211,7 @@
   CHECK_TRUE(objects.changesSince(objects.version())->changes.empty());
 }
 
-TEST(TranslatedObjects, ForgetsServicesThatEndedLongAgo) {
+TEST(TranslatedObjects, KeepsOnlyTheLatestDeletedServices) {
   constexpr int kMany = 5000;
   Configuration with = sampleConfiguration();
   Configuration without = sampleConfiguration();
@@ -225,8 +227,10 @@
   CHECK_TRUE(objects.changesSince(objects.version())->changes.empty());
 }
 
-/** A service that came back counts as there, whatever was noted of its end. */
-TEST(TranslatedObjects, AServiceThatCameBackIsNotGone) {
+/**
+ * A service that was created again is reported as present, even though its deletion was recorded.
+ */
+TEST(TranslatedObjects, ReportsARecreatedServiceAsPresent) {
   Configuration without = sampleConfiguration();
   without.routes.pop_back();
   CHECK_TRUE(objects.setConfiguration(1, sampleConfiguration()));
@@ -239,7 +243,7 @@
   STRCMP_EQUAL("r-b", std::get<Service>(news->changes.front()).name.c_str());
 }
 
-TEST(ObjectTranslation, TellsHowColdHostsAreOnlyWhereTheirServiceHasALimitForIt) {
+TEST(ObjectTranslation, ReportsColdTimeOnlyIfTheServiceHasAColdLimit) {
   const auto page = decodePage(StoreKind::kConfiguration, R"({"items":[{"meta":{"name":"main",
     "revision":12},"spec":{"version":1,"routes":[],"services":[
     {"name":"s-one","max_connections":9,"cold_start_s":2.5,"cold_per_s":8},
--- a/test/platform/store/peer_request_test.cc
+++ b/test/platform/store/peer_request_test.cc
@@ -1,4 +1,4 @@
-/** @file The path by which a node asks its reader, with what it saw of hosts. */
+/** @file Tests the path of a request to a reader, including a report of observations of hosts. */
 #include "platform/store/peer_request.h"
 
 #include "common/health/host_observations.h"
@@ -13,7 +13,7 @@
 
 TEST_GROUP(PeerRequest){};
 
-TEST(PeerRequest, ComesBackFromItsPath) {
+TEST(PeerRequest, RoundTripsThroughItsPath) {
   for (const std::string& report :
        {std::string(), std::string("\0\xFF\xFE/+", 5), std::string(997, '\xFB')}) {
     const auto parsed = parsePeerRequest(pathOf({57, report}));
@@ -23,7 +23,7 @@
   }
 }
 
-TEST(PeerRequest, FitsIntoAPathForEveryReport) {
+TEST(PeerRequest, EncodesEveryReportInAPath) {
   HostReport report{UINT64_MAX, UINT64_MAX, {}, {}};
   report.hosts.assign(kMaxReportedHosts, {UINT32_MAX, 1000, 500});
   const std::vector<uint32_t> callers(kMaxReportedCallers, UINT32_MAX);
@@ -34,14 +34,14 @@
   CHECK_EQUAL(std::string::npos, path.find_first_of(" ?#%\r\n+="));
 }
 
-TEST(PeerRequest, IsNotReadFromOtherPaths) {
+TEST(PeerRequest, IsNotParsedFromOtherPaths) {
   for (const char* path : {"/peers/changes/", "/peers/changes/x", "/peers/changes/5x/AAAA",
                            "/peers/configuration", "/peers/changes/99999999999999999999"}) {
     CHECK_FALSE(parsePeerRequest(path).has_value());
   }
 }
 
-TEST(PeerRequest, HandsOnAReportThatIsNoBase64) {
+TEST(PeerRequest, PassesOnAReportThatIsNotBase64) {
   const auto parsed = parsePeerRequest("/peers/changes/5/!*!");
   CHECK_TRUE(parsed.has_value());
   LONGS_EQUAL(5, parsed->since);
--- a/test/platform/store/standin_objects.cc
+++ b/test/platform/store/standin_objects.cc
@@ -58,20 +58,20 @@
 
 StandinAnswer StandinObjects::remove(const std::string& kind, const std::string& name,
                                      uint64_t revision) {
-  StandinObject demanded;
-  demanded.name = name;
-  demanded.revision = revision;
-  return change(kind, demanded, [](StandinObject& current) { current.deleting = true; });
+  StandinObject required;
+  required.name = name;
+  required.revision = revision;
+  return change(kind, required, [](StandinObject& current) { current.deleting = true; });
 }
 
-StandinAnswer StandinObjects::change(const std::string& kind, const StandinObject& demanded,
+StandinAnswer StandinObjects::change(const std::string& kind, const StandinObject& required,
                                      const std::function<void(StandinObject&)>& apply) {
   const std::lock_guard lock(mutex_);
-  const auto found = live_.objects.find({kind, demanded.name});
+  const auto found = live_.objects.find({kind, required.name});
   if (found == live_.objects.end()) {
     return StandinNotFound{};
   }
-  if (demanded.revision != 0 && demanded.revision != found->second.revision) {
+  if (required.revision != 0 && required.revision != found->second.revision) {
     return StandinConflict{found->second};
   }
   StandinObject changed = found->second;
@@ -107,9 +107,10 @@
     if (muted != mutedUpTo_.end() && number <= muted->second) {
       return stopped_;
     }
-    return stopped_ || number <= endedUpTo_ || since < forgotten_ || !collect().events.empty();
+    return stopped_ || number <= endedUpTo_ || since < lastDroppedRevision_ ||
+           !collect().events.empty();
   });
-  if (since < forgotten_) {
+  if (since < lastDroppedRevision_) {
     return StandinHistoryGone{};
   }
   return collect();
@@ -130,16 +131,16 @@
 void StandinObjects::forgetHistory() {
   const std::lock_guard lock(mutex_);
   history_.clear();
-  forgotten_ = live_.revision;
+  lastDroppedRevision_ = live_.revision;
   changed_.notify_all();
 }
 
-void StandinObjects::muteWaiting(const std::string& kind) {
+void StandinObjects::muteWatches(const std::string& kind) {
   const std::lock_guard lock(mutex_);
   mutedUpTo_[kind] = watches_;
 }
 
-void StandinObjects::endWaiting() {
+void StandinObjects::endWatches() {
   const std::lock_guard lock(mutex_);
   endedUpTo_ = watches_;
   changed_.notify_all();
@@ -150,7 +151,7 @@
   frozen_ = live_;
 }
 
-void StandinObjects::stopWaiting() {
+void StandinObjects::stopWatches() {
   const std::lock_guard lock(mutex_);
   stopped_ = true;
   changed_.notify_all();
--- a/test/platform/store/standin_objects.h
+++ b/test/platform/store/standin_objects.h
@@ -1,8 +1,8 @@
 /**
- * @file The objects of a stand-in for the users' store: kinds, revisions, conditions, history.
+ * @file Objects of a stand-in for the users' store: kinds, revisions, preconditions and history.
  *
- * Written from the store's published protocol. Specifications and status are JSON text that the
- * store does not look into.
+ * Implements the store's published protocol. Specifications and status are JSON texts that the
+ * store does not interpret.
  */
 #pragma once
 
@@ -33,12 +33,12 @@
   std::string status = "null";
 };
 
-/** The object is not at the revision that the call demands, or exists already. */
+/** The object is not at the required revision, or already exists. */
 struct StandinConflict {
   StandinObject current;
 };
 struct StandinNotFound {};
-/** The watch starts before the kept history. */
+/** The watch starts before the retained history. */
 struct StandinHistoryGone {};
 
 using StandinAnswer = std::variant<StandinObject, StandinConflict, StandinNotFound>;
@@ -60,7 +60,7 @@
   uint64_t at = 0;
 };
 
-/** Thread safe. A demanded revision of 0 means none. */
+/** Thread safe. A required revision of 0 means none. */
 class StandinObjects {
  public:
   StandinPage list(const std::string& kind, const std::string& after, size_t limit,
@@ -71,22 +71,25 @@
   /** Replaces spec and finalizers. */
   StandinAnswer replace(const std::string& kind, const StandinObject& object);
   StandinAnswer replaceStatus(const std::string& kind, const StandinObject& object);
-  /** Removes, or marks as deleting while there are finalizers. */
+  /** Removes the object, or marks it as deleting while it has finalizers. */
   StandinAnswer remove(const std::string& kind, const std::string& name, uint64_t revision);
   std::variant<StandinEvents, StandinHistoryGone> watch(const std::string& kind, uint64_t since,
                                                         Duration wait);
 
-  /** Creates or replaces, whatever the revision. @return the new revision. */
+  /**
+   * Creates or replaces the object at any revision.
+   * @return the new revision.
+   */
   uint64_t set(const std::string& kind, const std::string& name, const std::string& spec);
   void forgetHistory();
-  /** Watches of the kind that wait now hear nothing until their time is over. */
-  void muteWaiting(const std::string& kind);
-  /** Watches that wait now end without events; those to come wait. */
-  void endWaiting();
-  /** Stale reads see the objects as they are now, until they are frozen again. */
+  /** Pending watches of the kind receive no events until they time out. */
+  void muteWatches(const std::string& kind);
+  /** Ends pending watches without events; later ones wait as usual. */
+  void endWatches();
+  /** Stale reads return the current objects until the next call of this function. */
   void freezeStaleReads();
-  /** Ends waiting watches without events; those to come don't wait. */
-  void stopWaiting();
+  /** Ends pending watches without events; later ones do not wait. */
+  void stopWatches();
 
  private:
   struct Snapshot {
@@ -95,7 +98,7 @@
   };
 
   const Snapshot& view(bool stale) const { return stale && frozen_ ? *frozen_ : live_; }
-  StandinAnswer change(const std::string& kind, const StandinObject& demanded,
+  StandinAnswer change(const std::string& kind, const StandinObject& required,
                        const std::function<void(StandinObject&)>& apply);
   void note(const std::string& kind, const StandinObject& object, bool gone);
 
@@ -104,9 +107,9 @@
   Snapshot live_;
   std::optional<Snapshot> frozen_;
   std::deque<StandinEvent> history_;
-  uint64_t forgotten_ = 0;
+  uint64_t lastDroppedRevision_ = 0;
   uint64_t watches_ = 0;
-  /** Number of the last watch that hears nothing, by kind. */
+  /** Number of the last watch that receives no events, by kind. */
   std::map<std::string, uint64_t> mutedUpTo_;
   /** Watches up to this number have been ended. */
   uint64_t endedUpTo_ = 0;
--- a/test/platform/store/standin_store.cc
+++ b/test/platform/store/standin_store.cc
@@ -22,7 +22,7 @@
 namespace umberhold::test {
 namespace {
 
-/** Of "/api/objects/KIND"; a path with a name has one more. */
+/** Path segments of "/api/objects/KIND"; a path with a name has one more. */
 constexpr int kSlashesOfList = 3;
 
 using Poco::Net::HTTPResponse;
@@ -34,7 +34,7 @@
 using standins::queryText;
 
 constexpr int kThreads = 160;
-/** How often a call that gets no answer is looked at. */
+/** Interval for checking whether the caller of an unanswered call has closed its connection. */
 constexpr auto kGivenUpInterval = std::chrono::milliseconds(100);
 
 std::string quoted(const std::string& text) {
@@ -77,7 +77,9 @@
   return text.str();
 }
 
-/** A body with `meta`, `spec` and `status`; a revision in the query counts as one in `meta`. */
+/**
+ * Reads a body with `meta`, `spec` and `status`; a revision in the query replaces that in `meta`.
+ */
 StandinObject readObject(HTTPServerRequest& request) {
   std::string body;
   Poco::StreamCopier::copyToString(request.stream(), body);
@@ -126,15 +128,17 @@
     }
   }
 
-  /** Ends the connection without an answer: after the silence, or when its caller gives up. */
+  /** Closes the connection without an answer when the outage ends or the caller gives up. */
   void stayUnanswered(std::unique_lock<std::mutex>& lock, HTTPServerRequest& request) {
     const bool forever = faults.staysSilent;
     dropWhen(lock, request,
              [this, forever] { return !forever && faults.mood != StoreMood::kSilent; });
   }
 
-  /** Ends the connection once it is time, or its caller has given up: a call that nobody waits for
-   * must not hold one of the store's threads. */
+  /**
+   * Closes the connection when the condition holds or the caller gives up: abandoned calls must not
+   * occupy the store's threads.
+   */
   void dropWhen(std::unique_lock<std::mutex>& lock, HTTPServerRequest& request,
                 const std::function<bool()>& isTime) {
     const auto isOver = [&] { return stopping || isTime(); };
@@ -143,7 +147,7 @@
     dropConnection(request);
   }
 
-  /** @return whether the call goes on. */
+  /** @return whether the call is to be processed. */
   bool admit(HTTPServerRequest& request, HTTPServerResponse& response) {
     std::unique_lock lock(mutex);
     count(request);
@@ -296,7 +300,7 @@
 
 namespace {
 
-/** Leads each request to a function. */
+/** Passes each request to a function. */
 class FunctionHandler : public Poco::Net::HTTPRequestHandler {
  public:
   using Function = std::function<void(HTTPServerRequest&, HTTPServerResponse&)>;
@@ -346,7 +350,7 @@
     parts_->stopping = true;
     parts_->moved.notify_all();
   }
-  parts_->objects.stopWaiting();
+  parts_->objects.stopWatches();
   parts_->server->stopAll(true);
   parts_->pool.joinAll();
   parts_->server.reset();
--- a/test/platform/store/standin_store.h
+++ b/test/platform/store/standin_store.h
@@ -1,4 +1,6 @@
-/** @file A stand-in for the users' store, with its HTTP interface and its faults, on loopback. */
+/**
+ * @file A stand-in for the users' store on loopback, with its HTTP interface and simulated faults.
+ */
 #pragma once
 
 #include <cstdint>
@@ -11,50 +13,50 @@
 
 namespace umberhold::test {
 
-/** How the stand-in answers. */
+/** How the stand-in responds to calls. */
 enum class StoreMood : uint8_t {
   kAnswering,
-  /** 503 to every call. */
+  /** Responds to every call with 503. */
   kBusy,
-  /** No call is answered; its connection says nothing further. */
+  /** Answers no call; the connection stays open without data. */
   kSilent,
-  /** Every connection is reset. */
+  /** Resets every connection. */
   kReset,
 };
 
-/** What goes wrong. */
+/** Faults to simulate. */
 struct StandinFaults {
   StoreMood mood = StoreMood::kAnswering;
-  /** What was asked in kSilent stays without an answer and without an end, also afterwards. */
+  /** Calls made in kSilent remain unanswered and open, even after the mood changes. */
   bool staysSilent = false;
   /** Delay of every answer. */
   Duration slow{0};
-  /** The next so many changes are done and not answered. */
+  /** Number of next changes that are executed but not answered. */
   uint32_t loseAnswers = 0;
-  /** The next so many changes are not answered, and done this much later. */
+  /** Number of next changes that are not answered and executed only after the delay. */
   uint32_t lateChanges = 0;
   Duration lateBy = std::chrono::milliseconds(100);
-  /** Reading calls a second beyond which there is 429; stale reads don't count. */
+  /** Read calls per second beyond which the response is 429; stale reads do not count. */
   uint32_t readsPerSecond = 2000;
 };
 
-/** Calls so far, refused ones included. */
+/** Number of calls so far, including rejected ones. */
 struct StandinCalls {
   uint64_t lists = 0;
   uint64_t staleLists = 0;
   uint64_t watches = 0;
-  /** Of single objects, by name. */
+  /** Reads of single objects, by name. */
   uint64_t reads = 0;
   uint64_t others = 0;
   uint64_t connections = 0;
-  /** Calls that wait for a thread, now. */
+  /** Calls that currently wait for a thread. */
   uint64_t queued = 0;
 };
 
 /** Serves from construction to destruction. */
 class StandinStore {
  public:
-  /** @param pageSize objects of a list's page. */
+  /** @param pageSize maximum number of objects in a page of a list. */
   explicit StandinStore(size_t pageSize = 500);
   ~StandinStore();
   StandinStore(const StandinStore&) = delete;
@@ -62,7 +64,7 @@
 
   Endpoint address() const;
   StandinObjects& objects();
-  /** Leaving kSilent cuts the connections that were not answered. */
+  /** Leaving kSilent closes the connections with unanswered calls. */
   void setFaults(const StandinFaults& faults);
   StandinCalls calls() const;
 
--- a/test/platform/store/standin_store_test.cc
+++ b/test/platform/store/standin_store_test.cc
@@ -1,4 +1,4 @@
-/** @file The stand-in of the users' store keeps to the published protocol. */
+/** @file Tests that the stand-in store follows the published protocol. */
 #include "test/platform/store/standin_store.h"
 
 #include <string>
@@ -31,7 +31,7 @@
   }
 };
 
-TEST(StandinStore, CreatesOnceAndReplacesOnlyAtTheDemandedRevision) {
+TEST(StandinStore, CreatesOnceAndReplacesOnlyAtTheRequiredRevision) {
   LONGS_EQUAL(200, status("POST", "locks", body("leader", 0, "1")));
   LONGS_EQUAL(409, status("POST", "locks", body("leader", 0, "2")));
   LONGS_EQUAL(200, status("PUT", "locks/leader", body("leader", 1, "3")));
@@ -43,7 +43,7 @@
   LONGS_EQUAL(1, object->made);
 }
 
-TEST(StandinStore, ReplacesAStatusAlone) {
+TEST(StandinStore, ReplacesOnlyTheStatus) {
   store.objects().set("config", "main", "7");
   LONGS_EQUAL(200, status("PUT", "config/main/status", body("main", 0, "8")));
   const auto object = store.objects().get("config", "main", false);
@@ -60,7 +60,7 @@
   LONGS_EQUAL(404, status("GET", "locks/leader"));
 }
 
-TEST(StandinStore, DoesAChangeWhoseAnswerIsLost) {
+TEST(StandinStore, ExecutesAChangeWhoseAnswerIsLost) {
   test::StandinFaults faults;
   faults.loseAnswers = 1;
   store.setFaults(faults);
@@ -70,7 +70,7 @@
   LONGS_EQUAL(200, status("GET", "locks/leader"));
 }
 
-TEST(StandinStore, DoesALateChangeOnlyIfItsConditionStillHolds) {
+TEST(StandinStore, ExecutesADelayedChangeOnlyIfItsPreconditionStillHolds) {
   store.objects().set("locks", "leader", "1");
   test::StandinFaults faults;
   faults.lateChanges = 1;
@@ -78,14 +78,16 @@
   store.setFaults(faults);
   CHECK_FALSE(isOk(call("PUT", "locks/leader", body("leader", 1, "2"))));
   store.objects().set("locks", "leader", "3");
-  // By now the late change was tried.
+  // The delayed change has been attempted by now.
   std::this_thread::sleep_for(milliseconds(400));
   STRCMP_EQUAL("3", store.objects().get("locks", "leader", false)->spec.c_str());
 }
 
-/** Guards against a store that is silent without a fault: calls that nobody waits for any more held
- * its threads. */
-TEST(StandinStore, AnswersAgainAfterASilenceHoweverManyCallsWereGivenUp) {
+/**
+ * Abandoned calls occupied the stand-in's threads, so that it was unresponsive without a simulated
+ * fault.
+ */
+TEST(StandinStore, RespondsAfterAnOutageDespiteManyAbandonedCalls) {
   store.objects().set("config", "main", "7");
   test::StandinFaults silent;
   silent.mood = test::StoreMood::kSilent;
@@ -102,7 +104,7 @@
   LONGS_EQUAL(200, status("GET", "config/main"));
 }
 
-TEST(StandinStore, AnswersAWatchThatIsOlderThanItsHistoryWithGone) {
+TEST(StandinStore, AnswersAWatchOlderThanItsHistoryWithGone) {
   store.objects().set("config", "main", "1");
   store.objects().set("config", "main", "2");
   LONGS_EQUAL(200, status("GET", "config?watch=1&wait_ms=0"));
--- a/test/platform/store/store_copy_property.cc
+++ b/test/platform/store/store_copy_property.cc
@@ -1,9 +1,10 @@
 /**
- * @file Copies of the store that read it and tell each other, in any order, against its history.
+ * @file Property test: copies that read the store and exchange updates in any order are checked
+ * against the store's history.
  *
- * A copy that claims to know everything up to a version must hold of every host what the store had
- * at that version, or something newer: so nothing older replaces anything newer, and what was
- * removed stays removed.
+ * A copy that claims to know everything up to a version must hold, for every host, what the store
+ * had at that version or something newer. Thus older state never replaces newer state, and removed
+ * hosts stay removed.
  */
 #include <map>
 #include <optional>
@@ -37,7 +38,7 @@
   return "i-" + std::to_string(host + 1);
 }
 
-/** The store with all that ever happened in it. */
+/** The store with its full history. */
 class History {
  public:
   void change(uint64_t host, RandomSource& random) {
@@ -94,7 +95,7 @@
     RegisteredHost registered;
     registered.id = hostName(host);
     registered.service = "s-one";
-    // Each host has an address of its own: none supersedes another here.
+    // Each host has its own address, so that none supersedes another.
     registered.address = Endpoint{0x0A000000 + static_cast<uint32_t>(host), 80};
     registered.draining = change.draining;
     StoreObject object{hostName(host), change.revision, change.madeAt, change.gone, registered};
@@ -108,15 +109,15 @@
   std::map<uint64_t, std::vector<Change>> hosts_;
 };
 
-/** A copy with the version that it claims. */
+/** A copy and the version it claims to know. */
 struct Copy {
   StoreCopy copy{"addis", HostPresenceOptions{}};
   uint64_t version = 0;
-  /** All hosts as of an earlier version of its own, for nodes that are too far behind. */
+  /** All hosts at an earlier version of this copy, for nodes that are too far behind. */
   std::vector<HostEvent> offered;
   uint64_t offeredVersion = 0;
 
-  void readLaggingList(TimePoint now, const History& history, uint64_t revision) {
+  void readStaleList(TimePoint now, const History& history, uint64_t revision) {
     for (StoreObject& object : history.list(revision)) {
       copy.apply(now, std::move(object));
     }
@@ -138,7 +139,10 @@
     }
     version = history.revision();
   }
-  /** An offer serves for as long as the changes after it are known, and those who know less. */
+  /**
+   * An offer is valid as long as the changes after it are known, and only for nodes with an older
+   * version.
+   */
   void prepareOffer(uint64_t since) {
     if (!copy.reaches(offeredVersion) || offeredVersion < since) {
       offered = copy.registeredHosts();
@@ -158,7 +162,7 @@
     copy.apply(now, now, version, changes);
     version = std::max(version, peer.version);
   }
-  /** @return whether it holds what the store had at its version, or something newer. */
+  /** @return whether the copy holds what the store had at its version, or something newer. */
   bool holds(const History& history) const {
     std::map<std::string, uint64_t> held;
     for (const StoreObject& object : copy.page(StoreKind::kHosts).objects) {
@@ -171,7 +175,7 @@
       const bool same =
           found != held.end() && there && !there->gone && found->second == there->revision;
       const bool absent = found == held.end() && (!there || there->gone);
-      // It may have heard of a host's end that came after its version.
+      // It may already have received the removal of a host after its version.
       const auto now = history.at(host, history.revision());
       const bool endedLater = found == held.end() && now && now->gone;
       const bool appearedLater = found != held.end() && !there;
@@ -183,8 +187,8 @@
   }
 };
 
-/** @return whether every copy kept its promise after every step. */
-bool keepsItsPromise(uint64_t seed) {
+/** @return whether every copy satisfied the invariant after every step. */
+bool keepsInvariant(uint64_t seed) {
   RandomSource random(seed);
   History history;
   std::vector<Copy> copies(kCopies);
@@ -193,7 +197,7 @@
     history.change(host, random);
   }
   for (Copy& copy : copies) {
-    copy.readLaggingList(now, history, 1 + random.below(history.revision()));
+    copy.readStaleList(now, history, 1 + random.below(history.revision()));
   }
   for (int step = 0; step < kSteps; ++step) {
     now += std::chrono::milliseconds(random.below(100));
@@ -224,8 +228,8 @@
 
 TEST_GROUP_BASE(StoreCopyProperty, test::WithoutLeakDetection){};
 
-TEST(StoreCopyProperty, NoCopyIsEverOlderThanItClaims) {
+TEST(StoreCopyProperty, NoCopyIsOlderThanItsClaimedVersion) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    CHECK_TRUE_TEXT(keepsItsPromise(seed), ("seed " + std::to_string(seed)).c_str());
+    CHECK_TRUE_TEXT(keepsInvariant(seed), ("seed " + std::to_string(seed)).c_str());
   }
 }
--- a/test/platform/store/store_copy_test.cc
+++ b/test/platform/store/store_copy_test.cc
@@ -1,4 +1,4 @@
-/** @file What entries that are not of their form do to the hosts that a node knows. */
+/** @file Tests the effect of invalid entries on the hosts that a node knows. */
 #include "platform/store/store_copy.h"
 
 #include "test/support/without_leak_detection.h"
@@ -31,7 +31,7 @@
     copy.settle(now);
     return isRead;
   }
-  /** The hosts i-1 and i-2 have ended. */
+  /** The hosts i-1 and i-2 have been removed. */
   static PeerChanges bothEnded() {
     PeerChanges changes;
     changes.hostsVersion = 5;
@@ -67,7 +67,10 @@
   }
 };
 
-/** Guards against flows on leaving hosts: what readers tell is as old as the question before. */
+/**
+ * Guards against flows to hosts that are shutting down: changes that a reader reports may have
+ * happened any time since the previous request.
+ */
 TEST(StoreCopyEntries, VanishedHostsAreGrantedTimeFromTheLastAnswerThatHadThem) {
   write("i-2", 3, R"("state":"ready")");
   PeerChanges none;
@@ -82,7 +85,7 @@
   LONGS_EQUAL(0, activeHosts());
 }
 
-TEST(StoreCopyEntries, WhatTheStoreItselfTellsHappenedJustNow) {
+TEST(StoreCopyEntries, ChangesReadFromTheStoreCountAsCurrent) {
   write("i-2", 3, R"("state":"ready")");
   copy.apply(now, now, 3, PeerChanges{});
   copy.onOwnReading();
@@ -92,19 +95,19 @@
   LONGS_EQUAL(2, activeHosts());
 }
 
-TEST(StoreCopyEntries, AnUnknownStateTakesAHostOutOfUseUntilItsNextWrite) {
+TEST(StoreCopyEntries, AnUnknownStateWithdrawsAHostUntilItsNextWrite) {
   CHECK_FALSE(write("i-1", 3, R"("state":"odd")"));
   CHECK_TRUE(host().state == HostState::kDraining);
   CHECK_TRUE(write("i-1", 4, R"("state":"ready")"));
   CHECK_TRUE(host().state == HostState::kActive);
 }
 
-TEST(StoreCopyEntries, OtherUnreadableEntriesLeaveAKnownHostAsItIs) {
+TEST(StoreCopyEntries, OtherUnreadableEntriesDoNotChangeAKnownHost) {
   CHECK_FALSE(write("i-1", 3, R"("state":"ready","slots":"two")"));
   CHECK_TRUE(host().state == HostState::kActive);
 }
 
-TEST(StoreCopyEntries, NobodyIsEndedByAnEntryThatNamesNoHost) {
+TEST(StoreCopyEntries, AnEntryWithoutANameRemovesNoHost) {
   write("i-2", 3, R"("state":"odd")");
   write("i-xyz", 4, R"("state":"ready")");
   write("i-3", 5, R"("state":"ready")", "not-configured");
@@ -112,7 +115,7 @@
   CHECK_TRUE(host().state == HostState::kActive);
 }
 
-TEST(StoreCopyEntries, ANewLifeTakesTheDrainMarkAway) {
+TEST(StoreCopyEntries, ANewIncarnationClearsTheDrainingState) {
   write("i-1", 3, R"("state":"draining","born":1000)");
   CHECK_TRUE(host().state == HostState::kDraining);
   write("i-1", 4, R"("state":"ready","born":2000)");
--- a/test/platform/store/store_messages_property.cc
+++ b/test/platform/store/store_messages_property.cc
@@ -1,6 +1,6 @@
 /**
- * @file Answers of the store with bytes changed, elements added and cut off: they never name a host
- * that the valid entries don't name.
+ * @file Property test: answers of the store with changed bytes, added elements or truncation never
+ * name a host that the valid entries do not name.
  */
 #include <rapidcheck.h>
 
@@ -54,7 +54,7 @@
 
 TEST_GROUP_BASE(StoreMessagesProperty, test::WithoutLeakDetection){};
 
-TEST(StoreMessagesProperty, ForeignEntriesTakeNoOtherWithThemAndNameNoHost) {
+TEST(StoreMessagesProperty, ForeignEntriesAffectNoOtherEntryAndNameNoHost) {
   CHECK_TRUE(rc::check([] {
     const auto picks = *rc::gen::container<std::vector<int>>(rc::gen::inRange(-5, 13));
     std::set<std::string> valid;
@@ -79,7 +79,7 @@
   }));
 }
 
-TEST(StoreMessagesProperty, ChangedBytesOutsideOfAHostsOwnEntryNameNoOtherHost) {
+TEST(StoreMessagesProperty, ChangedBytesOutsideAHostsEntryNameNoOtherHost) {
   const std::string body = R"({"items":[)" + entryOf(1) + ",{\"odd\":[\"text\",{}]}," + entryOf(2) +
                            R"(],"more":false,"at":9})";
   const size_t begin = body.find("{\"odd");
--- a/test/platform/store/store_messages_test.cc
+++ b/test/platform/store/store_messages_test.cc
@@ -1,5 +1,4 @@
-/** @file Answers of the users' store that have not their form: refused as a whole, or object by
- * object. */
+/** @file Tests invalid answers of the users' store, which are rejected as a whole or per object. */
 #include "platform/store/store_messages.h"
 
 #include <string>
@@ -17,7 +16,7 @@
          specification + R"(}],"more":false,"at":9})";
 }
 
-bool isRefused(const std::string& body) {
+bool isRejected(const std::string& body) {
   return !isOk(decodePage(StoreKind::kHosts, body));
 }
 
@@ -31,7 +30,7 @@
 
 TEST_GROUP(StoreMessages){};
 
-TEST(StoreMessages, ReadsAHostWithItsRevisions) {
+TEST(StoreMessages, DecodesAHostWithItsRevisions) {
   const auto decoded = decodePage(StoreKind::kHosts, page(kHost));
   CHECK_TRUE(isOk(decoded));
   const StoreObject& object = valueOf(decoded).objects.at(0);
@@ -41,19 +40,19 @@
   LONGS_EQUAL(2, std::get<RegisteredHost>(object.specification).slots);
 }
 
-TEST(StoreMessages, RefusesAnAnswerOfAnotherForm) {
-  CHECK_TRUE(isRefused(""));
-  CHECK_TRUE(isRefused("[]"));
-  CHECK_TRUE(isRefused("{}"));
-  CHECK_TRUE(isRefused(page(kHost) + "x"));
-  CHECK_TRUE(isRefused(R"({"items":[],"more":"no","at":9})"));
-  CHECK_TRUE(isRefused(R"({"items":[],"more":false,"at":-9})"));
-  CHECK_TRUE(isRefused(R"({"items":[],"more":false})"));
-  // Nothing to continue after.
-  CHECK_TRUE(isRefused(R"({"items":[7],"more":true,"at":9})"));
+TEST(StoreMessages, RejectsAnAnswerOfAnotherForm) {
+  CHECK_TRUE(isRejected(""));
+  CHECK_TRUE(isRejected("[]"));
+  CHECK_TRUE(isRejected("{}"));
+  CHECK_TRUE(isRejected(page(kHost) + "x"));
+  CHECK_TRUE(isRejected(R"({"items":[],"more":"no","at":9})"));
+  CHECK_TRUE(isRejected(R"({"items":[],"more":false,"at":-9})"));
+  CHECK_TRUE(isRejected(R"({"items":[],"more":false})"));
+  // There is no name to continue after.
+  CHECK_TRUE(isRejected(R"({"items":[7],"more":true,"at":9})"));
 }
 
-TEST(StoreMessages, AnElementThatIsNoObjectOrNoJsonLeavesTheOthers) {
+TEST(StoreMessages, AnInvalidElementDoesNotAffectTheOthers) {
   const std::string good = R"({"meta":{"name":"i-1","revision":7,"made":3},"spec":)" + kHost + "}";
   for (const std::string& bad :
        {std::string("7"), std::string("null"), std::string("[]"), std::string("{}"),
@@ -80,7 +79,7 @@
   }
 }
 
-TEST(StoreMessages, AnEndWhoseRevisionIsUnreadableIsStillOne) {
+TEST(StoreMessages, ADeletionWithAnUnreadableRevisionIsApplied) {
   const auto changes = decodeChanges(
       StoreKind::kHosts,
       R"({"events":[{"gone":true,"object":{"meta":{"name":"i-1","revision":"x"}}}],"at":9})");
@@ -89,7 +88,7 @@
   LONGS_EQUAL(9, valueOf(changes).events.at(0).revision);
 }
 
-TEST(StoreMessages, AnEvacuationSaysAllByItsName) {
+TEST(StoreMessages, AnEvacuationNeedsOnlyItsName) {
   const auto page =
       decodePage(StoreKind::kEvacuations,
                  R"({"items":[{"meta":{"name":"bole","revision":"x"}}],"more":false,"at":9})");
@@ -97,7 +96,7 @@
   CHECK_TRUE(std::holds_alternative<Evacuation>(valueOf(page).objects.at(0).specification));
 }
 
-TEST(StoreMessages, AnUnknownStateIsNeitherReadyNorADrainMark) {
+TEST(StoreMessages, AnUnknownStateIsNeitherReadyNorDraining) {
   for (const char* state : {"Ready", "starting", ""}) {
     const auto decoded = decodePage(
         StoreKind::kHosts, page(R"({"service":"s","address":"10.0.0.1:80","zone":"b","state":")" +
@@ -108,7 +107,7 @@
   }
 }
 
-TEST(StoreMessages, ReadsABirthWhereverTheEntrySaysItAtTheTop) {
+TEST(StoreMessages, ReadsTheStartTimeFromEitherOfItsPlaces) {
   const auto birthIn = [](const std::string& body) {
     const auto decoded = decodePage(StoreKind::kHosts, body);
     return std::get<RegisteredHost>(valueOf(decoded).objects.at(0).specification)
@@ -124,14 +123,14 @@
   }
 }
 
-TEST(StoreMessages, SurvivesNestingOfAnyDepth) {
+TEST(StoreMessages, AcceptsNestingOfAnyDepth) {
   constexpr size_t kDepth = 1000000;
-  CHECK_TRUE(isRefused(std::string(kDepth, '[')));
+  CHECK_TRUE(isRejected(std::string(kDepth, '[')));
   const std::string nested = std::string(kDepth, '[') + std::string(kDepth, ']');
   CHECK_TRUE(isUnreadable(StoreKind::kHosts, nested));
 }
 
-TEST(StoreMessages, AnObjectOfAnotherFormIsUnreadableAlone) {
+TEST(StoreMessages, AnObjectOfAnotherFormIsUnreadableByItself) {
   for (
       const char* specification :
       {"7", "{}", R"({"service":7,"address":"10.0.0.1:80","zone":"b","state":"ready"})",
--- a/test/platform/store/zone_reader_test.cc
+++ b/test/platform/store/zone_reader_test.cc
@@ -1,4 +1,7 @@
-/** @file Nodes of one zone: one reads the store, the others follow it, and do without it. */
+/**
+ * @file Tests the nodes of one zone: one reads the store, the others follow it, and they keep
+ * working without it.
+ */
 #include <algorithm>
 #include <atomic>
 #include <memory>
@@ -22,12 +25,12 @@
 constexpr Endpoint kAnyPort{0x7F000001, 0};
 constexpr uint32_t kNodes = 7;
 /** A smaller zone has no reader. */
-constexpr uint32_t kFewestNodes = 6;
-/** The bound within which a change must be effective; the nodes' periods are parts of it. */
+constexpr uint32_t kMinNodes = 6;
+/** Bound within which a change must take effect; the intervals of the nodes are fractions of it. */
 constexpr Duration kChangeBound = milliseconds(1500);
-/** Objects of a page of the store's list. */
+/** Objects per page of the store's list. */
 constexpr size_t kPageSize = 100;
-/** Of the zones that start at once. */
+/** Number of nodes in zones that start all at once. */
 constexpr size_t kNodesPerReaderOfStart = 4;
 constexpr size_t kReadersOfStart = 4;
 
@@ -49,7 +52,9 @@
   return "i-" + std::to_string(index);
 }
 
-/** A node without packets: its copy of the store, and the port at which peers ask it. */
+/**
+ * A node without packet processing: its copy of the store, and the port on which it answers peers.
+ */
 class Node {
  public:
   Node(uint32_t number, const Endpoint& store, bool followsEvacuations = false,
@@ -73,10 +78,10 @@
   Node& operator=(const Node&) = delete;
 
   Endpoint peerAddress() const { return port_->local(); }
-  /** Nodes that it asks while the store is silent. */
+  /** Seeds: nodes it sends requests to while the store is unresponsive. */
   void setSeeds(std::vector<Endpoint> seeds) { options_.peers = std::move(seeds); }
-  /** How long it waits for peers before it lists the store, for each step of its rank. */
-  void setListPatience(Duration peerWait) { options_.firstList.peerWait = peerWait; }
+  /** How long it waits for peers before it lists the store, per step of its rank. */
+  void setPeerWait(Duration peerWait) { options_.firstList.peerWait = peerWait; }
   void begin() {
     adapter_ = std::make_unique<ObjectStoreAdapter>(options_);
     thread_ = std::thread([this] { loop_.run(); });
@@ -86,17 +91,17 @@
     return R"({"zone":"bole","peer_address":")" + toString(port_->local()) + R"(","capacity":)" +
            std::to_string(options_.self->capacity) + "}";
   }
-  /** Peers that ask get no answer; their connections stay. */
-  void fallSilent() { silent_ = true; }
+  /** Requests from peers get no answer, but their connections stay open. */
+  void stopAnswering() { silent_ = true; }
   bool readsStore() const { return adapter_->status().readsStore; }
   uint64_t configurationVersion() const { return adapter_->status().configurationVersion; }
   uint64_t failures() const { return adapter_->status().failures; }
   uint64_t peerConfirmations() const { return adapter_->status().peerConfirmations; }
   ObservationExchange& observations() { return observations_; }
-  /** Pages of lists of the store, those of nodes not counted. */
+  /** Number of pages it listed from the store, except those of nodes. */
   uint64_t lists() const { return adapter_->status().lists; }
   uint64_t answeredPeerRequests() const { return adapter_->status().answeredPeerRequests; }
-  /** How often it encoded all hosts for others. */
+  /** How many times it encoded all hosts for other nodes. */
   uint64_t hostCopies() const { return adapter_->status().hostCopies; }
 
   EvacuatedZones evacuated() {
@@ -112,7 +117,7 @@
     return {};
   }
 
-  /** @return hosts that take new flows; none before the node is ready. */
+  /** @return the number of hosts that accept new flows; 0 before the node is ready. */
   size_t activeHosts() {
     const auto all = adapter_->list();
     if (!isOk(all)) {
@@ -188,7 +193,7 @@
 
 TEST_GROUP_BASE(ZoneReader, test::WithoutLeakDetection) {
   test::StandinStore store{kPageSize};
-  /** What the reader alone is cut off from, where a test says so. */
+  /** A store used only by the reader, in tests that cut off only the reader. */
   test::StandinStore readersStore{kPageSize};
   std::vector<std::unique_ptr<Node>> nodes;
   bool followsEvacuations = false;
@@ -206,9 +211,9 @@
       nodes.push_back(std::make_unique<Node>(number, store.address(), followsEvacuations));
       nodes.back()->begin();
     }
-    // Every node has entered itself, knows of the others, and has been answered by the reader.
-    CHECK_TRUE(soon([&] { return store.calls().others == count; }));
-    CHECK_TRUE(soon(
+    // Every node has registered itself, has listed the others, and has been answered by the reader.
+    CHECK_TRUE(holdsWithin([&] { return store.calls().others == count; }));
+    CHECK_TRUE(holdsWithin(
         [&] { return readers() == 1 && nodes.front()->readsStore() && confirmed() == count - 1; }));
   }
   size_t confirmed() {
@@ -226,14 +231,14 @@
     return reading;
   }
   template <class Condition>
-  bool soon(const Condition& condition, Duration longest = seconds(10)) {
-    const TimePoint deadline = steadyNow() + longest;
+  bool holdsWithin(const Condition& condition, Duration timeout = seconds(10)) {
+    const TimePoint deadline = steadyNow() + timeout;
     while (!condition() && steadyNow() < deadline) {
       std::this_thread::sleep_for(milliseconds(5));
     }
     return condition();
   }
-  /** Makes nodes that are in the zone's list already, as after a loss of power. */
+  /** Creates nodes that are already in the zone's list, as after a power loss. */
   void registerNodes(uint32_t count) {
     for (uint32_t number = 1; number <= count; ++number) {
       nodes.push_back(
@@ -242,8 +247,8 @@
                           nodes.back()->entry());
     }
   }
-  bool allSee(size_t hosts) {
-    return soon([&] {
+  bool allHaveActiveHosts(size_t hosts) {
+    return holdsWithin([&] {
       bool all = true;
       for (const auto& node : nodes) {
         all = all && node->activeHosts() == hosts;
@@ -251,86 +256,86 @@
       return all;
     });
   }
-  bool allKnow(const EvacuatedZones& zones, Duration longest) {
+  bool allHaveEvacuated(const EvacuatedZones& zones, Duration timeout) {
     const auto knows = [&](const auto& node) { return node->evacuated() == zones; };
-    return soon([&] { return std::all_of(nodes.begin(), nodes.end(), knows); }, longest);
+    return holdsWithin([&] { return std::all_of(nodes.begin(), nodes.end(), knows); }, timeout);
   }
   void drain(uint32_t index) {
     store.objects().set("servers", hostName(index), hostEntry(index, "draining"));
   }
 };
 
-TEST(ZoneReader, OneNodeReadsForTheOthers) {
+TEST(ZoneReader, OneNodeReadsTheStoreForTheOthers) {
   startAll();
-  CHECK_TRUE(allSee(4));
+  CHECK_TRUE(allHaveActiveHosts(4));
   const uint64_t watches = store.calls().watches;
   drain(1);
-  CHECK_TRUE(allSee(3));
+  CHECK_TRUE(allHaveActiveHosts(3));
   store.objects().set("config", "main", configuration(4));
   for (const auto& node : nodes) {
-    CHECK_TRUE(soon([&] { return node->configurationVersion() == 4; }));
+    CHECK_TRUE(holdsWithin([&] { return node->configurationVersion() == 4; }));
   }
-  // Each kind's watch is answered once and made once more, by the reader alone.
+  // The watch of each kind is answered once and reissued once, by the reader alone.
   LONGS_EQUAL(watches + 2, store.calls().watches);
   CHECK_EQUAL(1U, readers());
 }
 
-TEST(ZoneReader, NodesHearWhatTheOthersSeeOfHosts) {
+TEST(ZoneReader, NodesReceiveObservationsOfOtherNodes) {
   startAll();
   constexpr uint32_t kLateHost = 77;
-  bool heard = false;
-  const auto isHeard = [&] {
-    // Each sees the host once in a while; none of them often enough to judge it.
+  bool received = false;
+  const auto isReceived = [&] {
+    // Each node observes the host occasionally, but no single node often enough to judge it.
     for (size_t index = 1; index < 4; ++index) {
       nodes[index]->observations().add(steadyNow(), {{kLateHost, 5.0}}, {});
     }
     const auto news = nodes.back()->observations().takeUpdate();
-    heard = heard ||
-            (news && news->standings.size() == 1 && news->standings.front().token == kLateHost);
-    return heard;
+    received = received ||
+               (news && news->standings.size() == 1 && news->standings.front().token == kLateHost);
+    return received;
   };
-  CHECK_TRUE(soon(isHeard));
+  CHECK_TRUE(holdsWithin(isReceived));
 }
 
-TEST(ZoneReader, NodesHearSoonOfAHostThatIsSilentToTwoOfThem) {
+TEST(ZoneReader, NodesQuicklyLearnOfAHostUnresponsiveToTwoOfThem) {
   startAll();
   constexpr uint32_t kSilentHost = 78;
-  bool heard = false;
+  bool received = false;
   const TimePoint began = steadyNow();
   for (uint32_t index = 1; index <= 2; ++index) {
     nodes[index]->observations().add(
         began, {}, {{kSilentHost, std::nullopt, 2, {index}, began - milliseconds(200), began}});
   }
-  const auto isHeard = [&] {
+  const auto isReceived = [&] {
     const auto news = nodes.back()->observations().takeUpdate();
-    heard = heard || (news && news->silentHosts.size() == 1 &&
-                      news->silentHosts.front().token == kSilentHost);
-    return heard;
+    received = received || (news && news->silentHosts.size() == 1 &&
+                            news->silentHosts.front().token == kSilentHost);
+    return received;
   };
-  CHECK_TRUE(soon(isHeard));
+  CHECK_TRUE(holdsWithin(isReceived));
 }
 
-TEST(ZoneReader, AReaderThatEndsIsReplacedWithinTheBound) {
+TEST(ZoneReader, AStoppedReaderIsReplacedWithinTheBound) {
   startAll();
   nodes.erase(nodes.begin());
   const TimePoint lost = steadyNow();
   drain(1);
-  CHECK_TRUE(allSee(3));
+  CHECK_TRUE(allHaveActiveHosts(3));
   CHECK_TRUE(steadyNow() - lost < kChangeBound);
-  CHECK_TRUE(soon([this] { return readers() == 1; }, seconds(20)));
+  CHECK_TRUE(holdsWithin([this] { return readers() == 1; }, seconds(20)));
 }
 
-TEST(ZoneReader, AReaderThatFallsSilentIsReplacedWithinTheBound) {
+TEST(ZoneReader, AnUnresponsiveReaderIsReplacedWithinTheBound) {
   startAll();
-  nodes.front()->fallSilent();
+  nodes.front()->stopAnswering();
   const TimePoint lost = steadyNow();
   drain(1);
-  CHECK_TRUE(allSee(3));
+  CHECK_TRUE(allHaveActiveHosts(3));
   CHECK_TRUE(steadyNow() - lost < kChangeBound);
 }
 
-/** The reader answers, but what it holds grows old. */
-TEST(ZoneReader, AReaderThatIsCutOffFromTheStoreIsNotRelied) {
+/** The reader responds, but its state becomes stale. */
+TEST(ZoneReader, AReaderDisconnectedFromTheStoreIsNotFollowed) {
   nodes.push_back(std::make_unique<Node>(1, readersStore.address()));
   nodes.back()->begin();
   for (uint32_t number = 2; number <= kNodes; ++number) {
@@ -339,7 +344,7 @@
     readersStore.objects().set("balancers-bole", "node-" + std::to_string(number),
                                R"({"zone":"bole","peer_address":"127.0.0.1:9","capacity":1})");
   }
-  CHECK_TRUE(soon([this] { return nodes.front()->readsStore(); }));
+  CHECK_TRUE(holdsWithin([this] { return nodes.front()->readsStore(); }));
   test::StandinFaults cut;
   cut.mood = test::StoreMood::kSilent;
   readersStore.setFaults(cut);
@@ -347,18 +352,18 @@
   const TimePoint changed = steadyNow();
   drain(1);
   nodes.erase(nodes.begin());
-  CHECK_TRUE(allSee(3));
+  CHECK_TRUE(allHaveActiveHosts(3));
   CHECK_TRUE(steadyNow() - changed < kChangeBound);
 }
 
-TEST(ZoneReader, AnOutageOfTheStoreTakesNothingBackAndEndsForAll) {
+TEST(ZoneReader, AStoreOutageRevertsNothingAndAllNodesRecover) {
   startAll();
   test::StandinFaults down;
   down.mood = test::StoreMood::kReset;
   store.setFaults(down);
   std::this_thread::sleep_for(kChangeBound);
-  CHECK_TRUE(allSee(4));
-  // All but the reader, and the two that may have been asked in its place, only probe.
+  CHECK_TRUE(allHaveActiveHosts(4));
+  // All nodes only probe, except the reader and the two that may have been asked in its place.
   size_t calling = 0;
   for (const auto& node : nodes) {
     calling += node->failures() > 0 ? 1 : 0;
@@ -367,27 +372,29 @@
   drain(2);
   const TimePoint back = steadyNow();
   store.setFaults({});
-  CHECK_TRUE(allSee(3));
+  CHECK_TRUE(allHaveActiveHosts(3));
   CHECK_TRUE(steadyNow() - back < kChangeBound);
-  CHECK_TRUE(soon([this] { return readers() == 1; }, seconds(20)));
+  CHECK_TRUE(holdsWithin([this] { return readers() == 1; }, seconds(20)));
 }
 
-/** The reader's watches wait and have had nothing to answer since: that is no reason to doubt it.
+/**
+ * The reader's watches are pending and have had no event to return since the outage; this must not
+ * count as a failure of the reader.
  */
-TEST(ZoneReader, AfterAnOutageInWhichNothingChangedTheReaderIsFollowedAgainSoon) {
-  // More connections would outgrow POCO's pool of buffers, which leak detection does not bear.
-  startAll(kFewestNodes);
+TEST(ZoneReader, TheReaderIsFollowedAgainSoonAfterAnOutageWithoutChanges) {
+  // More connections would exceed POCO's buffer pool, which the leak detection would report.
+  startAll(kMinNodes);
   test::StandinFaults down;
   down.mood = test::StoreMood::kReset;
   store.setFaults(down);
-  store.objects().endWaiting();
+  store.objects().endWatches();
   std::this_thread::sleep_for(kChangeBound / 2);
   std::vector<uint64_t> before;
   for (const auto& node : nodes) {
     before.push_back(node->peerConfirmations());
   }
   store.setFaults({});
-  CHECK_TRUE(soon(
+  CHECK_TRUE(holdsWithin(
       [&] {
         bool all = true;
         for (size_t index = 1; index < nodes.size(); ++index) {
@@ -398,34 +405,37 @@
       2 * kChangeBound));
 }
 
-/** It knows nothing of what happened before its list: the reader tells it everything. */
-TEST(ZoneReader, ANodeThatStartsLaterFollowsToo) {
+/** The node knows no changes before its list, so the reader sends it everything. */
+TEST(ZoneReader, ANodeThatStartsLaterFollowsTheReader) {
   startAll();
   drain(1);
   store.objects().remove("servers", hostName(2), 0);
-  CHECK_TRUE(allSee(2));
+  CHECK_TRUE(allHaveActiveHosts(2));
   nodes.push_back(std::make_unique<Node>(kNodes + 1, store.address()));
   nodes.back()->begin();
-  CHECK_TRUE(allSee(2));
-  CHECK_TRUE(soon([this] { return !nodes.back()->readsStore(); }));
+  CHECK_TRUE(allHaveActiveHosts(2));
+  CHECK_TRUE(holdsWithin([this] { return !nodes.back()->readsStore(); }));
   store.objects().set("servers", hostName(9), hostEntry(9));
-  CHECK_TRUE(allSee(3));
+  CHECK_TRUE(allHaveActiveHosts(3));
 }
 
-/** Hundreds of nodes that start together would fill the store's link with their lists. */
-TEST(ZoneReader, ANodeThatStartsTakesEverythingFromItsReaderAndListsNothing) {
+/** Lists of hundreds of nodes that start together would saturate the store's link. */
+TEST(ZoneReader, AStartingNodeCopiesFromItsReaderAndListsNothing) {
   startAll();
   drain(1);
-  CHECK_TRUE(allSee(3));
+  CHECK_TRUE(allHaveActiveHosts(3));
   nodes.push_back(std::make_unique<Node>(kNodes + 1, store.address()));
   nodes.back()->begin();
-  CHECK_TRUE(allSee(3));
+  CHECK_TRUE(allHaveActiveHosts(3));
   LONGS_EQUAL(0, nodes.back()->lists());
   LONGS_EQUAL(3, nodes.back()->configurationVersion());
 }
 
-/** The list takes longer than a node waits for a reader that tells nothing: 30 pages of 30 ms. */
-TEST(ZoneReader, AllThatStartAtOnceTakeOneListOfTheStore) {
+/**
+ * The list takes longer than a node waits for a reader that reports no progress: 30 pages of 30 ms
+ * each.
+ */
+TEST(ZoneReader, NodesThatStartTogetherListTheStoreOnce) {
   constexpr uint32_t kStarting = 16;
   constexpr uint32_t kHosts = 3000;
   constexpr size_t kPages = kHosts / kPageSize;
@@ -439,87 +449,90 @@
   for (const auto& node : nodes) {
     node->begin();
   }
-  CHECK_TRUE(allSee(kHosts));
+  CHECK_TRUE(allHaveActiveHosts(kHosts));
   uint64_t pages = 0;
   uint64_t copies = 0;
   for (const auto& node : nodes) {
     pages += node->lists();
     copies += node->hostCopies();
   }
-  // The configuration is a page, too. Four nodes read, and pass on what one of them listed: each
+  // The configuration is also one page. Four nodes read and pass on what one of them listed; each
   // of them encodes it once.
   LONGS_EQUAL(kPages + 1, pages);
   CHECK_TRUE(copies <= kReadersOfStart);
 }
 
-/** Nobody answers anybody: the readers list, and as many behind them, before the others do. */
-TEST(ZoneReader, WhereNoPeerTellsAnythingNodesListByTurns) {
+/**
+ * No node answers another: the readers list first, then as many nodes behind them, before all
+ * others.
+ */
+TEST(ZoneReader, WithoutAnsweringPeersNodesListInOrderOfRank) {
   constexpr uint32_t kStarting = 16;
-  constexpr Duration kPatience = seconds(2);
+  constexpr Duration kPeerWait = seconds(2);
   registerNodes(kStarting);
   for (const auto& node : nodes) {
-    node->fallSilent();
-    node->setListPatience(kPatience);
+    node->stopAnswering();
+    node->setPeerWait(kPeerWait);
     node->begin();
   }
   const auto listing = [this] {
     return std::count_if(nodes.begin(), nodes.end(),
                          [](const auto& node) { return node->lists() > 0; });
   };
-  std::this_thread::sleep_for(kPatience * 3 / 2);
+  std::this_thread::sleep_for(kPeerWait * 3 / 2);
   CHECK_EQUAL(2 * static_cast<std::ptrdiff_t>(kReadersOfStart), listing());
-  CHECK_TRUE(allSee(4));
+  CHECK_TRUE(allHaveActiveHosts(4));
 }
 
-TEST(ZoneReader, ANodeWhoseReaderIsGoneListsTheStoreItself) {
+TEST(ZoneReader, ANodeWithoutItsReaderListsTheStoreItself) {
   startAll();
   nodes.erase(nodes.begin(), nodes.end() - 1);
   nodes.push_back(std::make_unique<Node>(kNodes + 1, store.address()));
   nodes.back()->begin();
-  CHECK_TRUE(allSee(4));
+  CHECK_TRUE(allHaveActiveHosts(4));
 }
 
-/** One seed refuses, the other holds what it had before the outage. */
-TEST(ZoneReader, InAnOutageANodeTakesWhatASeedHoldsAndDropsWhatTheStoreThenLacks) {
-  startAll(kFewestNodes);
+/** One seed rejects the request, the other holds the state from before the outage. */
+TEST(ZoneReader, CopiesFromASeedInAnOutageAndLaterDropsWhatTheStoreLacks) {
+  startAll(kMinNodes);
   test::StandinFaults silent;
   silent.mood = test::StoreMood::kSilent;
   store.setFaults(silent);
   store.objects().remove("servers", hostName(4), 0);
-  nodes.push_back(std::make_unique<Node>(kFewestNodes + 1, store.address()));
+  nodes.push_back(std::make_unique<Node>(kMinNodes + 1, store.address()));
   constexpr Endpoint kRefusing{0x7F000001, 9};
   nodes.back()->setSeeds({kRefusing, nodes.front()->peerAddress()});
   nodes.back()->begin();
-  CHECK_TRUE(soon([this] { return nodes.back()->activeHosts() == 4; }));
+  CHECK_TRUE(holdsWithin([this] { return nodes.back()->activeHosts() == 4; }));
   LONGS_EQUAL(3, nodes.back()->configurationVersion());
   LONGS_EQUAL(0, nodes.back()->lists());
   store.setFaults({});
-  CHECK_TRUE(allSee(3));
+  CHECK_TRUE(allHaveActiveHosts(3));
 }
 
-TEST(ZoneReader, EveryNodeHearsOfEvacuationsAndOfTheirEnds) {
+TEST(ZoneReader, EveryNodeLearnsOfEvacuationsAndTheirEnds) {
   followsEvacuations = true;
-  // More connections would outgrow POCO's pool of buffers, which leak detection does not bear.
-  startAll(kFewestNodes);
+  // More connections would exceed POCO's buffer pool, which the leak detection would report.
+  startAll(kMinNodes);
   const EvacuatedZones both{{"bole", "merkato"}};
   store.objects().set("evacuations", "bole", "{}");
   store.objects().set("evacuations", "merkato", "{}");
-  CHECK_TRUE(allKnow(both, kChangeBound));
-  // A node that starts knows them before it is ready.
-  nodes.push_back(std::make_unique<Node>(kFewestNodes + 1, store.address(), true));
+  CHECK_TRUE(allHaveEvacuated(both, kChangeBound));
+  // A node that starts knows the evacuations before it is ready.
+  nodes.push_back(std::make_unique<Node>(kMinNodes + 1, store.address(), true));
   nodes.back()->begin();
-  CHECK_TRUE(soon([&] { return nodes.back()->activeHosts() == 4; }));
+  CHECK_TRUE(holdsWithin([&] { return nodes.back()->activeHosts() == 4; }));
   CHECK_TRUE(nodes.back()->evacuated() == both);
   store.objects().remove("evacuations", "bole", 0);
-  CHECK_TRUE(allKnow({{"merkato"}}, kChangeBound));
+  CHECK_TRUE(allHaveEvacuated({{"merkato"}}, kChangeBound));
 }
 
-TEST(ZoneReader, EvacuationsOfAnOutageAreKnownAfterIt) {
+TEST(ZoneReader, EvacuationsDuringAnOutageAreKnownAfterIt) {
   followsEvacuations = true;
-  startAll(kFewestNodes);
+  startAll(kMinNodes);
   store.objects().set("evacuations", "merkato", "{}");
-  CHECK_TRUE(allKnow({{"merkato"}}, kChangeBound));
-  // Taken back and set again while nobody can hear of it.
+  CHECK_TRUE(allHaveEvacuated({{"merkato"}}, kChangeBound));
+  // Removed and created again while no node receives updates.
   test::StandinFaults outage;
   outage.mood = test::StoreMood::kSilent;
   store.setFaults(outage);
@@ -527,23 +540,25 @@
   store.objects().set("evacuations", "bole", "{}");
   std::this_thread::sleep_for(milliseconds(300));
   store.setFaults({});
-  CHECK_TRUE(allKnow({{"bole"}}, 2 * kChangeBound));
+  CHECK_TRUE(allHaveEvacuated({{"bole"}}, 2 * kChangeBound));
 }
 
-/** While probes go unanswered, nodes are not listed; a follower stops probing once its reader is
- * back. */
-TEST(ZoneReader, FollowersGoOnListingTheZonesNodesAfterAnOutage) {
-  startAll(kFewestNodes);
+/**
+ * While probes go unanswered, nodes are not listed. A follower stops probing once its reader is
+ * back.
+ */
+TEST(ZoneReader, FollowersKeepListingTheZonesNodesAfterAnOutage) {
+  startAll(kMinNodes);
   test::StandinFaults down;
   down.mood = test::StoreMood::kReset;
   store.setFaults(down);
   std::this_thread::sleep_for(2 * kChangeBound);
   store.setFaults({});
-  CHECK_TRUE(soon([this] { return readers() == 1; }, seconds(20)));
+  CHECK_TRUE(holdsWithin([this] { return readers() == 1; }, seconds(20)));
   const uint64_t lists = store.calls().staleLists;
-  // Each node lists them once a second here.
+  // Each node lists the nodes once a second in this test.
   CHECK_TRUE(
-      soon([&] { return store.calls().staleLists >= lists + 3 * kFewestNodes; }, seconds(5)));
+      holdsWithin([&] { return store.calls().staleLists >= lists + 3 * kMinNodes; }, seconds(5)));
 }
 
 TEST(ZoneReader, ASmallZoneHasNoReader) {
@@ -554,20 +569,21 @@
   std::this_thread::sleep_for(seconds(1));
   CHECK_EQUAL(5U, readers());
   drain(1);
-  CHECK_TRUE(allSee(3));
+  CHECK_TRUE(allHaveActiveHosts(3));
   for (const auto& node : nodes) {
     CHECK_EQUAL(0U, node->answeredPeerRequests());
   }
 }
 
-TEST(ZoneReader, ARegistryEntryIsMadeOnceAndReplacedWhereItDiffers) {
+TEST(ZoneReader, ARegistryEntryIsCreatedOnceAndReplacedIfItDiffers) {
   startAll();
   const uint64_t calls = store.calls().others;
   LONGS_EQUAL(kNodes, calls);
   nodes.pop_back();
   nodes.push_back(std::make_unique<Node>(kNodes, store.address()));
   nodes.back()->begin();
-  // Its port is another: the list shows the old entry, which is refused as new and then replaced.
-  CHECK_TRUE(soon([&] { return store.calls().others == calls + 2; }));
-  CHECK_TRUE(allSee(4));
+  // Its port differs: the list contains the old entry, so creating the entry is rejected and the
+  // entry is replaced.
+  CHECK_TRUE(holdsWithin([&] { return store.calls().others == calls + 2; }));
+  CHECK_TRUE(allHaveActiveHosts(4));
 }
