--- a/test/platform/store/standin_store.cc
+++ b/test/platform/store/standin_store.cc
@@ -132,7 +132,7 @@
   void stayUnanswered(std::unique_lock<std::mutex>& lock, HTTPServerRequest& request) {
     const bool forever = faults.staysSilent;
     dropWhen(lock, request,
-             [this, forever] { return !forever && faults.mood != StoreMood::kSilent; });
+             [this, forever] { return !forever && faults.responseMode != StoreResponseMode::kSilent; });
   }
 
   /**
@@ -151,16 +151,16 @@
   bool admit(HTTPServerRequest& request, HTTPServerResponse& response) {
     std::unique_lock lock(mutex);
     count(request);
-    if (faults.mood == StoreMood::kSilent) {
+    if (faults.responseMode == StoreResponseMode::kSilent) {
       stayUnanswered(lock, request);
       return false;
     }
-    if (faults.mood == StoreMood::kReset) {
+    if (faults.responseMode == StoreResponseMode::kReset) {
       dropConnection(request);
       return false;
     }
     moved.wait_for(lock, faults.slow, [this] { return stopping; });
-    if (faults.mood == StoreMood::kBusy) {
+    if (faults.responseMode == StoreResponseMode::kBusy) {
       send(response, HTTPResponse::HTTP_SERVICE_UNAVAILABLE, "{}");
       return false;
     }
@@ -226,7 +226,7 @@
       return;
     }
     std::unique_lock lock(mutex);
-    if (faults.mood != StoreMood::kAnswering) {
+    if (faults.responseMode != StoreResponseMode::kAnswering) {
       stayUnanswered(lock, request);
       return;
     }
--- a/test/platform/store/standin_store.h
+++ b/test/platform/store/standin_store.h
@@ -14,7 +14,7 @@
 namespace umberhold::test {
 
 /** How the stand-in responds to calls. */
-enum class StoreMood : uint8_t {
+enum class StoreResponseMode : uint8_t {
   kAnswering,
   /** Responds to every call with 503. */
   kBusy,
@@ -26,7 +26,7 @@
 
 /** Faults to simulate. */
 struct StandinFaults {
-  StoreMood mood = StoreMood::kAnswering;
+  StoreResponseMode responseMode = StoreResponseMode::kAnswering;
   /** Calls made in kSilent remain unanswered and open, even after the mood changes. */
   bool staysSilent = false;
   /** Delay of every answer. */
--- a/test/platform/store/standin_store_test.cc
+++ b/test/platform/store/standin_store_test.cc
@@ -90,7 +90,7 @@
 TEST(StandinStore, RespondsAfterAnOutageDespiteManyAbandonedCalls) {
   store.objects().set("config", "main", "7");
   test::StandinFaults silent;
-  silent.mood = test::StoreMood::kSilent;
+  silent.responseMode = test::StoreResponseMode::kSilent;
   silent.staysSilent = true;
   store.setFaults(silent);
   constexpr int kCalls = 200;
--- a/test/platform/store/zone_reader_test.cc
+++ b/test/platform/store/zone_reader_test.cc
@@ -346,7 +346,7 @@
   }
   CHECK_TRUE(holdsWithin([this] { return nodes.front()->readsStore(); }));
   test::StandinFaults cut;
-  cut.mood = test::StoreMood::kSilent;
+  cut.responseMode = test::StoreResponseMode::kSilent;
   readersStore.setFaults(cut);
   std::this_thread::sleep_for(kChangeBound);
   const TimePoint changed = steadyNow();
@@ -359,7 +359,7 @@
 TEST(ZoneReader, AStoreOutageRevertsNothingAndAllNodesRecover) {
   startAll();
   test::StandinFaults down;
-  down.mood = test::StoreMood::kReset;
+  down.responseMode = test::StoreResponseMode::kReset;
   store.setFaults(down);
   std::this_thread::sleep_for(kChangeBound);
   CHECK_TRUE(allHaveActiveHosts(4));
@@ -385,7 +385,7 @@
   // More connections would exceed POCO's buffer pool, which the leak detection would report.
   startAll(kMinNodes);
   test::StandinFaults down;
-  down.mood = test::StoreMood::kReset;
+  down.responseMode = test::StoreResponseMode::kReset;
   store.setFaults(down);
   store.objects().endWatches();
   std::this_thread::sleep_for(kChangeBound / 2);
@@ -496,7 +496,7 @@
 TEST(ZoneReader, CopiesFromASeedInAnOutageAndLaterDropsWhatTheStoreLacks) {
   startAll(kMinNodes);
   test::StandinFaults silent;
-  silent.mood = test::StoreMood::kSilent;
+  silent.responseMode = test::StoreResponseMode::kSilent;
   store.setFaults(silent);
   store.objects().remove("servers", hostName(4), 0);
   nodes.push_back(std::make_unique<Node>(kMinNodes + 1, store.address()));
@@ -534,7 +534,7 @@
   CHECK_TRUE(allHaveEvacuated({{"merkato"}}, kChangeBound));
   // Removed and created again while no node receives updates.
   test::StandinFaults outage;
-  outage.mood = test::StoreMood::kSilent;
+  outage.responseMode = test::StoreResponseMode::kSilent;
   store.setFaults(outage);
   store.objects().remove("evacuations", "merkato", 0);
   store.objects().set("evacuations", "bole", "{}");
@@ -550,7 +550,7 @@
 TEST(ZoneReader, FollowersKeepListingTheZonesNodesAfterAnOutage) {
   startAll(kMinNodes);
   test::StandinFaults down;
-  down.mood = test::StoreMood::kReset;
+  down.responseMode = test::StoreResponseMode::kReset;
   store.setFaults(down);
   std::this_thread::sleep_for(2 * kChangeBound);
   store.setFaults({});
--- a/test/soak/world/fault_player.cc
+++ b/test/soak/world/fault_player.cc
@@ -172,14 +172,14 @@
   test::StandinFaults faults;
   switch (fault.kind) {
     case FaultKind::kStoreBusy:
-      faults.mood = test::StoreMood::kBusy;
+      faults.responseMode = test::StoreResponseMode::kBusy;
       break;
     case FaultKind::kStoreSilent:
-      faults.mood = test::StoreMood::kSilent;
+      faults.responseMode = test::StoreResponseMode::kSilent;
       faults.staysSilent = fault.choice % 2 == 0;
       break;
     case FaultKind::kStoreResets:
-      faults.mood = test::StoreMood::kReset;
+      faults.responseMode = test::StoreResponseMode::kReset;
       break;
     case FaultKind::kStoreSlow:
       faults.slow = kStoreSlow;
@@ -200,7 +200,7 @@
     return;
   }
   storeTroubled_ = true;
-  const bool lapses = faults.mood == test::StoreMood::kSilent && fault.choice % 3 == 0;
+  const bool lapses = faults.responseMode == test::StoreResponseMode::kSilent && fault.choice % 3 == 0;
   begin("store", Cause::kUnplanned, now);
   store_.setFaults(faults);
   if (lapses) {
