--- a/test/platform/store/object_store_adapter_test.cc
+++ b/test/platform/store/object_store_adapter_test.cc
@@ -131,20 +131,20 @@
   bool followToActive(size_t count) {
     return follow([this, count] { return active() == count; });
   }
-  void setMood(test::StoreResponseMode mood) {
+  void setResponseMode(test::StoreResponseMode mode) {
     test::StandinFaults faults;
-    faults.responseMode = mood;
+    faults.responseMode = mode;
     store->setFaults(faults);
   }
   /** Simulates an outage that the adapter detects, after which the store has lost all hosts. */
-  void outage(test::StoreResponseMode mood) {
-    setMood(mood);
+  void outage(test::StoreResponseMode mode) {
+    setResponseMode(mode);
     for (int index = 1; index <= 4; ++index) {
       store->objects().remove("servers", "i-" + std::to_string(index), 0);
     }
     CHECK_TRUE(follow([this] { return adapter->status().failing; }));
     LONGS_EQUAL(4, active());
-    setMood(test::StoreResponseMode::kAnswering);
+    setResponseMode(test::StoreResponseMode::kAnswering);
   }
 
   /**
@@ -196,9 +196,9 @@
   CHECK_TRUE(followToActive(5));
   setHost(6);
   CHECK_TRUE(followToActive(6));
-  setMood(test::StoreResponseMode::kReset);
+  setResponseMode(test::StoreResponseMode::kReset);
   CHECK_TRUE(follow([this] { return adapter->status().failing; }));
-  setMood(test::StoreResponseMode::kAnswering);
+  setResponseMode(test::StoreResponseMode::kAnswering);
   setHost(7);
   CHECK_TRUE(followToActive(7));
   setHost(8);
@@ -216,9 +216,9 @@
   setHost(5);
   CHECK_TRUE(followToActive(5));
   // Since an outage, the watch for configurations has had no event to return.
-  setMood(test::StoreResponseMode::kReset);
+  setResponseMode(test::StoreResponseMode::kReset);
   CHECK_TRUE(follow([this] { return adapter->status().failures >= 2; }));
-  setMood(test::StoreResponseMode::kAnswering);
+  setResponseMode(test::StoreResponseMode::kAnswering);
   setHost(6);
   CHECK_TRUE(followToActive(6));
   std::this_thread::sleep_for(milliseconds(300));
@@ -239,10 +239,10 @@
   setHost(5);
   CHECK_TRUE(followToActive(5));
   std::this_thread::sleep_for(milliseconds(300));  // Both watches are pending.
-  setMood(test::StoreResponseMode::kReset);
+  setResponseMode(test::StoreResponseMode::kReset);
   store->objects().endWatches();
   CHECK_TRUE(follow([this] { return adapter->status().failures >= 2; }));
-  setMood(test::StoreResponseMode::kAnswering);
+  setResponseMode(test::StoreResponseMode::kAnswering);
   const uint64_t watches = store->calls().watches;
   CHECK_TRUE(follow([&] { return store->calls().watches >= watches + 2; }));
   std::this_thread::sleep_for(milliseconds(50));
@@ -292,12 +292,12 @@
   setUp(8);
   start();
   store->objects().freezeStaleReads();
-  setMood(test::StoreResponseMode::kBusy);
+  setResponseMode(test::StoreResponseMode::kBusy);
   setHost(9);
   store->objects().remove("servers", "i-1", 0);
   store->objects().set("config", "main", configuration(7, "s-one", 2));
   store->objects().forgetHistory();
-  setMood(test::StoreResponseMode::kAnswering);
+  setResponseMode(test::StoreResponseMode::kAnswering);
   CHECK_TRUE(follow([this] {
     return services.size() == 2 && active() == 8 && pools["s-one"].hosts.size() == 9;
   }));
@@ -328,10 +328,10 @@
   setUp(4);
   start();
   const uint64_t connections = store->calls().connections;
-  setMood(test::StoreResponseMode::kReset);
+  setResponseMode(test::StoreResponseMode::kReset);
   setHost(5);
   CHECK_TRUE(follow([this] { return adapter->status().failures > 2; }));
-  setMood(test::StoreResponseMode::kAnswering);
+  setResponseMode(test::StoreResponseMode::kAnswering);
   CHECK_TRUE(followToActive(5));
   CHECK_TRUE(store->calls().connections > connections);
 }
@@ -378,14 +378,14 @@
  * The peer uses another store with the same objects: nodes answer each other in the store's form.
  */
 TEST(ObjectStoreAdapter, AnswersPeersOnceItKnowsBothKinds) {
-  setMood(test::StoreResponseMode::kReset);
+  setResponseMode(test::StoreResponseMode::kReset);
   adapter = std::make_unique<ObjectStoreAdapter>(options());
   CHECK_FALSE(adapter->answerPeer(kPeerHeldPath)->available);
   CHECK_FALSE(adapter->answerPeer(kPeerConfigurationPath)->available);
   CHECK_FALSE(adapter->answerPeer(pathOf(HostCopyRequest{5, 0}))->available);
   CHECK_FALSE(adapter->answerPeer("/other").has_value());
   adapter.reset();
-  setMood(test::StoreResponseMode::kAnswering);
+  setResponseMode(test::StoreResponseMode::kAnswering);
   setUp(3);
   setHost(2, "draining");
   start();
@@ -426,12 +426,12 @@
   start();
   CHECK_TRUE(followToActive(kHosts));
   const uint64_t before = seen;
-  setMood(test::StoreResponseMode::kBusy);
+  setResponseMode(test::StoreResponseMode::kBusy);
   for (int index = 1; index <= kHosts; ++index) {
     setHost(index, "draining");
   }
   store->objects().forgetHistory();
-  setMood(test::StoreResponseMode::kAnswering);
+  setResponseMode(test::StoreResponseMode::kAnswering);
   CHECK_TRUE(followToActive(0));
   // Each page changes the pool, so translating it per page would create a version for each page.
   CHECK_TRUE(seen - before < kPages / 2);
--- a/test/platform/store/standin_store.cc
+++ b/test/platform/store/standin_store.cc
@@ -131,8 +131,9 @@
   /** Closes the connection without an answer when the outage ends or the caller gives up. */
   void stayUnanswered(std::unique_lock<std::mutex>& lock, HTTPServerRequest& request) {
     const bool forever = faults.staysSilent;
-    dropWhen(lock, request,
-             [this, forever] { return !forever && faults.responseMode != StoreResponseMode::kSilent; });
+    dropWhen(lock, request, [this, forever] {
+      return !forever && faults.responseMode != StoreResponseMode::kSilent;
+    });
   }
 
   /**
--- a/test/platform/store/standin_store.h
+++ b/test/platform/store/standin_store.h
@@ -27,7 +27,7 @@
 /** Faults to simulate. */
 struct StandinFaults {
   StoreResponseMode responseMode = StoreResponseMode::kAnswering;
-  /** Calls made in kSilent remain unanswered and open, even after the mood changes. */
+  /** Calls made in kSilent remain unanswered and open, even after the response mode changes. */
   bool staysSilent = false;
   /** Delay of every answer. */
   Duration slow{0};
