--- a/test/platform/store/object_store_adapter_test.cc
+++ b/test/platform/store/object_store_adapter_test.cc
@@ -230,7 +230,7 @@
 
 /**
  * The store closed both watches and then dropped its history. Watches issued in between were
- * accepted and never received another event. This occurred in a simulated day with 295 nodes.
+ * accepted and never received another event. This occurred in a day experiment with 295 nodes.
  */
 TEST(ObjectStoreAdapter, RenewsAWatchThatFollowsAFailedOne) {
   maxWatchDuration = seconds(60);
