--- a/source/standins/platform/control_handler.cc
+++ b/source/standins/platform/control_handler.cc
@@ -31,7 +31,7 @@
   set("machines", counters.machines);
   set("conflicts", counters.conflicts);
   set("open_watches", counters.openWatches);
-  set("most_open_watches", counters.mostOpenWatches);
+  set("most_open_watches", counters.maximumOpenWatches);
   std::ostringstream text;
   object.stringify(text);
   return text.str();
--- a/source/standins/platform/http_answers.cc
+++ b/source/standins/platform/http_answers.cc
@@ -23,7 +23,7 @@
   sendJson(response, status, encodeError(code, message));
 }
 
-bool isGivenUp(Poco::Net::HTTPServerRequest& request) {
+bool isClosedByClient(Poco::Net::HTTPServerRequest& request) {
   Poco::Net::StreamSocket& socket =
       dynamic_cast<Poco::Net::HTTPServerRequestImpl&>(request).socket();
   try {
--- a/source/standins/platform/http_answers.h
+++ b/source/standins/platform/http_answers.h
@@ -17,7 +17,7 @@
 void sendError(Poco::Net::HTTPServerResponse& response, Poco::Net::HTTPResponse::HTTPStatus status,
                const std::string& code, const std::string& message);
 /** @return whether the caller has closed its end, so that it waits for no answer any more. */
-bool isGivenUp(Poco::Net::HTTPServerRequest& request);
+bool isClosedByClient(Poco::Net::HTTPServerRequest& request);
 /** Closes the connection without an answer. */
 void dropConnection(Poco::Net::HTTPServerRequest& request);
 /** @return the whole request body. */
--- a/source/standins/platform/request_counters.h
+++ b/source/standins/platform/request_counters.h
@@ -16,7 +16,7 @@
   std::atomic<uint64_t> machines{0};
   std::atomic<uint64_t> conflicts{0};
   std::atomic<uint64_t> openWatches{0};
-  std::atomic<uint64_t> mostOpenWatches{0};
+  std::atomic<uint64_t> maximumOpenWatches{0};
 };
 
 /** Counts one open watch for as long as it lives. */
@@ -24,8 +24,8 @@
  public:
   explicit OpenWatch(RequestCounters& counters) : counters_(counters) {
     const uint64_t open = ++counters_.openWatches;
-    uint64_t most = counters_.mostOpenWatches;
-    while (open > most && !counters_.mostOpenWatches.compare_exchange_weak(most, open)) {
+    uint64_t most = counters_.maximumOpenWatches;
+    while (open > most && !counters_.maximumOpenWatches.compare_exchange_weak(most, open)) {
     }
   }
   ~OpenWatch() { --counters_.openWatches; }
--- a/test/platform/store/standin_store.cc
+++ b/test/platform/store/standin_store.cc
@@ -29,7 +29,7 @@
 using Poco::Net::HTTPServerRequest;
 using Poco::Net::HTTPServerResponse;
 using standins::dropConnection;
-using standins::isGivenUp;
+using standins::isClosedByClient;
 using standins::queryNumber;
 using standins::queryText;
 
@@ -138,7 +138,7 @@
   void dropWhen(std::unique_lock<std::mutex>& lock, HTTPServerRequest& request,
                 const std::function<bool()>& isTime) {
     const auto isOver = [&] { return stopping || isTime(); };
-    while (!moved.wait_for(lock, kGivenUpInterval, isOver) && !isGivenUp(request)) {
+    while (!moved.wait_for(lock, kGivenUpInterval, isOver) && !isClosedByClient(request)) {
     }
     dropConnection(request);
   }
