--- a/source/standins/backend/backend_pool.cc
+++ b/source/standins/backend/backend_pool.cc
@@ -97,13 +97,13 @@
   }
   for (const auto& member : members_) {
     if (member->host->profile().name == request.text("name")) {
-      return steer(*member, request);
+      return applyAction(*member, request);
     }
   }
   return {kNotFound, "{}"};
 }
 
-ControlResponse BackendPool::steer(Member& member, const ControlRequest& request) {
+ControlResponse BackendPool::applyAction(Member& member, const ControlRequest& request) {
   const std::string action = request.text("action");
   if (action == "stop") {
     member.stopped = true;
--- a/source/standins/backend/backend_pool.h
+++ b/source/standins/backend/backend_pool.h
@@ -12,15 +12,15 @@
 
 namespace umberhold::standins {
 
-/** Where the pool listens and sends. */
+/** Addresses, delay and seed of a pool. */
 struct BackendPoolOptions {
-  /** Address of all sockets; ports are picked. */
+  /** Address of all sockets; the kernel chooses the ports. */
   uint32_t address = 0;
-  /** Control server; port 0 takes a free one. */
+  /** Address of the control server; port 0 selects a free port. */
   Endpoint control;
-  /** Where answers to callers go (direct server return). */
+  /** Receives the answers to callers (direct server return). */
   Endpoint gateway;
-  /** Latency from hosts to callers, one way. */
+  /** One-way latency from hosts to callers. */
   uint32_t latencyMicros = 0;
   uint64_t seed = 1;
 };
@@ -33,10 +33,10 @@
   BackendPool(const BackendPool&) = delete;
   BackendPool& operator=(const BackendPool&) = delete;
 
-  /** Serves until stop is set. */
+  /** Runs the event loop until stop is set. */
   void run(const std::atomic<bool>& stop);
   Endpoint controlEndpoint() const;
-  /** @return where packets for the host go, by its position in the constructor's list. */
+  /** @return the data endpoint of the host at this index of the constructor's list. */
   Endpoint hostEndpoint(size_t index) const;
 
  private:
@@ -52,7 +52,7 @@
   void flush(Member& member);
   ControlResponse onProbe(Member& member, const ControlRequest& request);
   ControlResponse onControl(const ControlRequest& request);
-  ControlResponse steer(Member& member, const ControlRequest& request);
+  ControlResponse applyAction(Member& member, const ControlRequest& request);
   std::string hostsJson();
   std::string recordJson();
 
--- a/source/standins/backend/host_record.cc
+++ b/source/standins/backend/host_record.cc
@@ -28,7 +28,7 @@
     {"pushes_lost", &PushCounters::lost},
 }};
 
-/** An array, as there are very many runs. */
+/** Encoded as an array instead of an object because the number of runs is large. */
 Array fieldsOf(const RunRecord& run) {
   Array fields;
   fields.add(run.requestId);
--- a/source/standins/backend/host_record.h
+++ b/source/standins/backend/host_record.h
@@ -1,4 +1,4 @@
-/** @file What a host saw and ran, as the oracle reads it. */
+/** @file Flows, requests and counters that a host recorded; input of the oracle. */
 #pragma once
 
 #include <string>
@@ -19,16 +19,16 @@
   std::vector<LostFlow> lostFlows;
 };
 
-/** @return the record of a host as it stands. */
+/** @return the host's current record. */
 HostRecord recordOf(const VirtualHost& host);
 
 /** @return the records as a JSON array. */
 std::string toJson(const std::vector<HostRecord>& records);
 
-/** Why a text holds no records. */
+/** Why a text can't be parsed as records. */
 enum class RecordError : uint8_t { kMalformed };
 
-/** @return the records that toJson wrote. */
+/** Parses the output of toJson(). */
 Result<std::vector<HostRecord>, RecordError> recordsFromJson(const std::string& text);
 
 }  // namespace umberhold::standins
--- a/source/standins/backend/push_sender.cc
+++ b/source/standins/backend/push_sender.cc
@@ -3,9 +3,9 @@
 namespace umberhold::standins {
 namespace {
 
-constexpr UnixMillis kRepeatMillis = 1000;
-/** Sends of one push before the host gives up. */
-constexpr uint32_t kMostSends = 10;
+constexpr UnixMillis kRetransmitMillis = 1000;
+/** Maximum number of transmissions of one push. */
+constexpr uint32_t kMaximumSends = 10;
 
 }  // namespace
 
@@ -24,14 +24,14 @@
     ++counters.sent;
   }
   counters.lost += std::erase_if(pending_, [now](const auto& entry) {
-    return entry.second.sends >= kMostSends && now >= entry.second.nextSend;
+    return entry.second.sends >= kMaximumSends && now >= entry.second.nextSend;
   });
   std::vector<uint64_t> ids;
   for (auto& [id, pending] : pending_) {
     if (now >= pending.nextSend) {
       ids.push_back(id);
       ++pending.sends;
-      pending.nextSend = now + kRepeatMillis;
+      pending.nextSend = now + kRetransmitMillis;
     }
   }
   return ids;
--- a/source/standins/backend/push_sender.h
+++ b/source/standins/backend/push_sender.h
@@ -1,4 +1,5 @@
-/** @file Messages that a host sends unasked on its open flows: when, and how often again. No I/O.
+/** @file Schedule and retransmission of the unsolicited messages of a host on its open flows. No
+ * I/O.
  */
 #pragma once
 
@@ -11,24 +12,24 @@
 
 namespace umberhold::standins {
 
-/** What a host's pushes came to. */
+/** Outcomes of a host's pushes. */
 struct PushCounters {
   uint64_t sent = 0;
-  /** Pushes whose receipt arrived. */
+  /** Pushes that were acknowledged by a receipt. */
   uint64_t received = 0;
-  /** Pushes that were given up while their flow was open. */
+  /** Pushes abandoned after the last retransmission while their flow was open. */
   uint64_t lost = 0;
 };
 
 /** The pushes of one flow. Not thread safe. */
 class PushSender {
  public:
-  /** @param meanPauseMillis mean pause between two pushes; 0: none. */
+  /** @param meanPauseMillis mean interval between two pushes; 0 disables pushes. */
   PushSender(UnixMillis now, uint32_t meanPauseMillis, RandomSource& random);
 
   /**
-   * @param nextId next id of the host; advanced for each new push.
-   * @return the ids to send now, new ones and repeats.
+   * @param nextId next push id of the host; incremented for each new push.
+   * @return the ids to send now, new ones and retransmissions.
    */
   std::vector<uint64_t> due(UnixMillis now, uint64_t& nextId, RandomSource& random,
                             PushCounters& counters);
--- a/source/standins/backend/virtual_host.cc
+++ b/source/standins/backend/virtual_host.cc
@@ -23,7 +23,7 @@
   connections_.clear();
   queue_.clear();
   running_.clear();
-  departures_ = {};
+  scheduledPackets_ = {};
   startedAt_ = now;
 }
 
@@ -117,10 +117,10 @@
     return;
   }
   const Request& request = std::get<Request>(valueOf(message));
-  Connection stranger;
+  Connection unknownConnection;
   if (!request.expectedHost.empty()) {
     ++counters_.resets;
-    sendMessage(now, packet.source, stranger,
+    sendMessage(now, packet.source, unknownConnection,
                 Answer{request.id, AnswerStatus::kUnknownFlow, 0, 1, profile_.name, 0});
     return;
   }
@@ -128,7 +128,7 @@
   if (connection == nullptr) {
     ++counters_.shedRequests;
     sendMessage(
-        now, packet.source, stranger,
+        now, packet.source, unknownConnection,
         Answer{request.id, AnswerStatus::kShed, 0, 1, profile_.name, kShedRetryAfterMillis});
     return;
   }
@@ -180,7 +180,7 @@
                                  uint64_t id) {
   Exchange& exchange = connection.exchanges[id];
   if (exchange.state != RequestState::kQueued) {
-    return;  // It runs or has ended: its own answer says so.
+    return;  // Already running or complete; its answer carries the status.
   }
   std::erase_if(queue_, [&](const Work& work) { return work.id == id && work.caller == caller; });
   exchange.state = RequestState::kAnswered;
@@ -285,7 +285,7 @@
   packet.sequence = connection.hostSequence + 1;
   packet.acknowledgement = connection.callerNext;
   connection.hostSequence += static_cast<uint32_t>(packet.payload.size());
-  depart(due, packet);
+  schedulePacket(due, packet);
 }
 
 void VirtualHost::sendControl(UnixMillis now, PacketKind kind, const Endpoint& caller,
@@ -296,18 +296,18 @@
   packet.destination = caller;
   packet.sequence = sequence;
   packet.acknowledgement = acknowledgement;
-  depart(now, packet);
+  schedulePacket(now, packet);
 }
 
-void VirtualHost::depart(UnixMillis due, const InnerPacket& packet) {
-  departures_.push(Departure{due, ++departureOrder_, buildPacket(packet)});
+void VirtualHost::schedulePacket(UnixMillis due, const InnerPacket& packet) {
+  scheduledPackets_.push(ScheduledPacket{due, ++scheduleOrder_, buildPacket(packet)});
 }
 
 std::vector<std::string> VirtualHost::takeDue(UnixMillis now) {
   std::vector<std::string> due;
-  while (!departures_.empty() && departures_.top().due <= now) {
-    due.push_back(departures_.top().packet);
-    departures_.pop();
+  while (!scheduledPackets_.empty() && scheduledPackets_.top().due <= now) {
+    due.push_back(scheduledPackets_.top().packet);
+    scheduledPackets_.pop();
   }
   return due;
 }
--- a/source/standins/backend/virtual_host.h
+++ b/source/standins/backend/virtual_host.h
@@ -1,5 +1,5 @@
-/** @file One emulated back-end host: slots, queue, limits, cold start, drain and what it ran. No
- * I/O. */
+/** @file One emulated back-end host: slots, queue, limits, cold start, drain and a record of the
+ * requests that it ran. No I/O. */
 #pragma once
 
 #include <cstdint>
@@ -23,24 +23,24 @@
 struct HostProfile {
   std::string service;
   std::string name;
-  /** The address that callers use; any other destination is a misrouted packet. */
+  /** Destination address of callers' packets; a packet to any other address counts as misrouted. */
   Endpoint virtualAddress;
   TransportProtocol protocol = TransportProtocol::kTcp;
-  /** Requests in service at once. */
+  /** Maximum number of requests that run concurrently. */
   uint32_t slots = 2;
-  /** Requests that wait; more are shed. */
+  /** Maximum number of queued requests; further ones are shed. */
   uint32_t queueLimit = 200;
   uint32_t connectionLimit = 2000;
   uint32_t serviceMillis = 5;
   /** While the host is cold, a request takes coldFactor times as long. */
   uint32_t coldMillis = 0;
   uint32_t coldFactor = 8;
-  /** Share of answers that are sent late, and so out of order. */
+  /** Share of answers that are delayed by lateMillis and therefore reordered. */
   double lateShare = 0.02;
   uint32_t lateMillis = 150;
-  /** Mean pause between two messages that the host sends unasked on a TCP flow; 0: none. */
+  /** Mean interval between two unsolicited messages of the host on a TCP flow; 0 disables them. */
   uint32_t pushMillis = 0;
-  /** Age of the load that is reported. */
+  /** Age of the reported load. */
   uint32_t reportLagMillis = 1000;
 };
 
@@ -52,13 +52,13 @@
   UnixMillis endedAt = 0;
 };
 
-/** One flow that the host held when it stopped. */
+/** One flow that was open on the host when it stopped. */
 struct LostFlow {
   Endpoint caller;
   UnixMillis at = 0;
 };
 
-/** What a host counted. */
+/** Counters of a host. */
 struct HostCounters {
   uint64_t openedFlows = 0;
   uint64_t resets = 0;
@@ -76,28 +76,28 @@
  public:
   VirtualHost(HostProfile profile, UnixMillis now, uint64_t seed);
 
-  /** Takes an inner packet. */
+  /** Processes an inner packet. */
   void onPacket(UnixMillis now, std::string_view bytes);
-  /** Starts and ends requests; call every few milliseconds. */
+  /** Starts and completes requests; call every few milliseconds. */
   void onTick(UnixMillis now);
-  /** @return the inner packets that are due, in the order in which they leave. */
+  /** @return the inner packets that are due, in sending order. */
   std::vector<std::string> takeDue(UnixMillis now);
 
-  /** @return load as the host reports it, in percent: lagging, or what override says. */
+  /** @return the reported load in percent: the load reportLagMillis ago, or the override. */
   uint32_t reportedLoad() const;
   bool reportsHealthy() const { return reportsHealthy_; }
-  /** Makes the health endpoint say something else than the truth. */
+  /** Sets the result of the health endpoint, independent of the host's real state. */
   void setReportedHealth(bool healthy) { reportsHealthy_ = healthy; }
-  /** Makes the load endpoint mislead; nothing restores the truth. */
+  /** Overrides the reported load; std::nullopt restores the real one. */
   void setReportedLoad(std::optional<uint32_t> percent) { loadOverride_ = percent; }
-  /** Starts again with no flows: everything in service is lost and the host is cold. */
+  /** Restarts with no flows: running requests are lost and the host is cold. */
   void restart(UnixMillis now);
-  /** Sets how long the host is slow after a restart. */
+  /** Sets the duration of the cold phase after a restart. */
   void setCold(uint32_t coldMillis) { profile_.coldMillis = coldMillis; }
 
   const HostProfile& profile() const { return profile_; }
   const HostCounters& counters() const { return counters_; }
-  /** @return the flows that were open when the host was restarted. */
+  /** @return the flows that were open when the host restarted. */
   const std::vector<LostFlow>& lostFlows() const { return lostFlows_; }
   const std::vector<RunRecord>& runs() const { return runs_; }
   size_t connectionCount() const { return connections_.size(); }
@@ -116,7 +116,7 @@
     uint32_t hostSequence = 0;
     uint32_t callerNext = 0;
     std::map<uint64_t, Exchange> exchanges;
-    /** Empty where the host sends nothing unasked. */
+    /** Empty if the host sends no unsolicited messages. */
     std::optional<PushSender> pushes;
   };
   struct Work {
@@ -125,11 +125,11 @@
     UnixMillis endsAt = 0;
     size_t record = 0;
   };
-  struct Departure {
+  struct ScheduledPacket {
     UnixMillis due = 0;
     uint64_t order = 0;
     std::string packet;
-    bool operator<(const Departure& other) const {
+    bool operator<(const ScheduledPacket& other) const {
       return std::tie(due, order) > std::tie(other.due, other.order);
     }
   };
@@ -153,7 +153,7 @@
                    const ExchangeMessage& message);
   void sendControl(UnixMillis now, PacketKind kind, const Endpoint& caller, uint32_t sequence,
                    uint32_t acknowledgement);
-  void depart(UnixMillis due, const InnerPacket& packet);
+  void schedulePacket(UnixMillis due, const InnerPacket& packet);
   uint32_t loadNow() const;
   uint32_t serviceTime(UnixMillis now);
 
@@ -163,8 +163,8 @@
   std::unordered_map<Endpoint, Connection> connections_;
   std::deque<Work> queue_;
   std::vector<Work> running_;
-  std::priority_queue<Departure> departures_;
-  uint64_t departureOrder_ = 0;
+  std::priority_queue<ScheduledPacket> scheduledPackets_;
+  uint64_t scheduleOrder_ = 0;
   std::vector<RunRecord> runs_;
   std::vector<LostFlow> lostFlows_;
   HostCounters counters_;
--- a/source/standins/caller/caller_flow.cc
+++ b/source/standins/caller/caller_flow.cc
@@ -6,16 +6,16 @@
 namespace umberhold::standins {
 namespace {
 
-constexpr UnixMillis kFirstRepeatMillis = 300;
-constexpr UnixMillis kLongestRepeatMillis = 1600;
-/** Sends of one SYN or request before the caller gives up. */
-constexpr uint32_t kMostSends = 9;
-constexpr uint32_t kMostFinSends = 4;
+constexpr UnixMillis kInitialRetransmitMillis = 300;
+constexpr UnixMillis kMaximumRetransmitMillis = 1600;
+/** Maximum number of transmissions of one SYN or request. */
+constexpr uint32_t kMaximumSends = 9;
+constexpr uint32_t kMaximumFinSends = 4;
 constexpr uint32_t kLargeAnswerEvery = 4;
 
-UnixMillis repeatDelay(uint32_t sends) {
-  const UnixMillis doubled = kFirstRepeatMillis << std::min<uint32_t>(sends, 8);
-  return std::min(doubled, kLongestRepeatMillis);
+UnixMillis retransmitDelay(uint32_t sends) {
+  const UnixMillis doubled = kInitialRetransmitMillis << std::min<uint32_t>(sends, 8);
+  return std::min(doubled, kMaximumRetransmitMillis);
 }
 
 }  // namespace
@@ -68,15 +68,15 @@
 void CallerFlow::onTick(UnixMillis now, FlowContext& context) {
   switch (state_) {
     case State::kOpening:
-      return repeatOpening(now, context);
+      return retransmitOpening(now, context);
     case State::kClosing:
-      return repeatClosing(now, context);
+      return retransmitFin(now, context);
     case State::kEnded:
       return;
     case State::kOpen:
       break;
   }
-  repeatRequests(now, context);
+  retransmitRequests(now, context);
   if (state_ != State::kOpen) {
     return;
   }
@@ -91,11 +91,11 @@
   }
 }
 
-void CallerFlow::repeatOpening(UnixMillis now, FlowContext& context) {
+void CallerFlow::retransmitOpening(UnixMillis now, FlowContext& context) {
   if (now < nextControl_) {
     return;
   }
-  if (controlSends_ >= kMostSends) {
+  if (controlSends_ >= kMaximumSends) {
     context.report.unansweredAt.push_back(now);
     ++context.report.unansweredOpenings;
     state_ = State::kEnded;
@@ -106,19 +106,19 @@
     context.report.unansweredAt.push_back(now);
   }
   send(PacketKind::kSyn, "", context);
-  nextControl_ = now + repeatDelay(controlSends_++);
+  nextControl_ = now + retransmitDelay(controlSends_++);
 }
 
-void CallerFlow::repeatClosing(UnixMillis now, FlowContext& context) {
+void CallerFlow::retransmitFin(UnixMillis now, FlowContext& context) {
   if (now < nextControl_) {
     return;
   }
-  if (controlSends_ >= kMostFinSends) {
+  if (controlSends_ >= kMaximumFinSends) {
     state_ = State::kEnded;
     return;
   }
   send(PacketKind::kFin, "", context);
-  nextControl_ = now + repeatDelay(controlSends_++);
+  nextControl_ = now + retransmitDelay(controlSends_++);
 }
 
 void CallerFlow::startRequest(UnixMillis now, FlowContext& context) {
@@ -152,17 +152,17 @@
   if (exchange.sends == 0) {
     sequence_ += static_cast<uint32_t>(payload.size());
   }
-  exchange.nextSend = now + repeatDelay(exchange.sends++);
+  exchange.nextSend = now + retransmitDelay(exchange.sends++);
 }
 
-void CallerFlow::repeatRequests(UnixMillis now, FlowContext& context) {
+void CallerFlow::retransmitRequests(UnixMillis now, FlowContext& context) {
   for (auto& [id, exchange] : exchanges_) {
     if (now < exchange.nextSend) {
       continue;
     }
     context.report.unansweredAt.push_back(now);
     context.report.delayedRequests += exchange.sends == 1 ? 1 : 0;
-    if (exchange.sends >= kMostSends) {
+    if (exchange.sends >= kMaximumSends) {
       return breakFlow(now, BreakReason::kSilence, context);
     }
     ++context.report.repeatedPackets;
@@ -218,7 +218,7 @@
   }
 }
 
-/** The whole flow is refused: nothing that it asked for ran or will run. */
+/** Handles a refusal of the whole flow: none of its requests ran or will run. */
 void CallerFlow::onRefused(FlowContext& context) {
   ++context.report.refusedOpenings;
   for (const auto& [id, exchange] : exchanges_) {
@@ -259,16 +259,16 @@
     return breakFlow(now, BreakReason::kOtherHost, context);
   }
   endWaiting(now, context);
-  takeAnswer(answer, context);
+  addAnswerPart(answer, context);
   if (!exchanges_.empty()) {
     startWaiting(now);
   }
 }
 
-void CallerFlow::takeAnswer(const Answer& answer, FlowContext& context) {
+void CallerFlow::addAnswerPart(const Answer& answer, FlowContext& context) {
   const auto found = exchanges_.find(answer.id);
   if (found == exchanges_.end()) {
-    return;  // A repeat of an answer that is complete.
+    return;  // Duplicate of a complete answer.
   }
   Exchange& exchange = found->second;
   if (answer.status != AnswerStatus::kDone) {
--- a/source/standins/caller/caller_flow.h
+++ b/source/standins/caller/caller_flow.h
@@ -1,4 +1,5 @@
-/** @file One emulated flow of a caller: opening, requests with repeats, answers, end. No I/O. */
+/** @file One emulated flow of a caller: opening, requests with retransmission, answers, close. No
+ * I/O. */
 #pragma once
 
 #include <cstdint>
@@ -19,21 +20,21 @@
   std::string service;
   Endpoint target;
   TransportProtocol protocol = TransportProtocol::kTcp;
-  /** Mean pause between two requests of a flow. */
+  /** Mean interval between two requests of a flow. */
   uint32_t requestPauseMillis = 2000;
-  /** Mean life of a flow; 0: until the run ends. */
+  /** Mean lifetime of a flow; 0: until the run ends. */
   uint32_t lifeMillis = 0;
   /** Share of requests that must not run twice. */
   double singleRunShare = 0.3;
-  /** Share of requests that are cancelled right after they were sent. */
+  /** Share of requests that are cancelled immediately after sending. */
   double cancelShare = 0.01;
-  /** Segments of a large answer, which every fourth request asks for. */
+  /** Segments of a large answer; every fourth request has one. */
   uint16_t largeAnswerParts = 6;
-  /** Patience of a request. */
+  /** Deadline of a request after its start. */
   uint32_t deadlineMillis = 10000;
 };
 
-/** Numbers requests; unique in a run as each process has its own prefix. */
+/** Generates request ids; they are unique in a run because each process has its own prefix. */
 class RequestIds {
  public:
   explicit RequestIds(uint32_t process) : next_(uint64_t{process} << 40) {}
@@ -43,7 +44,7 @@
   uint64_t next_;
 };
 
-/** What all flows of a process share. */
+/** State shared by all flows of a process. */
 struct FlowContext {
   RandomSource& random;
   RequestIds& ids;
@@ -59,14 +60,14 @@
              FlowContext& context);
 
   void onPacket(UnixMillis now, const InnerPacket& packet, FlowContext& context);
-  /** Repeats and sends what is due. */
+  /** Sends new requests and retransmissions that are due. */
   void onTick(UnixMillis now, FlowContext& context);
-  /** Sends no further request; the flow ends when the last answer is in. */
+  /** Starts no further request; the flow closes after the last answer. */
   void finish() { finishing_ = true; }
 
   bool ended() const { return state_ == State::kEnded; }
   bool established() const { return state_ == State::kOpen; }
-  /** @return the host that answered, or "" before the first answer. */
+  /** @return the host that sent the answers, or "" before the first answer. */
   const std::string& host() const { return host_; }
   size_t outstanding() const { return exchanges_.size(); }
   const Endpoint& local() const { return local_; }
@@ -85,20 +86,20 @@
 
   void onPush(UnixMillis now, const Push& push, FlowContext& context);
   void onAnswer(UnixMillis now, const Answer& answer, FlowContext& context);
-  /** Parts of an answer may come in any order, late and repeatedly. */
-  void takeAnswer(const Answer& answer, FlowContext& context);
+  /** Records a part of an answer. Parts may arrive in any order, late and more than once. */
+  void addAnswerPart(const Answer& answer, FlowContext& context);
   void onReset(UnixMillis now, FlowContext& context);
   void onRefused(FlowContext& context);
   void complete(uint64_t id, const Answer& answer, FlowContext& context);
   void breakFlow(UnixMillis now, BreakReason reason, FlowContext& context);
   void startRequest(UnixMillis now, FlowContext& context);
   void sendRequest(UnixMillis now, Exchange& exchange, FlowContext& context);
-  void repeatRequests(UnixMillis now, FlowContext& context);
-  void repeatOpening(UnixMillis now, FlowContext& context);
-  void repeatClosing(UnixMillis now, FlowContext& context);
-  /** The flow waits for an answer from now on, if it did not already. */
+  void retransmitRequests(UnixMillis now, FlowContext& context);
+  void retransmitOpening(UnixMillis now, FlowContext& context);
+  void retransmitFin(UnixMillis now, FlowContext& context);
+  /** Starts the time without a response, unless it is running already. */
   void startWaiting(UnixMillis now);
-  /** Something of the host arrived, or the flow gave up: takes the time of the silence. */
+  /** Records the time without a response; called on a packet from the host and on giving up. */
   void endWaiting(UnixMillis now, FlowContext& context);
   void send(PacketKind kind, std::string payload, FlowContext& context);
   UnixMillis pause(FlowContext& context) const;
@@ -111,7 +112,7 @@
   uint32_t acknowledgement_ = 0;
   std::string host_;
   UnixMillis establishedAt_ = 0;
-  /** Since when the flow has waited without hearing anything; empty where nothing is asked. */
+  /** Start of the time without a response; empty if nothing is outstanding. */
   std::optional<UnixMillis> waitingSince_;
   UnixMillis nextRequest_;
   UnixMillis endsAt_;
--- a/source/standins/caller/caller_main.cc
+++ b/source/standins/caller/caller_main.cc
@@ -1,4 +1,4 @@
-/** @file standin_caller: thousands of long flows with requests that are matched to answers. */
+/** @file standin_caller: thousands of long-lived flows; matches answers to requests. */
 #include <glog/logging.h>
 #include <tclap/CmdLine.h>
 
--- a/source/standins/caller/caller_pool.cc
+++ b/source/standins/caller/caller_pool.cc
@@ -5,7 +5,7 @@
 namespace umberhold::standins {
 namespace {
 
-/** 172.16.0.0; each process has its own 16 bits of addresses from there on. */
+/** 172.16.0.0; each process has its own block of 16 bits of addresses from here. */
 constexpr uint32_t kFirstCallerAddress = 0xAC100000;
 constexpr uint32_t kFirstPort = 1024;
 constexpr uint32_t kAddressesPerProcess = 256;
@@ -39,7 +39,7 @@
   return loop_.localEndpoint(socket_);
 }
 
-/** Neighbouring flows have different addresses, as those of real callers. */
+/** Consecutive flows have different addresses, like flows of real callers. */
 Endpoint CallerPool::nextLocal() {
   const uint64_t number = nextLocal_++;
   const auto address =
@@ -99,7 +99,7 @@
   const bool quoted = packet.kind == PacketKind::kUnreachable;
   const auto found = flows_.find(quoted ? packet.source : packet.destination);
   if (found == flows_.end()) {
-    return;  // The flow has ended; late answers of it may still arrive.
+    return;  // Late packet of a flow that has ended.
   }
   found->second.flow.onPacket(currentMillis(), packet, context_);
   flush();
--- a/source/standins/caller/caller_pool.h
+++ b/source/standins/caller/caller_pool.h
@@ -1,4 +1,4 @@
-/** @file Thousands of flows of one caller process: its sockets, ramp, replacement and control. */
+/** @file The flows of one caller process: sockets, ramp-up, replacement and control requests. */
 #pragma once
 
 #include <deque>
@@ -16,7 +16,7 @@
 /** Flows to one service. */
 struct TargetPlan {
   FlowProfile profile;
-  /** Flows to hold open; flows that end or break are replaced. */
+  /** Number of concurrently open flows; flows that end or break are replaced. */
   uint32_t flows = 100;
 };
 
@@ -24,12 +24,12 @@
 struct CallerPoolOptions {
   /** Receives answers (the return gateway). */
   Endpoint listen;
-  /** Takes packets to the balancers. */
+  /** Forwards packets to the balancers. */
   Endpoint fabric;
   Endpoint control;
-  /** New flows a second over all targets. */
+  /** New flows per second over all targets. */
   uint32_t openPerSecond = 1000;
-  /** Distinguishes the request ids and addresses of several processes; 1 to 4,095. */
+  /** Process number that makes request ids and addresses unique; 1 to 4,095. */
   uint32_t process = 1;
   uint64_t seed = 1;
 };
@@ -42,13 +42,13 @@
   CallerPool(const CallerPool&) = delete;
   CallerPool& operator=(const CallerPool&) = delete;
 
-  /** Serves until stop is set. */
+  /** Runs the event loop until stop is set. */
   void run(const std::atomic<bool>& stop);
   Endpoint controlEndpoint() const;
   Endpoint listenEndpoint() const;
-  /** @return counts so far. Thread safe. */
+  /** @return the current counts. Thread safe. */
   CallerReport report();
-  /** Opens no more flows or requests; flows end when their answers are in. Thread safe. */
+  /** Starts no more flows or requests; flows close after their last answer. Thread safe. */
   void finish();
 
  private:
--- a/source/standins/caller/caller_report.h
+++ b/source/standins/caller/caller_report.h
@@ -13,11 +13,11 @@
 
 /** Why a flow counts as broken. */
 enum class BreakReason : uint8_t {
-  /** RST, an unreachable, or "unknown flow" in the middle of a flow. */
+  /** RST, ICMP unreachable or status "unknown flow" on an established flow. */
   kReset = 0,
-  /** Another host answered than the one that holds the flow. */
+  /** An answer came from another host than the flow's. */
   kOtherHost = 1,
-  /** No answer in spite of all repeats. */
+  /** No answer after all retransmissions. */
   kSilence = 2,
 };
 
@@ -51,9 +51,9 @@
   uint64_t establishedFlows = 0;
   uint64_t openFlows = 0;
   uint64_t endedFlows = 0;
-  /** Openings that were answered by RST or an unreachable. */
+  /** Openings that were answered by RST or ICMP unreachable. */
   uint64_t refusedOpenings = 0;
-  /** Openings that nobody answered. */
+  /** Openings without an answer. */
   uint64_t unansweredOpenings = 0;
   uint64_t requests = 0;
   uint64_t answers = 0;
@@ -61,34 +61,34 @@
   uint64_t expiredRequests = 0;
   uint64_t cancelledRequests = 0;
   uint64_t repeatedPackets = 0;
-  /** Messages that hosts sent unasked, each counted once by its id. */
+  /** Unsolicited messages received from hosts, each id counted once. */
   uint64_t pushes = 0;
-  /** Requests of which at least one packet stayed unanswered until its repeat was due. */
+  /** Requests with at least one retransmission timeout. */
   uint64_t delayedRequests = 0;
-  /** Longest time in milliseconds that an open flow waited for an answer and heard nothing. */
+  /** Maximum time in milliseconds for which an open flow waited without receiving a packet. */
   uint64_t longestSilenceMillis = 0;
   uint64_t unexpectedPackets = 0;
-  /** Requests of one flow that were still unanswered when the report was made. */
+  /** Requests that were unanswered when the report was created. */
   uint64_t outstandingRequests = 0;
-  /** Open flows of each host that answered; hosts can't tell which UDP flows have ended. */
+  /** Open flows by host; counted by callers because hosts can't detect the end of a UDP flow. */
   std::map<std::string, uint64_t> openFlowsByHost;
   std::vector<BrokenFlow> broken;
   std::vector<CutRequest> cut;
-  /** Requests whose answer said that they did not and will not run. */
+  /** Requests that were answered with a status that excludes execution. */
   std::vector<uint64_t> refusedIds;
   /** Requests that must not run twice. */
   std::vector<uint64_t> singleRunIds;
-  /** When it was noticed that a packet of a flow (opening, request or its repeat) had no answer. */
+  /** Times of retransmission timeouts of openings and requests. */
   std::vector<UnixMillis> unansweredAt;
 };
 
 /** @return the report as a JSON object. */
 std::string toJson(const CallerReport& report);
 
-/** Why a text is no report. */
+/** Why a text can't be parsed as a report. */
 enum class ReportError : uint8_t { kMalformed };
 
-/** @return the report that toJson wrote. */
+/** Parses the output of toJson(). */
 Result<CallerReport, ReportError> reportFromJson(const std::string& text);
 
 }  // namespace umberhold::standins
--- a/source/standins/common/control_server.h
+++ b/source/standins/common/control_server.h
@@ -1,4 +1,4 @@
-/** @file The small HTTP server by which a stand-in is probed and steered. */
+/** @file HTTP server for probes and control requests to a stand-in. */
 #pragma once
 
 #include <functional>
@@ -18,24 +18,24 @@
   std::map<std::string, std::string> parameters;
   std::string body;
 
-  /** @return the parameter's number, or the fallback where it is absent or no number. */
+  /** @return the parameter as a number, or the fallback if it is absent or not a number. */
   int64_t number(const std::string& name, int64_t fallback) const;
   /** @return the parameter's text, or "". */
   std::string text(const std::string& name) const;
 };
 
-/** What the stand-in answers. */
+/** Response of the stand-in. */
 struct ControlResponse {
   int status = 200;
   std::string body;
 };
 
-/** Serves requests on threads of its own until it is destroyed. */
+/** Serves requests on its own threads until destruction. */
 class ControlServer {
  public:
   using Handler = std::function<ControlResponse(const ControlRequest&)>;
 
-  /** @param local port 0 takes a free one. Throws Poco::Exception where the port is taken. */
+  /** @param local port 0 selects a free port. Throws Poco::Exception if the port is in use. */
   ControlServer(const Endpoint& local, Handler handler);
   ~ControlServer();
   ControlServer(const ControlServer&) = delete;
--- a/source/standins/common/datagram_loop.cc
+++ b/source/standins/common/datagram_loop.cc
@@ -14,9 +14,9 @@
 namespace umberhold::standins {
 namespace {
 
-constexpr size_t kLargestDatagram = 65536;
+constexpr size_t kMaximumDatagramBytes = 65536;
 constexpr int kReceiveBuffer = 4 << 20;
-/** Datagrams taken from one socket before the others get their turn. */
+/** Maximum number of datagrams read from one socket before the next socket is served. */
 constexpr int kBatch = 64;
 
 Endpoint toEndpoint(const Poco::Net::SocketAddress& address) {
@@ -43,7 +43,7 @@
   Poco::Net::PollSet poll;
   std::function<void()> tick;
   std::chrono::milliseconds tickPeriod = kTickPeriod;
-  std::array<char, kLargestDatagram> buffer{};
+  std::array<char, kMaximumDatagramBytes> buffer{};
 
   const Poco::Net::SocketAddress& addressOf(const Endpoint& endpoint) {
     auto found = addresses.find(endpoint);
@@ -53,7 +53,7 @@
     return found->second;
   }
 
-  /** @return whether a datagram was waiting. */
+  /** @return whether a datagram was available. */
   bool receiveOne(OpenSocket& open) {
     try {
       Poco::Net::SocketAddress from;
@@ -67,7 +67,7 @@
     } catch (const Poco::TimeoutException&) {
       return false;
     } catch (const Poco::Net::NetException&) {
-      return false;  // An ICMP error of an earlier send; the datagram is lost.
+      return false;  // Pending ICMP error of an earlier send; that datagram is lost.
     }
   }
 };
@@ -96,7 +96,7 @@
     parts_->sockets[socket]->socket.sendTo(bytes.data(), static_cast<int>(bytes.size()),
                                            parts_->addressOf(to));
   } catch (const Poco::Exception&) {
-    // Lost, as datagrams may be.
+    // Treated as datagram loss.
   }
 }
 
--- a/source/standins/common/datagram_loop.h
+++ b/source/standins/common/datagram_loop.h
@@ -1,4 +1,4 @@
-/** @file One thread that serves many UDP sockets and a timer; shared by all stand-ins. */
+/** @file Event loop of one thread for UDP sockets and a timer; used by all stand-ins. */
 #pragma once
 
 #include <atomic>
@@ -13,12 +13,12 @@
 
 namespace umberhold::standins {
 
-/** Names a socket of a DatagramLoop. */
+/** Index of a socket of a DatagramLoop. */
 using SocketIndex = size_t;
 
 /**
  * Receives on many sockets. Handlers run on the thread that calls run(), with mutex() held; other
- * threads take mutex() before they touch what the handlers touch.
+ * threads must hold mutex() while they access the handlers' state.
  */
 class DatagramLoop {
  public:
@@ -29,17 +29,17 @@
   DatagramLoop(const DatagramLoop&) = delete;
   DatagramLoop& operator=(const DatagramLoop&) = delete;
 
-  /** Binds a socket; port 0 takes a free one. Throws Poco::Exception where the port is taken. */
+  /** Binds a socket; port 0 selects a free port. Throws Poco::Exception if the port is in use. */
   SocketIndex open(const Endpoint& local, Handler handler);
-  /** @return where the socket is bound. */
+  /** @return the address that the socket is bound to. */
   Endpoint localEndpoint(SocketIndex socket) const;
-  /** Sends a datagram; one that can't be sent is lost. */
+  /** Sends a datagram; send errors are ignored and the datagram is lost. */
   void send(SocketIndex socket, const Endpoint& to, std::string_view bytes);
   static constexpr std::chrono::milliseconds kTickPeriod{2};
 
-  /** Sets what runs once a period; the loop wakes up no later than that. */
+  /** Sets a periodic callback; the period also limits the poll timeout. */
   void onTick(std::function<void()> tick, std::chrono::milliseconds period = kTickPeriod);
-  /** Serves until stop is set. */
+  /** Runs the event loop until stop is set. */
   void run(const std::atomic<bool>& stop);
   /** Guards the state that the handlers use. */
   std::mutex& mutex();
--- a/source/standins/common/delay_line.h
+++ b/source/standins/common/delay_line.h
@@ -12,23 +12,23 @@
 
 namespace umberhold::standins {
 
-/** Not thread safe: for handlers and the tick of its loop. */
+/** Not thread safe; for use by the handlers and tick of its loop only. */
 class DelayLine {
  public:
-  /** Call deliverDue() this often. */
+  /** Interval at which deliverDue() must be called. */
   static constexpr std::chrono::milliseconds kTickPeriod{1};
 
   /** @param loop borrowed; sends the datagrams. */
   explicit DelayLine(DatagramLoop& loop) : loop_(loop) {}
 
-  /** Sends at once where the delay is 0, else on the tick nearest to its end. */
+  /** Sends immediately if the delay is 0, otherwise on the tick nearest to its end. */
   void send(uint32_t delayMicros, SocketIndex socket, const Endpoint& to, std::string_view bytes);
   void deliverDue();
 
  private:
   using Clock = std::chrono::steady_clock;
 
-  /** A datagram on its way. */
+  /** A delayed datagram. */
   struct Transit {
     Clock::time_point due;
     uint64_t order = 0;
--- a/source/standins/common/exchange_message.cc
+++ b/source/standins/common/exchange_message.cc
@@ -56,7 +56,7 @@
   }
 };
 
-/** Throws msgpack::type_error where a field is missing or has another type. */
+/** Throws msgpack::type_error if a field is missing or has another type. */
 template <class Value>
 Value field(const Fields& fields, uint32_t index) {
   if (index >= fields.size) {
--- a/source/standins/common/exchange_message.h
+++ b/source/standins/common/exchange_message.h
@@ -10,19 +10,19 @@
 
 namespace umberhold::standins {
 
-/** Milliseconds since the Unix epoch; every stand-in of a run is on one machine. */
+/** Milliseconds since the Unix epoch; comparable because all stand-ins of a run share a machine. */
 using UnixMillis = int64_t;
 
 /** @return the system clock's time. */
 UnixMillis currentMillis();
 
-/** One request; it may arrive several times, as the caller repeats what is not answered. */
+/** One request; it may arrive more than once because the caller retransmits until an answer. */
 struct Request {
   /** Unique in a run. */
   uint64_t id = 0;
-  /** Whether the caller may ask for it again in a second flow. */
+  /** Whether the caller may retry it on a second flow. */
   bool repeatable = true;
-  /** The caller gives up at this time; the host does not start it later. */
+  /** Time at which the caller gives up; the host does not start the request later. */
   UnixMillis deadline = 0;
   /** Segments of the answer. */
   uint16_t answerParts = 1;
@@ -30,7 +30,7 @@
   std::string expectedHost;
 };
 
-/** Asks the host not to run a request that it has not started. */
+/** Cancels a request that the host has not started. */
 struct Cancellation {
   uint64_t id = 0;
 };
@@ -44,7 +44,7 @@
   kExpired = 2,
   /** Not run: the caller cancelled it in time. */
   kCancelled = 3,
-  /** Not run: the host does not know the flow. */
+  /** Not run: the host has no such flow. */
   kUnknownFlow = 4,
 };
 
@@ -57,32 +57,32 @@
   uint16_t parts = 1;
   /** The host that answers. */
   std::string host;
-  /** When a caller that was shed may come back; 0 where it need not wait. */
+  /** Minimum delay before the caller of a shed request may retry; 0: none. */
   uint32_t retryAfterMillis = 0;
 };
 
-/** A message that the host sends unasked on an open flow; repeated until its receipt arrives. */
+/** Unsolicited message of the host on an open flow; retransmitted until acknowledged. */
 struct Push {
   /** Unique among the pushes of its host. */
   uint64_t id = 0;
   std::string host;
 };
 
-/** The caller has the push. */
+/** Acknowledges a push. */
 struct PushReceipt {
   uint64_t id = 0;
 };
 
-/** What one payload holds. */
+/** Content of one payload. */
 using ExchangeMessage = std::variant<Request, Cancellation, Answer, Push, PushReceipt>;
 
-/** Why a payload is no message. */
+/** Why a payload can't be decoded. */
 enum class ExchangeError : uint8_t { kMalformed, kUnknownKind };
 
-/** @return the msgpack form. */
+/** @return the msgpack encoding. */
 std::string encodeExchange(const ExchangeMessage& message);
 
-/** @return the message in the payload. */
+/** Decodes the message in the payload. */
 Result<ExchangeMessage, ExchangeError> decodeExchange(std::string_view payload);
 
 }  // namespace umberhold::standins
--- a/source/standins/common/inner_packet.cc
+++ b/source/standins/common/inner_packet.cc
@@ -89,7 +89,7 @@
   return serialized(ip);
 }
 
-/** A destination-unreachable message from the quoted packet's destination to its source. */
+/** Builds a destination unreachable message from the quoted packet's destination to its source. */
 std::string buildUnreachable(const InnerPacket& packet) {
   InnerPacket original = packet;
   original.kind = PacketKind::kDatagram;
@@ -113,7 +113,7 @@
   return (uint32_t{portAt(bytes, offset)} << 16) | portAt(bytes, offset + 2);
 }
 
-/** Reads the packet quoted by an ICMP error: an IPv4 header and 8 bytes of the transport header. */
+/** Parses the packet quoted by an ICMP error: IPv4 header and 8 bytes of the transport header. */
 Result<InnerPacket, InnerPacketError> parseQuoted(const std::string& quoted) {
   constexpr size_t kSourceOffset = 12;
   constexpr size_t kDestinationOffset = 16;
--- a/source/standins/common/inner_packet.h
+++ b/source/standins/common/inner_packet.h
@@ -39,13 +39,13 @@
   }
 };
 
-/** Why bytes are no inner packet that the emulation knows. */
+/** Why bytes can't be parsed as an inner packet of the emulation. */
 enum class InnerPacketError : uint8_t { kMalformed, kUnknownProtocol };
 
 /** @return the IPv4 packet with valid checksums. */
 std::string buildPacket(const InnerPacket& packet);
 
-/** @return the packet that the bytes hold. */
+/** Parses an inner packet. */
 Result<InnerPacket, InnerPacketError> parsePacket(std::string_view bytes);
 
 }  // namespace umberhold::standins
--- a/source/standins/common/program.h
+++ b/source/standins/common/program.h
@@ -1,4 +1,4 @@
-/** @file What every stand-in program does around its own work. */
+/** @file Signal handling, logging and argument parsing shared by the stand-in programs. */
 #pragma once
 
 #include <atomic>
@@ -11,11 +11,10 @@
 /** @return a flag that SIGTERM and SIGINT set. */
 std::atomic<bool>& stopOnSignals();
 
-/** Starts glog to standard error. */
+/** Initializes glog with output to standard error. */
 void startLogging(const char* program);
 
-/** @return the endpoint; ends the program with status 2 where the text is none (port 0 is allowed).
- */
+/** @return the endpoint; exits with status 2 if the text is not an endpoint (port 0 is allowed). */
 Endpoint endpointOrExit(const std::string& flag, const std::string& text);
 
 }  // namespace umberhold::standins
--- a/source/standins/common/report_json.h
+++ b/source/standins/common/report_json.h
@@ -1,7 +1,7 @@
 /**
- * @file Reading and writing what stand-ins recorded as JSON; for the .cc files of the records only.
+ * @file JSON conversion of the stand-ins' records; for the .cc files of the records only.
  *
- * Readers throw Poco::Exception where something is missing or has another type.
+ * Readers throw Poco::Exception if a field is missing or has another type.
  */
 #pragma once
 
@@ -17,7 +17,7 @@
 
 namespace umberhold::standins {
 
-/** A count of a record and its name in JSON. */
+/** A counter of a record and its JSON name. */
 template <class Record>
 struct CounterField {
   const char* name;
@@ -32,7 +32,7 @@
   }
 }
 
-/** Takes every counter from its field. */
+/** Reads each counter from its field. */
 template <class Record, class Fields>
 void readCounters(const Poco::JSON::Object& object, Record& record, const Fields& fields) {
   for (const CounterField<Record>& field : fields) {
@@ -75,7 +75,7 @@
   return arrayOf(numbers, [](Number number) { return number; });
 }
 
-/** @return the endpoint that the text names, or an empty one. */
+/** @return the parsed endpoint, or an empty one if the text is invalid. */
 inline Endpoint endpointOf(const std::string& text) {
   return parseEndpoint(text).value_or(Endpoint{});
 }
--- a/source/standins/fabric/spray_fabric.cc
+++ b/source/standins/fabric/spray_fabric.cc
@@ -9,7 +9,7 @@
 namespace umberhold::standins {
 namespace {
 
-/** @return the endpoints of a JSON array of "address:port", or nothing where it is none. */
+/** @return the endpoints of a JSON array of "address:port", or nothing if the text is invalid. */
 std::optional<std::vector<Endpoint>> endpointsOf(const std::string& text) {
   try {
     const auto array = Poco::JSON::Parser().parse(text).extract<Poco::JSON::Array::Ptr>();
--- a/source/standins/fabric/spray_fabric.h
+++ b/source/standins/fabric/spray_fabric.h
@@ -1,4 +1,4 @@
-/** @file The emulated network edge: sprays each packet over the balancers that it believes live. */
+/** @file The emulated network edge: sprays packets over the balancers of its delayed list. */
 #pragma once
 
 #include <deque>
@@ -13,14 +13,14 @@
 
 namespace umberhold::standins {
 
-/** A fabric. */
+/** Options of a fabric. */
 struct SprayFabricOptions {
-  /** Takes packets of callers. */
+  /** Receives packets from callers. */
   Endpoint listen;
   Endpoint control;
-  /** How long the fabric takes to learn of a change of the list of balancers. */
+  /** Delay until a change of the list of balancers takes effect. */
   uint32_t lagMillis = 1000;
-  /** Latency from callers to the balancers, one way. */
+  /** One-way latency from callers to balancers. */
   uint32_t latencyMicros = 0;
   uint64_t seed = 1;
 };
@@ -36,7 +36,7 @@
   void run(const std::atomic<bool>& stop);
   Endpoint listenEndpoint() const;
   Endpoint controlEndpoint() const;
-  /** Changes the list; effective after the lag. Thread safe. */
+  /** Replaces the list; effective after the lag. Thread safe. */
   void setNodes(std::vector<Endpoint> nodes);
 
  private:
--- a/source/standins/flows/caller_load.cc
+++ b/source/standins/flows/caller_load.cc
@@ -6,7 +6,7 @@
 namespace umberhold {
 namespace {
 
-/** A caller's repeats of its first packet: after 1, 2 and 4 s (RFC 6298). */
+/** Transmissions of a caller's first packet; retransmitted after 1, 2 and 4 s (RFC 6298). */
 constexpr int kFirstPacketAttempts = 4;
 constexpr uint32_t kFirstCaller = 0x0A000000;
 constexpr uint32_t kPortsPerCaller = 16;
@@ -64,7 +64,7 @@
     return;
   }
   region_.sendFromCaller(flow, phaseOf(PacketPhase::kOpening));
-  // The answer comes within some milliseconds, or never.
+  // An answer arrives within some milliseconds or is lost.
   const Duration patience = std::chrono::seconds(1) * (1 << attempt);
   const Duration answer = std::chrono::milliseconds(20);
   region_.after(answer, [this, flow, attempt, patience, answer] {
--- a/source/standins/flows/caller_load.h
+++ b/source/standins/flows/caller_load.h
@@ -7,7 +7,7 @@
 
 namespace umberhold {
 
-/** What the callers do. */
+/** Rates and durations of the callers' traffic. */
 struct CallerLoadOptions {
   double flowsPerSecond = 100.0;
   Duration meanLife = std::chrono::seconds(30);
@@ -15,14 +15,14 @@
   TransportProtocol protocol = TransportProtocol::kTcp;
 };
 
-/** Drives a region; not thread safe. */
+/** Generates the traffic of a region. Not thread safe. */
 class CallerLoad {
  public:
   CallerLoad(SimulatedRegion& region, CallerLoadOptions options);
 
-  /** Opens flows from now on, at the rate given by the options. */
+  /** Starts opening flows at the rate given by the options. */
   void start();
-  /** Opens no more flows; the open ones go on. */
+  /** Stops opening flows; open ones continue. */
   void stop() { running_ = false; }
   void setRate(double flowsPerSecond) { options_.flowsPerSecond = flowsPerSecond; }
   /** Opens one flow now. @return its number. */
--- a/source/standins/flows/flow_oracle.cc
+++ b/source/standins/flows/flow_oracle.cc
@@ -5,8 +5,7 @@
 namespace umberhold {
 namespace {
 
-/** A change must keep new flows off a draining host this long after it is effective on every node.
- */
+/** Grace period, from the start of a drain, after which no new flow may reach the host. */
 constexpr Duration kDrainGrace = std::chrono::seconds(3);
 
 }  // namespace
@@ -18,7 +17,7 @@
   return static_cast<uint32_t>(flows_.size() - 1);
 }
 
-void FlowOracle::violate(TimePoint now, uint32_t flow, Violation::Kind kind) {
+void FlowOracle::recordViolation(TimePoint now, uint32_t flow, Violation::Kind kind) {
   violations_.push_back(Violation{kind, flow, now});
   if (flows_[flow].host && !flows_[flow].broken) {
     flows_[flow].broken = true;
@@ -32,12 +31,12 @@
     return;
   }
   if (flow.refused) {
-    violate(now, number, Violation::Kind::kRefusedThenForwarded);
+    recordViolation(now, number, Violation::Kind::kRefusedThenForwarded);
     return;
   }
   if (flow.host) {
     if (*flow.host != host) {
-      violate(now, number, Violation::Kind::kSecondHost);
+      recordViolation(now, number, Violation::Kind::kSecondHost);
     }
     return;
   }
@@ -59,7 +58,7 @@
     return;
   }
   if (flow.host) {
-    violate(now, number, Violation::Kind::kForwardedThenRefused);
+    recordViolation(now, number, Violation::Kind::kForwardedThenRefused);
     return;
   }
   if (!flow.refused) {
@@ -69,7 +68,7 @@
 }
 
 void FlowOracle::removeHost(const Endpoint& host) {
-  gone_.insert(host);
+  stoppedHosts_.insert(host);
   draining_.erase(host);
   for (OracleFlow& flow : flows_) {
     if (flow.host == host) {
@@ -101,7 +100,7 @@
   double most = 0.0;
   double hosts = 0.0;
   for (const auto& [host, count] : liveFlows()) {
-    if (gone_.contains(host) || draining_.contains(host)) {
+    if (stoppedHosts_.contains(host) || draining_.contains(host)) {
       continue;
     }
     sum += count;
--- a/source/standins/flows/flow_oracle.h
+++ b/source/standins/flows/flow_oracle.h
@@ -1,5 +1,4 @@
-/** @file What must hold for every flow, kept as simply as possible: the host that it first reached.
- */
+/** @file Checks flow invariants: each flow stays on the host that its first packet reached. */
 #pragma once
 
 #include <cstdint>
@@ -15,18 +14,18 @@
 
 namespace umberhold {
 
-/** A promise that was broken, for the report of a failed run. */
+/** A violated invariant, for the report of a failed run. */
 struct Violation {
   enum class Kind : uint8_t {
     /** A packet of an established flow reached a second host. */
     kSecondHost,
-    /** An established flow was answered by a reset while its host ran. */
+    /** An established flow was reset while its host was running. */
     kReset,
-    /** A flow whose refusal was sent was forwarded. */
+    /** A flow was forwarded after it had been refused. */
     kRefusedThenForwarded,
-    /** A refusal was sent for a flow that had been forwarded. */
+    /** A flow was refused after it had been forwarded. */
     kForwardedThenRefused,
-    /** A new flow went to a host that has been draining for too long. */
+    /** A new flow reached a host after the grace period of its drain. */
     kNewOnDraining,
   };
   Kind kind = Kind::kSecondHost;
@@ -34,28 +33,28 @@
   TimePoint when;
 };
 
-/** One caller's flow as the outside sees it. */
+/** The externally visible state of a caller's flow. */
 struct OracleFlow {
   FlowKey key;
   /** Endpoint that its first packet reached. */
   std::optional<Endpoint> host;
   bool refused = false;
   bool broken = false;
-  /** The caller has ended it: later packets are of no interest. */
+  /** The caller has closed the flow; later packets are ignored. */
   bool ended = false;
 };
 
-/** Watches hosts and callers. Not thread safe. */
+/** Checks the packets of hosts and callers. Not thread safe. */
 class FlowOracle {
  public:
   uint32_t open(const FlowKey& key);
   void onHost(TimePoint now, uint32_t flow, const Endpoint& host, PacketPhase phase);
   void onRefused(TimePoint now, uint32_t flow, PacketPhase phase);
   void end(uint32_t flow) { flows_[flow].ended = true; }
-  /** The host is gone: its flows are lost without fault. */
+  /** Records that the host stopped; the loss of its flows is no violation. */
   void removeHost(const Endpoint& host);
-  void addHost(const Endpoint& host) { gone_.erase(host); }
-  /** From now on a new flow on the host is a fault; nothing clears it. */
+  void addHost(const Endpoint& host) { stoppedHosts_.erase(host); }
+  /** Sets the start of the host's drain; std::nullopt clears it. */
   void setDraining(const Endpoint& host, std::optional<TimePoint> since);
 
   const OracleFlow& flow(uint32_t flow) const { return flows_[flow]; }
@@ -63,19 +62,18 @@
   const std::vector<Violation>& violations() const { return violations_; }
   uint64_t established() const { return established_; }
   uint64_t refused() const { return refused_; }
-  /** @return established flows that broke. */
+  /** @return the number of established flows that broke. */
   uint64_t broken() const { return broken_; }
   /** @return the number of live flows of each host. */
   std::map<Endpoint, uint32_t> liveFlows() const;
-  /** @return busiest host's live flows over the mean, of hosts that are neither gone nor draining.
-   */
+  /** @return maximum over mean of live flows per host, without stopped and draining hosts. */
   double imbalance() const;
 
  private:
-  void violate(TimePoint now, uint32_t flow, Violation::Kind kind);
+  void recordViolation(TimePoint now, uint32_t flow, Violation::Kind kind);
 
   std::vector<OracleFlow> flows_;
-  std::set<Endpoint> gone_;
+  std::set<Endpoint> stoppedHosts_;
   std::map<Endpoint, TimePoint> draining_;
   std::vector<Violation> violations_;
   uint64_t established_ = 0;
--- a/source/standins/flows/shard_traffic.h
+++ b/source/standins/flows/shard_traffic.h
@@ -1,4 +1,4 @@
-/** @file Bytes that simulated nodes send for their shards, by purpose. */
+/** @file Counts the shard traffic of simulated nodes by purpose. */
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,19 @@
 /** Counts messages as datagrams: payload, envelope, UDP and IP headers. Not thread safe. */
 class ShardTraffic {
  public:
-  /** A node's own sums start again with its process. */
+  /** Resets the node's own counters at the start of its process. */
   void onStart(uint32_t node) { senders_[node] = Sender{}; }
   void count(TimePoint now, uint32_t from, const Message& message);
 
-  /** @return bytes of the replication log that all nodes sent. */
+  /** @return replication log bytes that all nodes sent. */
   uint64_t replicationBytes() const { return replication_; }
   uint64_t acknowledgementBytes() const { return acknowledgements_; }
-  /** @return the replication bytes of the node that sent most since its start. */
+  /** @return the maximum of the replication bytes that a node sent since its start. */
   uint64_t busiestReplicationBytes() const { return busiestReplication_; }
   /** @return bytes of takeovers and snapshots. */
   uint64_t snapshotBytes() const { return snapshots_; }
   uint64_t loadBytes() const { return load_; }
-  /** @return the most replication bytes that one node sent in any second. */
+  /** @return the maximum of the replication bytes that one node sent in any second. */
   uint64_t peakReplicationBytes() const { return peakReplication_; }
 
  private:
--- a/source/standins/flows/simulated_node.h
+++ b/source/standins/flows/simulated_node.h
@@ -1,4 +1,4 @@
-/** @file Small parts of a simulated node: its view, its configuration, its outputs, its packets. */
+/** @file Components of a simulated node: membership view, configuration, sinks and packets. */
 #pragma once
 
 #include <cstdint>
@@ -37,12 +37,12 @@
   }
 };
 
-/** A member list that news are applied to, in any order. */
+/** A member list; updates may be applied in any order. */
 class SimulatedView : public MembershipView {
  public:
   explicit SimulatedView(const Member& self) : self_(self.id) { members_[self.id] = self; }
 
-  /** @return whether the news changed anything. */
+  /** @return whether the update changed the list. */
   bool apply(const Member& member) {
     const auto known = members_.find(member.id);
     const bool older =
@@ -74,10 +74,10 @@
   uint64_t revision_ = 0;
 };
 
-/** The configuration as one node knows it. */
+/** The configuration of one node. */
 class SimulatedServices : public ServiceSource {
  public:
-  /** @return whether the version is newer than what was known. */
+  /** @return whether the version is newer than the current one. */
   bool apply(uint64_t version, ServiceId id, const Service& service) {
     if (version <= version_) {
       return false;
@@ -101,7 +101,7 @@
   std::map<ServiceId, Service> services_;
 };
 
-/** Hands messages to the simulated network. */
+/** Sends messages over the simulated network. */
 class SimulatedSink : public MessageSink {
  public:
   using Send = std::function<void(const Endpoint&, Message)>;
@@ -112,7 +112,7 @@
   Send send_;
 };
 
-/** Puts held packets back on the node's packet path. */
+/** Returns held packets to the node's packet path. */
 class SimulatedHeldSink : public HeldPacketSink {
  public:
   using Release = std::function<void(TimePoint, std::string, PacketSource)>;
--- a/source/standins/flows/simulated_region.cc
+++ b/source/standins/flows/simulated_region.cc
@@ -82,7 +82,7 @@
 void SimulatedRegion::endNode(uint32_t id) {
   const auto known = nodes_.find(id);
   if (known != nodes_.end()) {
-    // Its own calls may still be on the stack.
+    // Its frames may still be on the call stack.
     ended_.push_back(std::move(known->second));
     nodes_.erase(known);
   }
@@ -144,7 +144,7 @@
     member.state = MemberState::kDead;
     endNode(id);
     for (const auto& [otherId, other] : nodes_) {
-      tellNode(otherId, member, between(Duration(0), options_.lags.membership));
+      sendMemberUpdate(otherId, member, between(Duration(0), options_.lags.membership));
     }
   }
 }
--- a/source/standins/flows/simulated_region.h
+++ b/source/standins/flows/simulated_region.h
@@ -1,10 +1,10 @@
 /**
  * @file A region of nodes in one process: simulated clock, network, membership and configuration.
  *
- * Runs the product's FlowDirectors without sockets. Everything is drawn from one seed, so that a
- * run can be repeated. Messages and relayed packets may be lost, repeated, delayed and overtaken;
- * zones can be cut apart; nodes join, leave, pause and die; views and configuration reach every
- * node at another time.
+ * Runs the real FlowDirectors without sockets. All randomness comes from one seed, so runs are
+ * reproducible. Messages and relayed packets may be lost, duplicated, delayed and reordered; zones
+ * can be partitioned; nodes join, leave, pause and fail; membership updates and configuration reach
+ * each node at a different time.
  */
 #pragma once
 
@@ -38,13 +38,13 @@
   Duration longestDelay = std::chrono::microseconds(3000);
 };
 
-/** How long news take to reach a node, uniformly up to these times. */
+/** Maximum propagation delays of updates to a node; delays are uniformly distributed. */
 struct Lags {
   Duration membership = std::chrono::milliseconds(500);
   Duration configuration = std::chrono::milliseconds(1000);
-  /** From a newcomer's member list to its being alive, while it fetches the configuration. */
+  /** From receipt of the member list to state alive; a joining node fetches the configuration. */
   Duration catchUp = std::chrono::milliseconds(1000);
-  /** From a node's silence to its death in the others' views; each view draws its own. */
+  /** From a node's failure to its state dead in another view; drawn for each view. */
   Duration shortestDetection = std::chrono::milliseconds(2000);
   Duration longestDetection = std::chrono::milliseconds(3500);
 };
@@ -64,29 +64,29 @@
   ~SimulatedRegion();
 
   /**
-   * Starts a node. Like a real one it is alive, owns shards and gets packets only after it has
-   * taken the member list from a node that has joined, or, where all nodes are starting, from all.
+   * Starts a node. Like a real node it becomes alive, owns shards and receives packets only after
+   * it has the member list of a joined node or, if all nodes are starting, of all nodes.
    */
   void startNode(uint32_t id, uint32_t zone);
-  /** The process ends without a word. */
+  /** Ends the process without a leave announcement. */
   void killNode(uint32_t id);
-  /** A planned stop: the node ends after the hand-over and a linger time. */
+  /** Graceful stop: the node ends after the handover and a linger time. */
   void leaveNode(uint32_t id);
-  /** The process stops running for a while; packets and messages to it are lost meanwhile. */
+  /** Suspends the process; packets and messages to it are lost meanwhile. */
   void pauseNode(uint32_t id, Duration pause);
-  /** Cuts a zone off from the others' nodes; callers reach both sides. */
+  /** Partitions a zone from the other zones; callers reach both sides. */
   void cutZone(uint32_t zone);
   void healZones();
-  /** Changes the service on every node, each at its own time. */
+  /** Changes the service on all nodes, each after its own delay. */
   void configure(const Service& service);
   void setFaults(const NetworkFaults& faults) { options_.faults = faults; }
 
-  /** A packet of a caller reaches a random node that the fabric takes for running. */
+  /** Delivers a caller's packet to a random node among those that the fabric uses. */
   void sendFromCaller(uint32_t flow, PacketPhase phase);
-  /** Runs everything that happens until then. */
+  /** Runs all events until this time. */
   void runUntil(TimePoint end);
   void runFor(Duration duration) { runUntil(now_ + duration); }
-  /** Calls back at a time from now. */
+  /** Runs the action after the delay. */
   void after(Duration delay, std::function<void()> action);
 
   TimePoint now() const { return now_; }
@@ -98,12 +98,12 @@
   bool isRunning(uint32_t id) const;
   bool hasEnded(uint32_t id) const;
   std::vector<uint32_t> runningNodes() const;
-  /** @return whether every running node has had the current configuration for the time. */
+  /** @return the time since which all running nodes have had the current configuration. */
   Duration configurationAge() const;
-  /** @return what all nodes sent to each other. */
+  /** @return counters of the traffic between all nodes. */
   const ShardTraffic& traffic() const { return traffic_; }
   const ShardDirector* director(uint32_t id) const;
-  /** @return shards that exactly one running node owns. */
+  /** @return the number of shards with exactly one running owner. */
   uint32_t shardsWithOneOwner() const;
 
  private:
@@ -127,19 +127,19 @@
   void sendMessage(uint32_t from, const Endpoint& to, Message message);
   void sendRelay(uint32_t from, NodeId to, std::string bytes, uint8_t timeToLive);
   void announce(const Member& member, Duration shortest, Duration longest);
-  void tellNode(uint32_t id, const Member& member, Duration delay);
+  void sendMemberUpdate(uint32_t id, const Member& member, Duration delay);
   void tickNodes();
   void endNode(uint32_t id);
-  /** @return the process with that start, if it still joins. */
-  Node* joiningNode(uint32_t id, uint64_t startedAs);
-  void join(uint32_t id, uint64_t startedAs);
-  /** @return whether the newcomer has the list of a joined node, or everybody else still joins. */
-  bool takeMemberList(Node& newcomer);
-  void becomeAlive(uint32_t id, uint64_t startedAs);
+  /** @return the process with this start incarnation if it is still joining, else nullptr. */
+  Node* joiningNode(uint32_t id, uint64_t startIncarnation);
+  void join(uint32_t id, uint64_t startIncarnation);
+  /** @return whether the list came from a joined node, or all other nodes are still joining. */
+  bool fetchMemberList(Node& newcomer);
+  void markAlive(uint32_t id, uint64_t startIncarnation);
   void scheduleViewExchange();
   void exchangeViews();
   uint32_t randomNode();
-  /** @return the nodes that the fabric sends packets to. */
+  /** @return the nodes to which the fabric sends packets. */
   std::vector<uint32_t> readyNodes() const;
 
   RegionOptions options_;
--- a/source/standins/flows/simulated_region_membership.cc
+++ b/source/standins/flows/simulated_region_membership.cc
@@ -1,4 +1,4 @@
-/** @file How a region's nodes join, leave, pause, die and hear of each other. */
+/** @file Membership of a simulated region: join, leave, pause, failure and member updates. */
 #include <utility>
 #include <vector>
 
@@ -8,14 +8,14 @@
 namespace umberhold {
 namespace {
 
-/** Repetition of an unanswered request for the member list. */
+/** Retry interval of an unanswered request for the member list. */
 constexpr Duration kJoinRetry = std::chrono::milliseconds(500);
-/** Each node compares its member list with that of a random other one this often. */
+/** Interval at which each node fetches the member list of a random other node. */
 constexpr Duration kViewExchange = std::chrono::seconds(1);
 
 }  // namespace
 
-void SimulatedRegion::tellNode(uint32_t id, const Member& member, Duration delay) {
+void SimulatedRegion::sendMemberUpdate(uint32_t id, const Member& member, Duration delay) {
   after(delay, [this, id, member] {
     const auto known = nodes_.find(id);
     if (known == nodes_.end()) {
@@ -23,7 +23,7 @@
     }
     const bool pausedNow = known->second->pausedUntil > now_;
     if (pausedNow) {
-      tellNode(id, member, known->second->pausedUntil - now_);
+      sendMemberUpdate(id, member, known->second->pausedUntil - now_);
     } else {
       known->second->onMember(member);
     }
@@ -32,11 +32,12 @@
 
 void SimulatedRegion::announce(const Member& member, Duration shortest, Duration longest) {
   const uint32_t about = member.id.value;
-  // At once: what is next said of this node, even its death, must be newer than this.
+  // Applied to the node itself without delay, because any later update about it, including its
+  // death, is derived from its own entry and must supersede this one.
   nodes_.at(about)->onMember(member);
   for (const auto& [id, node] : nodes_) {
     if (id != about && connected(id, about)) {
-      tellNode(id, member, between(shortest, longest));
+      sendMemberUpdate(id, member, between(shortest, longest));
     }
   }
 }
@@ -57,33 +58,33 @@
   }
   node.start();
   if (!service_.name.empty() && node.owned) {
-    // Known before it was ready: the service is not new.
+    // Received before the node was ready, so the service is not new to it.
     node.owned->onServiceChanged(now_, serviceId());
   }
   join(id, self.incarnation);
 }
 
-SimulatedRegion::Node* SimulatedRegion::joiningNode(uint32_t id, uint64_t startedAs) {
+SimulatedRegion::Node* SimulatedRegion::joiningNode(uint32_t id, uint64_t startIncarnation) {
   const auto known = nodes_.find(id);
-  const bool joins =
-      known != nodes_.end() && known->second->startedAs == startedAs && !known->second->hasJoined();
+  const bool joins = known != nodes_.end() && known->second->startIncarnation == startIncarnation &&
+                     !known->second->hasJoined();
   return joins ? known->second.get() : nullptr;
 }
 
-void SimulatedRegion::join(uint32_t id, uint64_t startedAs) {
-  Node* newcomer = joiningNode(id, startedAs);
+void SimulatedRegion::join(uint32_t id, uint64_t startIncarnation) {
+  Node* newcomer = joiningNode(id, startIncarnation);
   if (newcomer == nullptr) {
     return;
   }
-  if (runningNode(id) == nullptr || !takeMemberList(*newcomer)) {
-    after(kJoinRetry, [this, id, startedAs] { join(id, startedAs); });
+  if (runningNode(id) == nullptr || !fetchMemberList(*newcomer)) {
+    after(kJoinRetry, [this, id, startIncarnation] { join(id, startIncarnation); });
     return;
   }
   after(between(Duration(0), options_.lags.catchUp),
-        [this, id, startedAs] { becomeAlive(id, startedAs); });
+        [this, id, startIncarnation] { markAlive(id, startIncarnation); });
 }
 
-bool SimulatedRegion::takeMemberList(Node& newcomer) {
+bool SimulatedRegion::fetchMemberList(Node& newcomer) {
   std::vector<const Node*> joined;
   std::vector<const Node*> joining;
   for (const auto& [otherId, other] : nodes_) {
@@ -94,23 +95,23 @@
     }
   }
   if (!joined.empty()) {
-    newcomer.takeMembersOf(*joined[random_.below(joined.size())]);
+    newcomer.applyMembersOf(*joined[random_.below(joined.size())]);
     return true;
   }
   for (const Node* other : joining) {
-    newcomer.takeMembersOf(*other);
+    newcomer.applyMembersOf(*other);
   }
-  // Nodes that do not answer may have joined.
+  // Unresponsive nodes may have joined.
   return joining.size() + 1 == nodes_.size();
 }
 
-void SimulatedRegion::becomeAlive(uint32_t id, uint64_t startedAs) {
-  Node* newcomer = joiningNode(id, startedAs);
+void SimulatedRegion::markAlive(uint32_t id, uint64_t startIncarnation) {
+  Node* newcomer = joiningNode(id, startIncarnation);
   if (newcomer == nullptr) {
     return;
   }
   if (runningNode(id) == nullptr) {
-    after(kJoinRetry, [this, id, startedAs] { becomeAlive(id, startedAs); });
+    after(kJoinRetry, [this, id, startIncarnation] { markAlive(id, startIncarnation); });
     return;
   }
   if (newcomer->owned) {
@@ -150,9 +151,9 @@
     const Duration detection =
         between(options_.lags.shortestDetection, options_.lags.longestDetection);
     member.state = MemberState::kSuspect;
-    tellNode(otherId, member, detection / 2);
+    sendMemberUpdate(otherId, member, detection / 2);
     member.state = MemberState::kDead;
-    tellNode(otherId, member, detection);
+    sendMemberUpdate(otherId, member, detection);
   }
 }
 
@@ -176,7 +177,7 @@
         between(options_.lags.shortestDetection, options_.lags.longestDetection);
     if (otherId != id && detection < pause) {
       member.state = MemberState::kDead;
-      tellNode(otherId, member, detection);
+      sendMemberUpdate(otherId, member, detection);
     }
   }
   after(pause + std::chrono::milliseconds(100), [this, id] {
@@ -200,7 +201,7 @@
             between(options_.lags.shortestDetection, options_.lags.longestDetection);
         after(detection, [this, to = id, about = otherId, lost] {
           if (nodes_.contains(to) && nodes_.contains(about) && !connected(to, about)) {
-            tellNode(to, lost, Duration(0));
+            sendMemberUpdate(to, lost, Duration(0));
           }
         });
       }
@@ -215,7 +216,7 @@
     member.incarnation = ++incarnation_;
     announce(member, Duration(0), options_.lags.membership * 2);
   }
-  // What was missed meanwhile arrives now.
+  // Delivers the configuration that nodes missed during the partition.
   if (!service_.name.empty()) {
     configure(service_);
   }
--- a/source/standins/flows/simulated_region_network.cc
+++ b/source/standins/flows/simulated_region_network.cc
@@ -1,4 +1,4 @@
-/** @file The network between a region's nodes: loss, repetition, delay, cuts. */
+/** @file The network between a region's nodes: loss, duplication, delay and partitions. */
 #include <utility>
 
 #include "standins/flows/simulated_region.h"
--- a/source/standins/flows/simulated_region_node.h
+++ b/source/standins/flows/simulated_region_node.h
@@ -17,7 +17,7 @@
  public:
   Node(SimulatedRegion& owner, const Member& self)
       : region(owner),
-        startedAs(self.incarnation),
+        startIncarnation(self.incarnation),
         view(self),
         flows(tableOptions(owner)),
         messages([this](const Endpoint& to, Message message) {
@@ -34,7 +34,7 @@
   }
 
   uint32_t id() const { return view.self().value; }
-  /** @return this node as it tells others of itself. */
+  /** @return the member entry that this node announces of itself. */
   const Member& self() const { return *view.find(view.self()); }
   uint32_t zone() const { return self().zone.value; }
   bool hasJoined() const { return self().state != MemberState::kJoining; }
@@ -62,8 +62,8 @@
     }
   }
 
-  /** Takes the live members that another node knows. */
-  void takeMembersOf(const Node& other) {
+  /** Applies the live members of another node's view. */
+  void applyMembersOf(const Node& other) {
     other.view.forEach([this](const Member& member) {
       if (member.id != view.self() && member.state != MemberState::kDead) {
         onMember(member);
@@ -118,8 +118,8 @@
   }
 
   SimulatedRegion& region;
-  /** Incarnation of the process's start: tells processes under one identifier apart. */
-  const uint64_t startedAs;
+  /** Incarnation at process start; distinguishes processes with the same identifier. */
+  const uint64_t startIncarnation;
   SimulatedView view;
   SimulatedServices services;
   FlowTable flows;
--- a/source/standins/oracle/oracle.cc
+++ b/source/standins/oracle/oracle.cc
@@ -8,7 +8,7 @@
 namespace umberhold::standins {
 namespace {
 
-bool during(const RunEvidence& evidence, UnixMillis at) {
+bool isDuringUnplannedEvent(const RunEvidence& evidence, UnixMillis at) {
   return std::any_of(
       evidence.unplanned.begin(), evidence.unplanned.end(),
       [at](const UnplannedEvent& event) { return at >= event.at && at <= event.until; });
@@ -20,9 +20,9 @@
   });
 }
 
-/** @return whether the host itself says that it held the caller's flow when it stopped. */
+/** @return whether the host recorded the caller's flow as open when it stopped. */
 template <class Event>
-bool hostLost(const RunEvidence& evidence, const std::string& name, const Event& event) {
+bool hostRecordedLoss(const RunEvidence& evidence, const std::string& name, const Event& event) {
   for (const HostRecord& host : evidence.hosts) {
     if (host.host != name) {
       continue;
@@ -37,35 +37,35 @@
 }
 
 /**
- * @return whether the stopped host held the flow. A caller knows its host from the first answer on;
- * before, only the host can tell.
+ * @return whether the flow was open on the stopped host. A caller's record names the host only
+ * after the first answer; before that, the host's own record decides.
  */
 template <class Event>
-bool heldBy(const RunEvidence& evidence, const HostStop& stop, const Event& event) {
+bool wasHeldBy(const RunEvidence& evidence, const HostStop& stop, const Event& event) {
   if (event.host.empty()) {
-    return hostLost(evidence, stop.host, event);
+    return hostRecordedLoss(evidence, stop.host, event);
   }
   return event.host == stop.host && event.openedAt <= stop.at && stop.at <= event.at;
 }
 
-/** @return whether the flow's own host stopped without a drain while it held the flow. */
+/** @return whether the flow's host stopped without a drain while the flow was open on it. */
 template <class Event>
-bool lostWithHost(const RunEvidence& evidence, const Event& event) {
+bool wasLostWithHost(const RunEvidence& evidence, const Event& event) {
   return std::any_of(evidence.hostStops.begin(), evidence.hostStops.end(),
                      [&](const HostStop& stop) {
-                       return heldBy(evidence, stop, event) && !drainedBefore(evidence, stop);
+                       return wasHeldBy(evidence, stop, event) && !drainedBefore(evidence, stop);
                      });
 }
 
 template <class Event>
-bool explained(const RunEvidence& evidence, const Event& event) {
-  return during(evidence, event.at) || lostWithHost(evidence, event);
+bool isAttributed(const RunEvidence& evidence, const Event& event) {
+  return isDuringUnplannedEvent(evidence, event.at) || wasLostWithHost(evidence, event);
 }
 
 void judgeFlow(const RunEvidence& evidence, const BrokenFlow& flow, Verdict& verdict) {
   ++verdict.brokenFlows;
-  verdict.brokenFlowsOfStoppedHosts += lostWithHost(evidence, flow) ? 1 : 0;
-  if (!explained(evidence, flow)) {
+  verdict.brokenFlowsOfStoppedHosts += wasLostWithHost(evidence, flow) ? 1 : 0;
+  if (!isAttributed(evidence, flow)) {
     ++verdict.brokenFlowsPlanned;
     verdict.plannedBreaks.push_back(flow);
   }
@@ -86,7 +86,7 @@
     verdict.incompleteAnswersPlanned += report.outstandingRequests;
     verdict.cutRequests += report.cut.size();
     for (const CutRequest& request : report.cut) {
-      const uint64_t planned = explained(evidence, request) ? 0 : 1;
+      const uint64_t planned = isAttributed(evidence, request) ? 0 : 1;
       verdict.cutRequestsPlanned += planned;
       verdict.incompleteAnswers += request.partial ? 1 : 0;
       verdict.incompleteAnswersPlanned += request.partial ? planned : 0;
@@ -98,7 +98,7 @@
   for (const CallerReport& report : evidence.callers) {
     verdict.unansweredPackets += report.unansweredAt.size();
     for (const UnixMillis at : report.unansweredAt) {
-      verdict.unansweredPacketsPlanned += during(evidence, at) ? 0 : 1;
+      verdict.unansweredPacketsPlanned += isDuringUnplannedEvent(evidence, at) ? 0 : 1;
     }
     verdict.longestSilenceMillis =
         std::max(verdict.longestSilenceMillis.value_or(0), report.longestSilenceMillis);
--- a/source/standins/oracle/oracle.h
+++ b/source/standins/oracle/oracle.h
@@ -1,4 +1,4 @@
-/** @file Judges a run: compares what callers saw with what hosts ran. No I/O. */
+/** @file Evaluates a run by comparing the reports of callers with the records of hosts. No I/O. */
 #pragma once
 
 #include <cstdint>
@@ -11,47 +11,46 @@
 
 namespace umberhold::standins {
 
-/** Something that happened to a balancer, a zone or the store without a plan. */
+/** An unplanned failure of a balancer, a zone or the store. */
 struct UnplannedEvent {
   UnixMillis at = 0;
-  /** Flows that break until then may be due to the event. */
+  /** End of the time in which broken flows are attributed to the event. */
   UnixMillis until = 0;
 };
 
 /**
- * A host that stopped without a warning and lost its flows. It excuses the flows that it held then,
- * and no others; a host whose drain had been asked for before excuses none.
+ * An unplanned stop of a host, which lost its flows. It accounts only for the flows that were open
+ * on the host at that time, and for none if the host's drain had been requested before.
  */
 struct HostStop {
   UnixMillis at = 0;
   std::string host;
 };
 
-/** When an accepted change asked for a host's drain. */
+/** Time of an accepted change that requested a host's drain. */
 struct DrainEvent {
   UnixMillis at = 0;
   std::string host;
 };
 
-/** Everything that a run left behind. */
+/** All records of a run. */
 struct RunEvidence {
   std::vector<CallerReport> callers;
   std::vector<HostRecord> hosts;
   std::vector<UnplannedEvent> unplanned;
   std::vector<HostStop> hostStops;
   std::vector<DrainEvent> drains;
-  /** Hosts that do not count for the imbalance: drained, removed, stopped, cold or not yet added.
-   */
+  /** Hosts excluded from the imbalance: drained, removed, stopped, cold or not yet added. */
   std::vector<std::string> unsettledHosts;
 };
 
-/** How long one draining host went on receiving new flows. */
+/** Time for which a draining host continued to receive new flows. */
 struct DrainFinding {
   std::string host;
   UnixMillis stopMillis = 0;
 };
 
-/** How the open flows of one service lie on its settled hosts. */
+/** Distribution of the open flows of a service over its settled hosts. */
 struct ServiceBalance {
   std::string service;
   size_t hosts = 0;
@@ -64,57 +63,57 @@
   double imbalance() const { return static_cast<double>(busiestFlows) / mean(); }
 };
 
-/** The judgement. Counts are over all callers and hosts. */
+/** Result of the evaluation. Counts are over all callers and hosts. */
 struct Verdict {
   uint64_t flows = 0;
   uint64_t brokenFlows = 0;
-  /** Broken flows that went down with their own host. */
+  /** Broken flows that were lost by the unplanned stop of their host. */
   uint64_t brokenFlowsOfStoppedHosts = 0;
-  /** Broken flows that neither an unplanned event nor their stopped host explains. */
+  /** Broken flows attributed neither to an unplanned event nor to the stop of their host. */
   uint64_t brokenFlowsPlanned = 0;
   uint64_t misroutedPackets = 0;
-  /** Answers of which parts are missing, and requests that never got an answer. */
+  /** Answers with missing parts and requests without an answer. */
   uint64_t incompleteAnswers = 0;
-  /** Those of them that no unplanned event explains. */
+  /** The part of them that is not attributed to an unplanned event. */
   uint64_t incompleteAnswersPlanned = 0;
-  /** Requests that ran although their answer said that they did not. */
+  /** Requests that ran although their answer excluded execution. */
   uint64_t refusedButRun = 0;
   /** Second runs of requests that must not run twice. */
   uint64_t duplicateRuns = 0;
   /** Requests in progress when their flow broke. */
   uint64_t cutRequests = 0;
-  /** Those of them that no unplanned event explains. */
+  /** The part of them that is not attributed to an unplanned event. */
   uint64_t cutRequestsPlanned = 0;
-  /** Packets of callers that had no answer when their repeat was due. */
+  /** Packets of callers that reached their retransmission timeout. */
   uint64_t unansweredPackets = 0;
-  /** Those of them that no unplanned event explains. */
+  /** The part of them that is not attributed to an unplanned event. */
   uint64_t unansweredPacketsPlanned = 0;
-  /** Longest time in milliseconds that an open flow waited for an answer and heard nothing. */
+  /** Maximum time in milliseconds for which an open flow waited without receiving a packet. */
   std::optional<uint64_t> longestSilenceMillis;
-  /** Messages that hosts sent unasked. */
+  /** Unsolicited messages that hosts sent. */
   uint64_t pushes = 0;
-  /** Those of them that callers counted, each once by its id. */
+  /** The part of them that callers received, each id counted once. */
   uint64_t pushesReceived = 0;
-  /** Those of them that hosts gave up while the flow was open. */
+  /** The part of them that hosts abandoned while the flow was open. */
   uint64_t pushesLost = 0;
   /** The broken flows of brokenFlowsPlanned. */
   std::vector<BrokenFlow> plannedBreaks;
   /** One entry for each service that has flows on settled hosts. */
   std::vector<ServiceBalance> balances;
-  /** From the change to the last new flow on the drained host; the slowest host counts. */
+  /** Time from the change to the last new flow on the drained host; maximum over all hosts. */
   std::optional<UnixMillis> drainStopMillis;
   std::vector<DrainFinding> drains;
 
-  /** @return flows of the busiest host over the mean of its service; the worst service counts. */
+  /** @return maximum over mean of flows per host of a service; maximum over all services. */
   std::optional<double> imbalance() const;
-  /** @return whether a promise that holds through every planned change is broken. */
+  /** @return whether a guarantee that covers all planned changes is violated. */
   bool promiseBroken() const;
 };
 
-/** Longest time that a draining host may go on receiving new flows. */
+/** Maximum time for which a draining host may receive new flows. */
 constexpr UnixMillis kDrainStopLimitMillis = 5000;
 
-/** @return the judgement on a run. */
+/** Evaluates a run. */
 Verdict judge(const RunEvidence& evidence);
 
 }  // namespace umberhold::standins
--- a/source/standins/platform/fault_switches.cc
+++ b/source/standins/platform/fault_switches.cc
@@ -55,22 +55,22 @@
   settings_ = settings;
 }
 
-ChangeFate FaultSwitches::nextChange() {
+ChangeFault FaultSwitches::nextChangeFault() {
   const std::lock_guard lock(mutex_);
   if (settings_.loseRequestsNext > 0) {
     --settings_.loseRequestsNext;
-    return ChangeFate::kRequestLost;
+    return ChangeFault::kRequestLost;
   }
   if (settings_.lateChangesNext > 0) {
     --settings_.lateChangesNext;
-    return ChangeFate::kLate;
+    return ChangeFault::kLate;
   }
   if (settings_.loseAnswersNext > 0) {
     --settings_.loseAnswersNext;
-    return ChangeFate::kAnswerLost;
+    return ChangeFault::kAnswerLost;
   }
   std::bernoulli_distribution lose(settings_.loseAnswersProbability);
-  return lose(random_) ? ChangeFate::kAnswerLost : ChangeFate::kNormal;
+  return lose(random_) ? ChangeFault::kAnswerLost : ChangeFault::kNormal;
 }
 
 Result<FaultSettings, FaultError> mergeFaults(FaultSettings settings, const std::string& json) {
--- a/source/standins/platform/fault_switches.h
+++ b/source/standins/platform/fault_switches.h
@@ -1,4 +1,4 @@
-/** @file What the stand-in store does wrong on request. */
+/** @file Switchable faults of the stand-in store. */
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace umberhold::standins {
 
-/** Whether the API answers at all. */
+/** Availability of the API. */
 enum class Outage : uint8_t {
   kNone,
   /** Every API request gets 503 with Retry-After. */
@@ -20,24 +20,25 @@
   kRefused,
 };
 
-/** The switches' positions; see docs/PLATFORM_API.md. */
+/** Settings of the switches; see docs/PLATFORM_API.md. */
 struct FaultSettings {
   Duration slow{0};
   Outage outage = Outage::kNone;
   uint32_t retryAfterSeconds = 1;
-  /** The next so many changes take effect, but their answers are lost. */
+  /** Number of next changes that take effect but whose answers are lost. */
   uint32_t loseAnswersNext = 0;
-  /** Every other change's answer is lost with this probability. */
+  /** Probability with which the answer of any other change is lost. */
   double loseAnswersProbability = 0;
-  /** The next so many changes are lost before they take effect. */
+  /** Number of next changes that are lost before they take effect. */
   uint32_t loseRequestsNext = 0;
-  /** The next so many changes lose their connection at once and take effect only `lateBy` later. */
+  /** Number of next changes whose connection is closed at once and that take effect after `lateBy`.
+   */
   uint32_t lateChangesNext = 0;
   Duration lateBy = std::chrono::seconds(1);
 };
 
-/** What is to happen to one change. */
-enum class ChangeFate : uint8_t { kNormal, kAnswerLost, kRequestLost, kLate };
+/** Fault to apply to one change. */
+enum class ChangeFault : uint8_t { kNormal, kAnswerLost, kRequestLost, kLate };
 
 /** Why a fault setting was refused. */
 struct FaultError {
@@ -51,8 +52,8 @@
 
   FaultSettings settings() const;
   void set(const FaultSettings& settings);
-  /** Takes one change off the counted switches. */
-  ChangeFate nextChange();
+  /** Decrements the counted switches. @return the fault for the next change. */
+  ChangeFault nextChangeFault();
 
  private:
   mutable std::mutex mutex_;
@@ -60,7 +61,7 @@
   std::mt19937_64 random_;
 };
 
-/** @return the settings with the keys of a JSON object changed; other keys stay as they are. */
+/** @return the settings updated by the keys of a JSON object; other keys are unchanged. */
 Result<FaultSettings, FaultError> mergeFaults(FaultSettings settings, const std::string& json);
 std::string encodeFaults(const FaultSettings& settings);
 
--- a/source/standins/platform/http_answers.h
+++ b/source/standins/platform/http_answers.h
@@ -1,4 +1,4 @@
-/** @file Small helpers that the stand-in platform's handlers answer with. */
+/** @file HTTP helpers of the stand-in platform's request handlers. */
 #pragma once
 
 #include <Poco/Net/HTTPServerRequest.h>
@@ -16,16 +16,15 @@
 /** Sends a JSON error body. */
 void sendError(Poco::Net::HTTPServerResponse& response, Poco::Net::HTTPResponse::HTTPStatus status,
                const std::string& code, const std::string& message);
-/** @return whether the caller has closed its end, so that it waits for no answer any more. */
+/** @return whether the client has closed its end of the connection. */
 bool isClosedByClient(Poco::Net::HTTPServerRequest& request);
-/** Closes the connection without an answer. */
 void dropConnection(Poco::Net::HTTPServerRequest& request);
 /** @return the whole request body. */
 std::string readBody(Poco::Net::HTTPServerRequest& request);
-/** @return a query parameter, or nothing where it is absent. */
+/** @return a query parameter, or nothing if it is absent. */
 std::optional<std::string> queryText(const Poco::Net::HTTPServerRequest& request,
                                      const std::string& key);
-/** @return a query parameter as a number; nothing where it is absent or no number. */
+/** @return a query parameter as a number, or nothing if it is absent or not a number. */
 std::optional<uint64_t> queryNumber(const Poco::Net::HTTPServerRequest& request,
                                     const std::string& key);
 
--- a/source/standins/platform/machine_list.h
+++ b/source/standins/platform/machine_list.h
@@ -1,4 +1,4 @@
-/** @file The stand-in's list of machines, which readers see after a lag. */
+/** @file The stand-in's list of machines; changes become visible to readers after a lag. */
 #pragma once
 
 #include <chrono>
@@ -13,7 +13,7 @@
 
 namespace umberhold::standins {
 
-/** Machines as registered, and as seen once the lag is over. Thread safe. */
+/** Registered machines and the delayed list for readers. Thread safe. */
 class MachineList {
  public:
   explicit MachineList(Duration lag) : lag_(lag) {}
@@ -22,7 +22,7 @@
   /** Adds or replaces a machine. */
   void put(const Machine& machine);
   void remove(uint32_t nodeId);
-  /** @return what a reader sees now. */
+  /** @return the list that is currently visible to readers. */
   std::vector<Machine> visible();
 
  private:
--- a/source/standins/platform/object_api_handler.cc
+++ b/source/standins/platform/object_api_handler.cc
@@ -14,7 +14,7 @@
 constexpr size_t kCollectionPart = 2;
 constexpr size_t kNamePart = 3;
 constexpr uint64_t kDefaultPage = 500;
-constexpr uint64_t kLongestWaitMilliseconds = 60000;
+constexpr uint64_t kMaximumWaitMilliseconds = 60000;
 
 void sendChangeAnswer(HTTPServerResponse& response, const ObjectStore::ChangeAnswer& answer,
                       bool isRemoval) {
@@ -76,12 +76,12 @@
   }
   const OpenWatch open(state_.counters);
   const auto answer = state_.objects.watch(
-      *since, std::chrono::milliseconds(std::min(wait, kLongestWaitMilliseconds)));
+      *since, std::chrono::milliseconds(std::min(wait, kMaximumWaitMilliseconds)));
   if (const auto* batch = std::get_if<WatchBatch>(&answer)) {
     sendJson(response, HTTPResponse::HTTP_OK, encodeWatchBatch(*batch));
     return;
   }
-  const uint64_t oldest = std::get<HistoryGone>(answer).oldestVersion;
+  const uint64_t oldest = std::get<HistoryTruncated>(answer).oldestVersion;
   sendError(response, HTTPResponse::HTTP_GONE, "too_old",
             "history starts after version " + std::to_string(oldest));
 }
@@ -117,14 +117,14 @@
               isOk(body) ? "expected_version is missing" : errorOf(body).detail);
     return;
   }
-  const ChangeFate fate = state_.faults.nextChange();
-  if (fate == ChangeFate::kRequestLost || fate == ChangeFate::kLate) {
+  const ChangeFault fate = state_.faults.nextChangeFault();
+  if (fate == ChangeFault::kRequestLost || fate == ChangeFault::kLate) {
     dropConnection(request);
   }
-  if (fate == ChangeFate::kRequestLost) {
+  if (fate == ChangeFault::kRequestLost) {
     return;
   }
-  if (fate == ChangeFate::kLate) {
+  if (fate == ChangeFault::kLate) {
     std::this_thread::sleep_for(state_.faults.settings().lateBy);
   }
   const auto answer = isRemoval ? state_.objects.remove(collection, path_[kNamePart], *expected)
@@ -132,9 +132,9 @@
   if (std::holds_alternative<VersionConflict>(answer)) {
     ++state_.counters.conflicts;
   }
-  if (fate == ChangeFate::kNormal) {
+  if (fate == ChangeFault::kNormal) {
     sendChangeAnswer(response, answer, isRemoval);
-  } else if (fate == ChangeFate::kAnswerLost) {
+  } else if (fate == ChangeFault::kAnswerLost) {
     dropConnection(request);
   }
 }
--- a/source/standins/platform/object_store.cc
+++ b/source/standins/platform/object_store.cc
@@ -69,10 +69,10 @@
   std::unique_lock lock(mutex_);
   const uint64_t interruptions = interruptions_;
   changed_.wait_for(lock, wait, [&] {
-    return since < forgottenVersion_ || hasEventAfter(since) || interruptions_ != interruptions;
+    return since < truncatedVersion_ || hasEventAfter(since) || interruptions_ != interruptions;
   });
-  if (since < forgottenVersion_) {
-    return HistoryGone{forgottenVersion_};
+  if (since < truncatedVersion_) {
+    return HistoryTruncated{truncatedVersion_};
   }
   WatchBatch batch;
   batch.version = std::max(since, version_);
@@ -112,7 +112,7 @@
 
 void ObjectStore::trimHistory() {
   while (history_.size() > historyLimit_) {
-    forgottenVersion_ = history_.front().version;
+    truncatedVersion_ = history_.front().version;
     history_.pop_front();
   }
 }
--- a/source/standins/platform/object_store.h
+++ b/source/standins/platform/object_store.h
@@ -17,13 +17,13 @@
 
 namespace umberhold::standins {
 
-/** A conditional change met another version; 0 where the object does not exist. */
+/** Version mismatch of a conditional change; version 0 means that the object does not exist. */
 struct VersionConflict {
   uint64_t currentVersion = 0;
 };
 
-/** The watch starts before the kept history. */
-struct HistoryGone {
+/** The watch starts before the oldest event in the history. */
+struct HistoryTruncated {
   uint64_t oldestVersion = 0;
 };
 
@@ -31,19 +31,19 @@
 class ObjectStore {
  public:
   using ChangeAnswer = std::variant<uint64_t, VersionConflict>;
-  using WatchAnswer = std::variant<WatchBatch, HistoryGone>;
+  using WatchAnswer = std::variant<WatchBatch, HistoryTruncated>;
 
-  /** @param historyLimit events that a watch can go back by. */
+  /** @param historyLimit maximum number of past events that a watch can replay. */
   explicit ObjectStore(size_t historyLimit);
 
   ObjectPage list(Collection collection, const std::string& after, size_t limit) const;
   std::optional<StoredObject> get(Collection collection, const std::string& name) const;
-  /** Writes where the current version is the expected one (0: does not exist). */
+  /** Writes if the current version is the expected one (0: does not exist). */
   ChangeAnswer put(Collection collection, const std::string& name, const PutBody& body);
   ChangeAnswer remove(Collection collection, const std::string& name, uint64_t expectedVersion);
-  /** Waits for events of services and policies after `since`; blocks up to `wait`. */
+  /** Returns events of services and policies after `since`; blocks for at most `wait`. */
   WatchAnswer watch(uint64_t since, Duration wait);
-  /** Ends all waits at once, as if their time were over. */
+  /** Makes all blocked watches return immediately, as on timeout. */
   void interruptWatches();
   void setHistoryLimit(size_t limit);
 
@@ -61,8 +61,8 @@
   std::deque<StoredObject> history_;
   size_t historyLimit_;
   uint64_t version_ = 0;
-  /** Version of the newest event that fell out of the history. */
-  uint64_t forgottenVersion_ = 0;
+  /** Version of the newest event that was removed from the history. */
+  uint64_t truncatedVersion_ = 0;
   uint64_t interruptions_ = 0;
 };
 
--- a/source/standins/platform/platform_handlers.h
+++ b/source/standins/platform/platform_handlers.h
@@ -11,7 +11,7 @@
 
 namespace umberhold::standins {
 
-/** A request path cut at its slashes, unescaped. */
+/** Unescaped segments of a request path. */
 using PathParts = std::vector<std::string>;
 
 /** Handles /api/v1/... */
@@ -37,7 +37,7 @@
 /** Handles /control/... */
 class ControlHandler : public Poco::Net::HTTPRequestHandler {
  public:
-  /** Applies new fault settings; @return false where they can't be set through this port. */
+  /** Applies new fault settings; @return false if they can't be set through this port. */
   using ApplyFaults = std::function<bool(const FaultSettings&)>;
 
   ControlHandler(PlatformState& state, PathParts path, ApplyFaults applyFaults)
--- a/source/standins/platform/platform_main.cc
+++ b/source/standins/platform/platform_main.cc
@@ -17,7 +17,7 @@
 constexpr int kUsageError = 2;
 constexpr int kStartError = 1;
 
-/** Blocks the stop signals in every thread started later; waitForStop takes them. */
+/** Blocks the stop signals in all threads started later; waitForStop receives them. */
 sigset_t blockStopSignals() {
   sigset_t signals;
   sigemptyset(&signals);
--- a/source/standins/platform/platform_server.cc
+++ b/source/standins/platform/platform_server.cc
@@ -24,8 +24,8 @@
 
 using MakeHandler = std::function<Poco::Net::HTTPRequestHandler*(PathParts)>;
 
-/** Cuts before unescaping, so that a name may hold an escaped slash. */
-PathParts cutPath(const std::string& target) {
+/** Splits before unescaping, so that a name may contain an escaped slash. */
+PathParts splitPath(const std::string& target) {
   PathParts parts;
   std::istringstream path(target.substr(0, target.find('?')));
   for (std::string part; std::getline(path, part, '/');) {
@@ -37,21 +37,21 @@
   return parts;
 }
 
-/** Cuts the path and leaves the choice of the handler to a function. */
+/** Splits the path and creates the handler with a function. */
 class HandlerFactory : public Poco::Net::HTTPRequestHandlerFactory {
  public:
   explicit HandlerFactory(MakeHandler make) : make_(std::move(make)) {}
 
   Poco::Net::HTTPRequestHandler* createRequestHandler(
       const Poco::Net::HTTPServerRequest& request) override {
-    return make_(cutPath(request.getURI()));
+    return make_(splitPath(request.getURI()));
   }
 
  private:
   const MakeHandler make_;
 };
 
-/** One listening port with its HTTP server; can be closed and opened again. */
+/** One listening port with its HTTP server; can be closed and reopened. */
 class Listener {
  public:
   Listener(const Poco::Net::SocketAddress& address, int threads, MakeHandler make)
@@ -80,7 +80,7 @@
     server_->start();
   }
 
-  /** Refuses connections from now on; cuts those that are open. */
+  /** Stops accepting connections and closes the open ones. */
   void close() {
     if (!server_) {
       return;
@@ -121,7 +121,7 @@
     }
   }
 
-  /** Through the API's own port the API can't be closed or opened. */
+  /** Rejects opening or closing the API port through that port itself. */
   bool applyFaultsThroughApi(const FaultSettings& settings) {
     if (settings.outage == Outage::kRefused) {
       return false;
--- a/source/standins/platform/platform_server.h
+++ b/source/standins/platform/platform_server.h
@@ -1,4 +1,4 @@
-/** @file The stand-in platform as an HTTP server; program and tests run the same class. */
+/** @file The stand-in platform as an HTTP server; used by the program and by tests. */
 #pragma once
 
 #include <cstdint>
@@ -12,25 +12,25 @@
 struct PlatformState;
 struct FaultSettings;
 
-/** How the stand-in runs. */
+/** Options of the stand-in platform. */
 struct PlatformServerOptions {
   /** Address that both ports listen on. */
   uint32_t address = 0x7F000001;
-  /** Port of the object API (and of /control); 0 for any free one. */
+  /** Port of the object API (and of /control); 0 selects a free port. */
   uint16_t port = 0;
-  /** Port of /control alone, open even while the API refuses connections; 0 for any free one. */
+  /** Port of /control alone, open even while the API port is closed; 0 selects a free port. */
   uint16_t controlPort = 0;
-  /** Requests served at once, open watches included. */
+  /** Maximum number of concurrent requests, including open watches. */
   int threads = 64;
-  /** Events that a watch can go back by. */
+  /** Maximum number of past events that a watch can replay. */
   size_t historyLimit = 1000;
-  /** How late readers see changes of the machine list. */
+  /** Delay until changes of the machine list are visible to readers. */
   Duration machinesLag{0};
-  /** Seed of the lost answers' randomness. */
+  /** Seed for the random loss of answers. */
   uint64_t seed = 1;
 };
 
-/** Serves from construction to destruction. Throws Poco::Exception where a port can't be had. */
+/** Serves from construction to destruction. Throws Poco::Exception if a port can't be bound. */
 class PlatformServer {
  public:
   explicit PlatformServer(const PlatformServerOptions& options);
@@ -41,7 +41,7 @@
   Endpoint api() const;
   Endpoint control() const;
   PlatformState& state();
-  /** Applies fault settings, closing or opening the API port where that changes. */
+  /** Applies fault settings, closing or opening the API port if required. */
   void setFaults(const FaultSettings& settings);
 
  private:
--- a/source/standins/platform/platform_state.h
+++ b/source/standins/platform/platform_state.h
@@ -1,4 +1,4 @@
-/** @file Everything that the stand-in platform's request handlers share. */
+/** @file State shared by the stand-in platform's request handlers. */
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace umberhold::standins {
 
-/** Thread safe, part by part. */
+/** Each member is thread safe. */
 struct PlatformState {
   PlatformState(size_t historyLimit, Duration machinesLag, uint64_t seed)
       : objects(historyLimit), machines(machinesLag), faults(seed) {}
--- a/source/standins/platform/request_counters.h
+++ b/source/standins/platform/request_counters.h
@@ -1,4 +1,4 @@
-/** @file What the stand-in store was asked, for GET /control/stats. */
+/** @file Request counters of the stand-in store, for GET /control/stats. */
 #pragma once
 
 #include <atomic>
@@ -6,7 +6,7 @@
 
 namespace umberhold::standins {
 
-/** Requests by kind since the start, and watches that are open now. */
+/** Requests by kind since the start, and open watches. */
 struct RequestCounters {
   std::atomic<uint64_t> list{0};
   std::atomic<uint64_t> get{0};
@@ -19,7 +19,7 @@
   std::atomic<uint64_t> maximumOpenWatches{0};
 };
 
-/** Counts one open watch for as long as it lives. */
+/** Counts one open watch during its lifetime. */
 class OpenWatch {
  public:
   explicit OpenWatch(RequestCounters& counters) : counters_(counters) {
--- a/source/standins/proxy/fault_proxy.cc
+++ b/source/standins/proxy/fault_proxy.cc
@@ -79,7 +79,7 @@
 
 void FaultProxy::pass(const ProxyParty& from, const ProxyParty& to, SocketIndex socket,
                       const Endpoint& endpoint, std::string_view bytes) {
-  const std::vector<uint32_t> delays = rules_.fate(from, to, random_);
+  const std::vector<uint32_t> delays = rules_.deliveryDelays(from, to, random_);
   lost_ += delays.empty() ? 1 : 0;
   for (const uint32_t delay : delays) {
     ++passed_;
--- a/source/standins/proxy/fault_proxy.h
+++ b/source/standins/proxy/fault_proxy.h
@@ -1,10 +1,10 @@
 /**
- * @file A UDP proxy that stands in front of nodes and injects faults.
+ * @file A UDP proxy in front of nodes that injects faults.
  *
- * Each node has an address of its own and tells the others front ports in place of its own ports;
- * the proxy listens on these and passes datagrams on. The source address names the sender. A
- * receiver may answer the sender's front port, or the source that it sees: both come through the
- * proxy.
+ * Each node has its own address and advertises front ports instead of its real ports; the proxy
+ * listens on these and forwards datagrams. The source address identifies the sender. A receiver may
+ * reply to the sender's front port or to the source address of the datagram: both paths lead
+ * through the proxy.
  */
 #pragma once
 
@@ -52,15 +52,15 @@
   /** Thread safe. */
   void clearRules();
   /**
-   * Opens a TCP port on the node's address that leads to the platform, whose party is named
+   * Opens a TCP port on the node's address that forwards to the platform, whose party is named
    * "platform". Call it before run().
    */
   void addPlatformFront(size_t node, uint16_t port, const Endpoint& platform);
-  /** @return datagrams that did not pass. Thread safe. */
+  /** @return the number of dropped datagrams. Thread safe. */
   uint64_t lostCount();
 
  private:
-  /** Sender and the node port that it talks to. */
+  /** Sender and destination port of a node. */
   using PairKey = std::pair<Endpoint, Endpoint>;
 
   void onFront(size_t node, uint16_t port, SocketIndex front, const Endpoint& from,
--- a/source/standins/proxy/fault_rules.cc
+++ b/source/standins/proxy/fault_rules.cc
@@ -28,8 +28,8 @@
                      [&](const FaultRule& rule) { return rule.cut && matches(rule, from, to); });
 }
 
-std::vector<uint32_t> FaultRules::fate(const ProxyParty& from, const ProxyParty& to,
-                                       RandomSource& random) const {
+std::vector<uint32_t> FaultRules::deliveryDelays(const ProxyParty& from, const ProxyParty& to,
+                                                 RandomSource& random) const {
   uint32_t delay = 0;
   size_t copies = 1;
   for (const FaultRule& rule : rules_) {
--- a/source/standins/proxy/fault_rules.h
+++ b/source/standins/proxy/fault_rules.h
@@ -1,4 +1,4 @@
-/** @file What happens to datagrams between nodes, zones or the platform. No I/O. */
+/** @file Fault rules for datagrams between nodes, zones and the platform. No I/O. */
 #pragma once
 
 #include <cstdint>
@@ -19,27 +19,27 @@
 struct FaultRule {
   std::string from = "*";
   std::string to = "*";
-  /** Nothing passes. */
+  /** Drops everything. */
   bool cut = false;
   double dropShare = 0;
   double repeatShare = 0;
-  /** Share of datagrams that are held back by up to reorderMillis and so overtaken. */
+  /** Share of datagrams that are reordered by a delay of up to reorderMillis. */
   double reorderShare = 0;
   uint32_t reorderMillis = 20;
   uint32_t delayMicros = 0;
 };
 
-/** The effective rules; all that match apply together. */
+/** The active rules; all matching rules apply together. */
 class FaultRules {
  public:
   /** Replaces the rule with the same two ends. */
   void set(const FaultRule& rule);
   void clear() { rules_.clear(); }
 
-  /** @return the delay in microseconds of each copy that arrives; empty where it is lost. */
-  std::vector<uint32_t> fate(const ProxyParty& from, const ProxyParty& to,
-                             RandomSource& random) const;
-  /** @return whether nothing passes. */
+  /** @return the delay in microseconds of each delivered copy; empty if the datagram is lost. */
+  std::vector<uint32_t> deliveryDelays(const ProxyParty& from, const ProxyParty& to,
+                                       RandomSource& random) const;
+  /** @return whether all traffic is dropped. */
   bool isCut(const ProxyParty& from, const ProxyParty& to) const;
 
  private:
--- a/source/standins/proxy/proxy_main.cc
+++ b/source/standins/proxy/proxy_main.cc
@@ -15,7 +15,7 @@
 
 constexpr int kUsageStatus = 2;
 
-/** @return the port, or 0 where the text is none. */
+/** @return the port, or 0 if the text is not a port. */
 uint16_t portOf(const std::string& text) {
   const auto endpoint = umberhold::parseEndpoint("0.0.0.0:" + text);
   return endpoint ? endpoint->port : 0;
--- a/source/standins/proxy/tcp_front.cc
+++ b/source/standins/proxy/tcp_front.cc
@@ -25,14 +25,14 @@
   return Poco::Net::SocketAddress(addressToString(endpoint.address), endpoint.port);
 }
 
-/** What all connections of one front share. */
+/** State shared by all connections of one front. */
 struct FrontState {
   Endpoint platform;
   std::function<bool()> isCut;
   std::atomic<bool> stop{false};
 };
 
-/** @return whether both ends may still send. */
+/** @return whether both ends are still open. */
 bool passBytes(Poco::Net::StreamSocket& from, Poco::Net::StreamSocket& to) {
   if (!from.poll(Poco::Timespan(kPollMicroseconds), Poco::Net::Socket::SELECT_READ)) {
     return true;
@@ -60,7 +60,7 @@
         open = passBytes(socket(), platform) && passBytes(platform, socket());
       }
     } catch (const Poco::Exception&) {
-      // One end is gone; the other is closed by leaving.
+      // One end is closed; returning closes the other.
     }
   }
 
--- a/source/standins/proxy/tcp_front.h
+++ b/source/standins/proxy/tcp_front.h
@@ -1,4 +1,4 @@
-/** @file A TCP port in front of the platform, so that a node or zone can be cut off from it. */
+/** @file A TCP proxy in front of the platform, for partitioning a node or zone from it. */
 #pragma once
 
 #include <functional>
@@ -8,14 +8,14 @@
 
 namespace umberhold::standins {
 
-/** Passes the bytes of each connection on to the platform and back, on threads of its own. */
+/** Forwards the bytes of each connection to the platform and back, on its own threads. */
 class TcpFront {
  public:
   /**
-   * @param listen where the node finds the platform; throws Poco::Exception where the port is
-   * taken.
-   * @param isCut asked often and from several threads; while it says yes nothing passes, and
-   * connections hang as they do on a network that drops everything.
+   * @param listen endpoint at which the node reaches the platform; throws Poco::Exception if the
+   * port is in use.
+   * @param isCut called often and from several threads; while it returns true nothing is forwarded,
+   * and connections hang as on a network that drops all packets.
    */
   TcpFront(const Endpoint& listen, const Endpoint& platform, std::function<bool()> isCut);
   ~TcpFront();
--- a/test/soak/world/soak_world.cc
+++ b/test/soak/world/soak_world.cc
@@ -270,7 +270,7 @@
   if (lost) {
     return;
   }
-  for (const uint32_t delay : fabric_.fate({"fabric", zone}, {target.name, target.zone}, random_)) {
+  for (const uint32_t delay : fabric_.deliveryDelays({"fabric", zone}, {target.name, target.zone}, random_)) {
     delays_.send(delay, socket, target.data, packet);
   }
 }
--- a/test/standins/caller_flow_test.cc
+++ b/test/standins/caller_flow_test.cc
@@ -1,4 +1,4 @@
-/** @file One emulated flow: whole answers from any order of parts, and how silence is measured. */
+/** @file Tests of CallerFlow: assembly of answers, retransmission and measurement of silence. */
 #include "standins/caller/caller_flow.h"
 
 #include <CppUTest/TestHarness.h>
@@ -46,7 +46,7 @@
     fromHost(now, PacketKind::kSegment,
              encodeExchange(Answer{id, AnswerStatus::kDone, index, parts, "dispatch-0", 0}));
   }
-  /** @return the last request among the packets sent since the last call. */
+  /** @return the last request in the packets sent since the previous call. */
   Request takeRequest() {
     Request last;
     for (const std::string& bytes : out) {
@@ -58,13 +58,13 @@
     out.clear();
     return last;
   }
-  /** Opens the flow and sends requests until one asks for kParts parts; that one is unanswered. */
+  /** Opens the flow and sends requests until one has kParts parts; that one stays unanswered. */
   Request open() {
     profile.largeAnswerParts = kParts;
     fromHost(sent, PacketKind::kSynAck);
     flow->onTick(sent, context);
     Request request = takeRequest();
-    while (request.answerParts != kParts) {  // Only every fourth answer is large.
+    while (request.answerParts != kParts) {  // Only every fourth request has a large answer.
       part(sent, request.id, 0, 1);
       sent += 2 * profile.requestPauseMillis;
       flow->onTick(sent, context);
@@ -72,11 +72,11 @@
     }
     return request;
   }
-  /** When the last request was sent. */
+  /** Time at which the last request was sent. */
   UnixMillis sent = kStart;
 };
 
-TEST(CallerFlow, PartsInAnyOrderAndRepeatedGiveOneWholeAnswer) {
+TEST(CallerFlow, AssemblesReorderedAndDuplicatedPartsOnce) {
   const Request request = open();
   const uint64_t before = report.answers;
   for (const uint16_t index : {3, 1, 3, 0}) {
@@ -92,7 +92,7 @@
   CHECK(report.broken.empty());
 }
 
-TEST(CallerFlow, AMissingPartIsAskedForAgainUnderTheSameId) {
+TEST(CallerFlow, RetransmitsRequestWithSameIdForMissingPart) {
   const Request request = open();
   for (const uint16_t index : {0, 1, 3}) {
     part(sent, request.id, index, kParts);
@@ -107,7 +107,7 @@
   CHECK_EQUAL(310U, report.longestSilenceMillis);
 }
 
-TEST(CallerFlow, SilenceCountsWhileTheFlowWaitsAndNotWhileItRests) {
+TEST(CallerFlow, MeasuresSilenceOnlyWhileARequestIsOutstanding) {
   const Request request = open();
   for (uint16_t index = 0; index < kParts; ++index) {
     part(sent + 100 * (index + 1), request.id, index, kParts);
@@ -117,7 +117,7 @@
   CHECK_EQUAL(100U, report.longestSilenceMillis);
 }
 
-TEST(CallerFlow, AnOpeningWithoutAnswerIsCountedAtEveryRepeat) {
+TEST(CallerFlow, CountsUnansweredOpeningAtEachRetransmission) {
   flow->onTick(kStart + 301, context);
   flow->onTick(kStart + 302, context);
   flow->onTick(kStart + 1000, context);
@@ -125,7 +125,7 @@
   CHECK_EQUAL(kStart + 301, report.unansweredAt.front());
 }
 
-TEST(CallerFlow, AFlowThatHearsNothingBreaksAndItsSilenceIsMeasured) {
+TEST(CallerFlow, BreaksUnresponsiveFlowAndMeasuresItsSilence) {
   open();
   UnixMillis now = sent;
   while (report.broken.empty() && now < sent + 60'000) {
@@ -136,7 +136,7 @@
   CHECK(report.unansweredAt.size() == 9);
 }
 
-TEST(CallerFlow, APushIsCountedOnceByItsIdAndEveryCopyGetsAReceipt) {
+TEST(CallerFlow, CountsPushOncePerIdAndAcknowledgesEachCopy) {
   const Request request = open();
   out.clear();
   for (const uint64_t id : {5, 6, 5}) {
@@ -150,14 +150,14 @@
   CHECK(report.broken.empty());
 }
 
-TEST(CallerFlow, APushOfAnotherHostBreaksTheFlow) {
+TEST(CallerFlow, PushFromAnotherHostBreaksTheFlow) {
   open();
   fromHost(sent, PacketKind::kSegment, encodeExchange(Push{5, "dispatch-9"}));
   CHECK(report.broken.at(0).reason == BreakReason::kOtherHost);
   CHECK_EQUAL(0U, report.pushes);
 }
 
-TEST(CallerFlow, TheReportSurvivesItsJson) {
+TEST(CallerFlow, ReportRoundTripsThroughJson) {
   open();
   flow->onTick(sent + 400, context);
   report.refusedIds = {7, uint64_t{1} << 40};
--- a/test/standins/conversation_test.cc
+++ b/test/standins/conversation_test.cc
@@ -1,4 +1,4 @@
-/** @file Whole conversations on loopback: caller, fabric, a node double, hosts. */
+/** @file End-to-end tests on loopback: caller, fabric, node double and hosts. */
 #include <chrono>
 #include <functional>
 #include <string>
@@ -17,14 +17,14 @@
 
 namespace {
 
-constexpr std::chrono::seconds kPatience(20);
+constexpr std::chrono::seconds kTimeout(20);
 
 Endpoint loopback() {
   return Endpoint{*parseAddress("127.0.0.1"), 0};
 }
 
 bool eventually(const std::function<bool()>& condition) {
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto end = std::chrono::steady_clock::now() + kTimeout;
   while (std::chrono::steady_clock::now() < end) {
     if (condition()) {
       return true;
@@ -109,7 +109,7 @@
 
 }  // namespace
 
-// POCO keeps thread and event objects beyond a test, which the leak detection reports.
+// POCO keeps thread and event objects after a test, which the leak detection would report.
 TEST_GROUP(Conversation){void setup() override{MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
 }
 void teardown() override {
--- a/test/standins/fault_proxy_test.cc
+++ b/test/standins/fault_proxy_test.cc
@@ -1,4 +1,4 @@
-/** @file The proxy drops, repeats, cuts and delays as it is set, in both directions. */
+/** @file Tests of the proxy: drops, duplicates, cuts and delays by rule, in both directions. */
 #include "standins/proxy/fault_proxy.h"
 
 #include <CppUTest/TestHarness.h>
@@ -22,7 +22,7 @@
 const ProxyParty kBole{"node-1", "bole"};
 const ProxyParty kPiassa{"node-2", "piassa"};
 
-/** A node that counts datagrams and answers the source that it sees. */
+/** A node that counts datagrams and replies to their source address. */
 class EchoNode {
  public:
   explicit EchoNode(const char* address) {
@@ -45,7 +45,7 @@
   std::atomic<int> received_{0};
 };
 
-/** @return a port next to one that the system picked. */
+/** @return a port adjacent to one that the kernel chose. */
 uint16_t frontOf(uint16_t port) {
   return static_cast<uint16_t>(port ^ 1U);
 }
@@ -66,7 +66,7 @@
 };
 
 TEST(FaultRules, PassesEverythingOnceWithoutRules) {
-  LONGS_EQUAL(1, rules.fate(kBole, kPiassa, random).size());
+  LONGS_EQUAL(1, rules.deliveryDelays(kBole, kPiassa, random).size());
 }
 
 TEST(FaultRules, CutsOnlyTheNamedDirection) {
@@ -75,10 +75,10 @@
   rule.to = "piassa";
   rule.cut = true;
   rules.set(rule);
-  CHECK(rules.fate(kBole, kPiassa, random).empty());
-  LONGS_EQUAL(1, rules.fate(kPiassa, kBole, random).size());
+  CHECK(rules.deliveryDelays(kBole, kPiassa, random).empty());
+  LONGS_EQUAL(1, rules.deliveryDelays(kPiassa, kBole, random).size());
   rules.clear();
-  LONGS_EQUAL(1, rules.fate(kBole, kPiassa, random).size());
+  LONGS_EQUAL(1, rules.deliveryDelays(kBole, kPiassa, random).size());
 }
 
 TEST(FaultRules, DropsRepeatsAndDelaysTheNamedShares) {
@@ -92,16 +92,16 @@
   int repeated = 0;
   constexpr int kDatagrams = 4000;
   for (int count = 0; count < kDatagrams; ++count) {
-    const auto fate = rules.fate(kBole, kPiassa, random);
-    lost += fate.empty() ? 1 : 0;
-    repeated += fate.size() == 2 ? 1 : 0;
-    CHECK(fate.empty() || fate[0] == 9000);
+    const auto deliveryDelays = rules.deliveryDelays(kBole, kPiassa, random);
+    lost += deliveryDelays.empty() ? 1 : 0;
+    repeated += deliveryDelays.size() == 2 ? 1 : 0;
+    CHECK(deliveryDelays.empty() || deliveryDelays[0] == 9000);
   }
   DOUBLES_EQUAL(0.25, static_cast<double>(lost) / kDatagrams, 0.03);
   DOUBLES_EQUAL(0.375, static_cast<double>(repeated) / kDatagrams, 0.03);
 }
 
-// POCO keeps thread and event objects beyond a test, which the leak detection reports.
+// POCO keeps thread and event objects after a test, which the leak detection would report.
 TEST_GROUP(DelayLine){void setup() override{MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
 }
 void teardown() override {
@@ -110,7 +110,7 @@
 }
 ;
 
-TEST(DelayLine, DatagramsLeaveInTheOrderInWhichTheyAreDue) {
+TEST(DelayLine, SendsDatagramsInDueOrder) {
   DatagramLoop loop;
   DelayLine line(loop);
   std::string received;
@@ -132,7 +132,7 @@
   CHECK_EQUAL(std::string("abc"), received);
 }
 
-// POCO keeps thread and event objects beyond a test, which the leak detection reports.
+// POCO keeps thread and event objects after a test, which the leak detection would report.
 TEST_GROUP(FaultProxy){void setup() override{MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
 }
 void teardown() override {
@@ -174,12 +174,12 @@
   LONGS_EQUAL(1, proxy.lostCount());
 }
 
-TEST(FaultProxy, CutsTheWayToThePlatform) {
+TEST(FaultProxy, CutsTheConnectionToThePlatform) {
   const Endpoint anyPort{*parseAddress("127.0.0.1"), 0};
   ControlServer platform(anyPort, [](const ControlRequest&) { return ControlResponse{200, "up"}; });
   std::atomic<bool> cut{false};
   const TcpFront front(anyPort, platform.endpoint(), [&cut] { return cut.load(); });
-  // An answer that comes may take long on a busy machine; one that is cut off never comes.
+  // An answer may be slow on a loaded machine; without a path it never arrives.
   const Poco::Timespan ample(20, 0);
   const Poco::Timespan brief(0, 300000);
   const auto ask = [&front](const Poco::Timespan& patience) {
--- a/test/standins/host_record_test.cc
+++ b/test/standins/host_record_test.cc
@@ -1,4 +1,4 @@
-/** @file What hosts recorded survives its JSON. */
+/** @file Tests of the JSON round trip of host records. */
 #include "standins/backend/host_record.h"
 
 #include <CppUTest/TestHarness.h>
@@ -22,7 +22,7 @@
 }
 ;
 
-TEST(HostRecord, SurvivesItsJson) {
+TEST(HostRecord, RoundTripsThroughJson) {
   const auto read = recordsFromJson(toJson({record(), HostRecord{}}));
   CHECK(isOk(read));
   CHECK_EQUAL(2U, valueOf(read).size());
@@ -42,7 +42,7 @@
   CHECK_EQUAL(200, first.lostFlows[0].at);
 }
 
-TEST(HostRecord, WhatIsNoRecordIsRefused) {
+TEST(HostRecord, RejectsMalformedRecords) {
   CHECK(!isOk(recordsFromJson("")));
   CHECK(!isOk(recordsFromJson("{}")));
   CHECK(!isOk(recordsFromJson("[{}]")));
--- a/test/standins/oracle_test.cc
+++ b/test/standins/oracle_test.cc
@@ -1,4 +1,4 @@
-/** @file The oracle sees each kind of broken promise in records made by hand. */
+/** @file Tests that the oracle detects each kind of violation in constructed records. */
 #include "standins/oracle/oracle.h"
 
 #include <CppUTest/TestHarness.h>
@@ -21,7 +21,7 @@
   return record;
 }
 
-/** A flow that broke with a request in progress. */
+/** @return a report with a flow that broke with a request in progress. */
 CallerReport brokenOn(const std::string& host, UnixMillis openedAt, UnixMillis at) {
   CallerReport report;
   report.broken.push_back(BrokenFlow{at, BreakReason::kReset, "dispatch", host, kCaller, openedAt});
@@ -39,7 +39,7 @@
 
 TEST_GROUP(Oracle){};
 
-TEST(Oracle, CleanRunBreaksNoPromise) {
+TEST(Oracle, CleanRunViolatesNoGuarantee) {
   CallerReport report;
   report.singleRunIds = {1};
   RunEvidence evidence = evidenceWith(report);
@@ -47,7 +47,7 @@
   CHECK_FALSE(judge(evidence).promiseBroken());
 }
 
-TEST(Oracle, BrokenFlowIsPlannedUnlessAnEventExplainsIt) {
+TEST(Oracle, CountsBrokenFlowAsPlannedWithoutUnplannedEvent) {
   CallerReport report;
   report.broken.push_back(BrokenFlow{kStart, BreakReason::kReset, "dispatch", "dispatch-0", {}, 1});
   RunEvidence evidence = evidenceWith(report);
@@ -61,7 +61,7 @@
   LONGS_EQUAL(1, judge(evidence).brokenFlows);
 }
 
-TEST(Oracle, FlowThatItsStoppedHostHeldIsExcusedHoweverLateItBreaks) {
+TEST(Oracle, AttributesOpenFlowOfStoppedHostToTheStopAtAnyLaterTime) {
   RunEvidence evidence = evidenceWith(brokenOn("dispatch-0", kStart, kStart + 60000));
   evidence.hostStops.push_back(HostStop{kStart + 1, "dispatch-0"});
   const Verdict verdict = judge(evidence);
@@ -72,13 +72,13 @@
   CHECK_FALSE(verdict.promiseBroken());
 }
 
-TEST(Oracle, StoppedHostExcusesNoFlowThatItDidNotHold) {
+TEST(Oracle, StoppedHostAccountsOnlyForItsOpenFlows) {
   const HostStop stop{kStart + 5, "dispatch-0"};
   const std::vector<CallerReport> reports = {
       brokenOn("dispatch-1", kStart, kStart + 10),      // Another host's flow.
       brokenOn("dispatch-0", kStart + 6, kStart + 10),  // Opened after the stop.
       brokenOn("dispatch-0", kStart, kStart + 4),       // Broke before the stop.
-      brokenOn("", kStart, kStart + 10),                // Its host is not known.
+      brokenOn("", kStart, kStart + 10),                // Unknown host.
   };
   for (const CallerReport& report : reports) {
     RunEvidence evidence = evidenceWith(report);
@@ -91,7 +91,7 @@
   }
 }
 
-TEST(Oracle, FlowWithoutAnAnswerYetIsExcusedOnlyWhereTheStoppedHostSaysThatItHeldIt) {
+TEST(Oracle, AttributesUnansweredFlowToTheStopOnlyIfTheHostRecordedIt) {
   RunEvidence evidence = evidenceWith(brokenOn("", kStart, kStart + 10));
   evidence.hosts.push_back(hostWithRuns("dispatch-0", {}));
   evidence.hosts[0].lostFlows = {LostFlow{{kCaller.address, 1}, kStart + 5},
@@ -106,7 +106,7 @@
   LONGS_EQUAL(1, judge(evidence).brokenFlowsPlanned);
 }
 
-TEST(Oracle, StopOfADrainingHostExcusesNothing) {
+TEST(Oracle, StopOfADrainingHostAccountsForNoFlow) {
   RunEvidence evidence = evidenceWith(brokenOn("dispatch-0", kStart, kStart + 10));
   evidence.hostStops.push_back(HostStop{kStart + 5, "dispatch-0"});
   evidence.drains.push_back(DrainEvent{kStart + 6, "dispatch-0"});
@@ -116,7 +116,7 @@
   LONGS_EQUAL(1, judge(evidence).cutRequestsPlanned);
 }
 
-TEST(Oracle, RefusedRequestThatRanIsSeen) {
+TEST(Oracle, DetectsRefusedRequestThatRan) {
   CallerReport report;
   report.refusedIds = {7};
   RunEvidence evidence = evidenceWith(report);
@@ -125,7 +125,7 @@
   CHECK(judge(evidence).promiseBroken());
 }
 
-TEST(Oracle, SecondRunOnAnotherHostIsSeen) {
+TEST(Oracle, DetectsSecondRunOnAnotherHost) {
   CallerReport report;
   report.singleRunIds = {7};
   RunEvidence evidence = evidenceWith(report);
@@ -135,7 +135,7 @@
   CHECK(judge(evidence).promiseBroken());
 }
 
-TEST(Oracle, CutAndIncompleteAnswersAreSeen) {
+TEST(Oracle, DetectsCutAndIncompleteAnswers) {
   CallerReport report;
   report.outstandingRequests = 2;
   report.cut.push_back(CutRequest{kStart, 9, "dispatch", "dispatch-0", true, kCaller, 1});
@@ -145,7 +145,7 @@
   CHECK(verdict.promiseBroken());
 }
 
-TEST(Oracle, MisroutedPacketIsSeen) {
+TEST(Oracle, DetectsMisroutedPacket) {
   RunEvidence evidence;
   evidence.hosts.push_back(hostWithRuns("dispatch-0", {}));
   evidence.hosts[0].counters.misroutedPackets = 3;
@@ -153,7 +153,7 @@
   CHECK(judge(evidence).promiseBroken());
 }
 
-TEST(Oracle, ImbalanceIsThatOfTheWorstServiceWithoutLeavingHosts) {
+TEST(Oracle, ImbalanceIsTheMaximumOverServicesWithoutUnsettledHosts) {
   RunEvidence evidence;
   evidence.hosts = {hostWithRuns("dispatch-0", {}), hostWithRuns("dispatch-1", {}),
                     hostWithRuns("dispatch-2", {})};
@@ -177,7 +177,7 @@
   LONGS_EQUAL(40, verdict.balances[0].flows);
 }
 
-TEST(Oracle, SlowDrainBreaksAPromise) {
+TEST(Oracle, SlowDrainViolatesAGuarantee) {
   RunEvidence evidence;
   evidence.hosts.push_back(hostWithRuns("dispatch-0", {}));
   evidence.drains.push_back(DrainEvent{kStart, "dispatch-0"});
@@ -186,7 +186,7 @@
   CHECK(judge(evidence).promiseBroken());
 }
 
-TEST(Oracle, RecordsSurviveTheirJsonForm) {
+TEST(Oracle, RecordsRoundTripThroughJson) {
   CallerReport report;
   report.answers = 5;
   report.refusedIds = {uint64_t{1} << 51};
--- a/test/standins/push_sender_test.cc
+++ b/test/standins/push_sender_test.cc
@@ -1,4 +1,4 @@
-/** @file Messages that a host sends unasked: repeated until the receipt, given up at last. */
+/** @file Tests of unsolicited host messages: retransmission, acknowledgement and abandonment. */
 #include "standins/backend/push_sender.h"
 
 #include <CppUTest/TestHarness.h>
@@ -22,7 +22,7 @@
   std::vector<uint64_t> due(UnixMillis after) {
     return pushes.due(kStart + after, nextId, random, counters);
   }
-  /** Runs until the first push is sent. @return when, after the start. */
+  /** Runs until the first push is sent. @return its time after the start. */
   UnixMillis first() {
     UnixMillis after = 0;
     while (due(after).empty()) {
@@ -32,14 +32,14 @@
   }
 };
 
-TEST(PushSender, TheFirstPushComesWithinThePause) {
+TEST(PushSender, SendsFirstPushWithinTheInterval) {
   const UnixMillis after = first();
   CHECK(after >= kPause / 2 && after <= kPause / 2 + kPause + 100);
   CHECK_EQUAL(8U, nextId);
   CHECK_EQUAL(1U, counters.sent);
 }
 
-TEST(PushSender, APushIsRepeatedUnderItsIdUntilItsReceipt) {
+TEST(PushSender, RetransmitsPushWithSameIdUntilAcknowledged) {
   const UnixMillis sent = first();
   CHECK(due(sent + 999).empty());
   const auto repeated = due(sent + 1000);
@@ -52,7 +52,7 @@
   CHECK_EQUAL(1U, counters.received);
 }
 
-TEST(PushSender, APushWithoutReceiptIsGivenUpAndCounted) {
+TEST(PushSender, AbandonsAndCountsUnacknowledgedPush) {
   const UnixMillis sent = first();
   for (int repeat = 1; repeat < 10; ++repeat) {
     CHECK_EQUAL(1U, due(sent + 1000 * repeat).size());
--- a/test/standins/virtual_host_test.cc
+++ b/test/standins/virtual_host_test.cc
@@ -1,4 +1,4 @@
-/** @file Limits of an emulated host: slots, queue, connections, deadlines, cancellation. */
+/** @file Tests of an emulated host: slots, queue, connections, deadlines, cancellation. */
 #include "standins/backend/virtual_host.h"
 
 #include <CppUTest/TestHarness.h>
@@ -69,7 +69,7 @@
   }
 };
 
-TEST(VirtualHost, ServesTwoAtOnceAndShedsBeyondItsQueue) {
+TEST(VirtualHost, RunsTwoConcurrentlyAndShedsBeyondItsQueue) {
   for (uint64_t id = 1; id <= 6; ++id) {
     request(id);
   }
@@ -113,7 +113,7 @@
   CHECK(has(answersAt(host, kStart), 3, AnswerStatus::kShed));
 }
 
-TEST(VirtualHost, DoesNotRunRequestsOfFlowsItDoesNotKnow) {
+TEST(VirtualHost, DoesNotRunRequestsOfUnknownFlows) {
   Request stray = requestOf(1);
   stray.expectedHost = "dispatch-9";
   host.onPacket(kStart, datagram(stray));
@@ -127,7 +127,7 @@
   LONGS_EQUAL(0, host.runs().size());
 }
 
-TEST(VirtualHost, TellsWhichFlowsAStopLost) {
+TEST(VirtualHost, RecordsFlowsLostByAStop) {
   request(1);
   host.restart(kStart + 10);
   LONGS_EQUAL(1, host.lostFlows().size());
@@ -145,7 +145,7 @@
   CHECK(has(answersAt(host, kStart + 500), 1, AnswerStatus::kDone));
 }
 
-TEST(VirtualHost, ReportsItsLoadLateOrAsTold) {
+TEST(VirtualHost, ReportsDelayedOrOverriddenLoad) {
   host.onTick(kStart);
   request(1);
   host.onTick(kStart + 200);
