--- a/source/standins/platform/http_answers.h
+++ b/source/standins/platform/http_answers.h
@@ -18,6 +18,7 @@
                const std::string& code, const std::string& message);
 /** @return whether the client has closed its end of the connection. */
 bool isClosedByClient(Poco::Net::HTTPServerRequest& request);
+/** Closes the connection without a response. */
 void dropConnection(Poco::Net::HTTPServerRequest& request);
 /** @return the whole request body. */
 std::string readBody(Poco::Net::HTTPServerRequest& request);
--- a/test/support/control_node.h
+++ b/test/support/control_node.h
@@ -1,4 +1,4 @@
-/** @file The control parts of one node, wired as in a process, for tests and experiments. */
+/** @file The control-plane components of one node, connected as in a process, for tests. */
 #pragma once
 
 #include <memory>
@@ -13,13 +13,13 @@
 
 namespace umberhold {
 
-/** Whether a handle() overload of Handler takes the message. */
+/** Whether Handler has a handle() overload for the message. */
 template <class Handler, class Body>
 concept Handles = requires(Handler& handler, const Body& body) {
   handler.handle(TimePoint{}, Endpoint{}, NodeId{}, body);
 };
 
-/** Membership, records, spread and coverage of one simulated process. */
+/** Failure detector, record store, configuration spread and coverage of one simulated process. */
 struct ControlNode {
   ControlNode(const Member& self, uint64_t seed, MessageSink& sink,
               const SpreadOptions& options = {})
--- a/test/support/fake_node_status.h
+++ b/test/support/fake_node_status.h
@@ -1,4 +1,4 @@
-/** @file A node's answers that a test sets. */
+/** @file A NodeStatus with results set by the test. */
 #pragma once
 
 #include <optional>
@@ -10,17 +10,17 @@
 
 namespace umberhold {
 
-/** Serves two records a page, so that paging is exercised. */
+/** Returns two records per page to exercise paging. */
 class FakeNodeStatus : public NodeStatus {
  public:
   std::vector<ConfigRecord> inForce;
   CoverageStatus coverageNow;
   NodeReadiness readiness = NodeReadiness::kReady;
   NodeId id{3};
-  /** What is known of any flow, and the owner that is named. */
+  /** Knowledge and owner in every FlowExplanation. */
   FlowKnowledge knowledge = FlowKnowledge::kWouldPlace;
   std::optional<NodeId> owner;
-  /** Every question fails as busy. */
+  /** Whether summary() and records() fail with kBusy. */
   bool busy = false;
 
   void addService(const Service& service, uint64_t version) {
--- a/test/support/fake_platform_store.h
+++ b/test/support/fake_platform_store.h
@@ -1,6 +1,6 @@
 /**
- * @file An in-memory platform store with faults: refused calls, lost requests, lost answers, and
- * requests that arrive late.
+ * @file An in-memory platform store with faults: rejected calls, lost requests, lost answers and
+ * delayed requests.
  */
 #pragma once
 
@@ -16,16 +16,16 @@
 
 namespace umberhold {
 
-/** What happens to the next change that is sent to the store. */
+/** Fault of one call to the store. */
 enum class StoreFault : uint8_t {
   kNone,
-  /** 503: definitely not done. */
+  /** 503: the change was not applied. */
   kUnavailable,
-  /** Never arrives; the sender gets no answer. */
+  /** The request is lost; the client receives no answer. */
   kRequestLost,
-  /** Takes effect; the sender gets no answer. */
+  /** The change is applied; the client receives no answer. */
   kAnswerLost,
-  /** The sender gets no answer; it takes effect when deliverDelayed() is called. */
+  /** The client receives no answer; the change is applied by deliverDelayed(). */
   kDelayed,
 };
 
@@ -34,11 +34,11 @@
  public:
   using Key = std::pair<Collection, std::string>;
 
-  /** Faults of the changes to come, one each; none once they are used up. */
+  /** Faults of the next changes, one each; no fault once the queue is empty. */
   std::deque<StoreFault> changeFaults;
-  /** Faults of the reads to come: anything but kNone fails the read. */
+  /** Faults of the next reads; any fault but kNone fails the read. */
   std::deque<StoreFault> readFaults;
-  /** Called before every call is answered; lets a test interleave another operator. */
+  /** Runs once, at the start of the next call; lets a test interleave another client. */
   std::function<void()> beforeCall;
   uint32_t calls = 0;
 
@@ -90,20 +90,20 @@
 
   Result<std::vector<Machine>, StoreError> machines() override { return std::vector<Machine>{}; }
 
-  /** The requests that were under way arrive now. @return how many took effect. */
+  /** Delivers the delayed requests. @return the number of applied changes. */
   size_t deliverDelayed() {
     const std::vector<Change> arriving = std::exchange(delayed_, {});
     return static_cast<size_t>(std::count_if(arriving.begin(), arriving.end(),
                                              [](const Change& change) { return isOk(change()); }));
   }
 
-  /** Every state that any object ever had, in order; leases and claims apart, as in watches. */
+  /** All states of all objects in order; without leases and claims, as in watches. */
   const std::vector<StoredObject>& events() const { return events_; }
 
  private:
   using Change = std::function<Result<uint64_t, StoreError>()>;
 
-  /** Runs a change with the next fault. */
+  /** Runs a change subject to the next fault. */
   Result<uint64_t, StoreError> change(const Change& change) {
     switch (takeFault(changeFaults)) {
       case StoreFault::kNone:
@@ -148,7 +148,7 @@
   void startCall() {
     ++calls;
     if (beforeCall) {
-      // Taken out while it runs, because the other operator calls this store too.
+      // Cleared before it runs, because the interleaved client calls this store too.
       const std::function<void()> interleaved = std::exchange(beforeCall, nullptr);
       interleaved();
     }
--- a/test/support/fake_policy_engine.h
+++ b/test/support/fake_policy_engine.h
@@ -1,4 +1,4 @@
-/** @file A policy engine for tests that are not about policies. */
+/** @file A policy engine for tests that don't test policies. */
 #pragma once
 
 #include <memory>
@@ -8,7 +8,7 @@
 
 namespace umberhold {
 
-/** Accepts every source but one that holds the word "broken"; weighs all hosts alike. */
+/** Rejects sources that contain the word "broken"; gives all hosts the same weight. */
 class FakePolicyEngine : public PolicyEngine {
  public:
   Result<std::unique_ptr<CompiledPolicy>, PolicyError> compile(const Policy& policy) override {
--- a/test/support/manual_clock.h
+++ b/test/support/manual_clock.h
@@ -1,4 +1,4 @@
-/** @file A clock that only moves when somebody sleeps on it or a test advances it. */
+/** @file A clock that advances only by sleepFor() and advance(). */
 #pragma once
 
 #include "common/admin/call_clock.h"
--- a/test/support/message_network.h
+++ b/test/support/message_network.h
@@ -1,5 +1,4 @@
-/** @file A simulated network of messages for tests and experiments: delay, loss, repetition, cuts,
- * pauses. */
+/** @file A simulated message network for tests: delay, loss, duplication, partitions and pauses. */
 #pragma once
 
 #include <functional>
@@ -16,18 +15,18 @@
 
 namespace umberhold {
 
-/** What the network does to messages; may be changed at any time. */
+/** Faults of the network; may be changed at any time. */
 struct NetworkFaults {
   double loss = 0;
   double repetition = 0;
   Duration shortestDelay = std::chrono::microseconds(1500);
-  /** Delays are even between the two, so messages overtake each other. */
+  /** Delays are uniformly distributed between the two, so messages may be reordered. */
   Duration longestDelay = std::chrono::microseconds(1500);
   /** @return whether messages between the two nodes are dropped. */
   std::function<bool(NodeId from, NodeId to)> isCut;
 };
 
-/** Carries messages between nodes in simulated time; repeatable from its seed. */
+/** Delivers messages between nodes in simulated time; reproducible from its seed. */
 class MessageNetwork {
  public:
   using Receiver =
@@ -37,19 +36,19 @@
   explicit MessageNetwork(uint64_t seed) : random_(seed) {}
 
   NetworkFaults faults;
-  /** Is notified of every message that a node sends, lost ones included. */
+  /** Called for each message that a node sends, including lost ones. */
   SendListener onSend;
 
-  /** Attaches a node, in place of an earlier one at the same endpoint; @return its sink. */
+  /** Attaches a node and replaces an earlier one at the same endpoint. @return its sink. */
   MessageSink& attach(NodeId id, const Endpoint& endpoint, Receiver receiver) {
     auto port = std::make_unique<Port>(*this, id, endpoint, std::move(receiver));
     Port& attached = *port;
     retired_.push_back(std::exchange(ports_[endpoint], std::move(port)));
     return attached;
   }
-  /** Messages to the endpoint are lost from now on. */
+  /** Detaches the node; messages to the endpoint are lost. */
   void detach(const Endpoint& endpoint) { ports_.at(endpoint)->receiver = nullptr; }
-  /** While paused, messages to the endpoint wait, and it must not be ticked by its owner. */
+  /** While paused, messages to the endpoint are queued; the caller must not tick its node. */
   void setPaused(const Endpoint& endpoint, bool paused) {
     Port& port = *ports_.at(endpoint);
     port.paused = paused;
@@ -59,7 +58,7 @@
   }
 
   TimePoint now() const { return now_; }
-  /** Delivers what is due until the instant, and makes it the current one. */
+  /** Delivers the messages that are due until the instant and sets the clock to it. */
   void advanceTo(TimePoint instant) {
     while (!events_.empty() && events_.begin()->first <= instant) {
       auto event = events_.extract(events_.begin());
@@ -119,7 +118,7 @@
       port->second->waiting.push_back(std::move(event));
       return;
     }
-    // Kept alive: the receiver may attach a new node in its own place.
+    // Copied because the receiver may attach a new node at its own endpoint.
     const Receiver receiver = port->second->receiver;
     receiver(now_, event.from, event.sender, *event.message);
   }
--- a/test/support/service_builder.h
+++ b/test/support/service_builder.h
@@ -1,4 +1,4 @@
-/** @file A valid service to start tests from. */
+/** @file Builds valid services for tests. */
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 namespace umberhold {
 
 /**
- * @param number makes address and host endpoints differ from those of other numbers.
+ * @param number determines the virtual address and host endpoints; unique per service.
  * @return a service with the hosts "<name>-0", "<name>-1", ...
  */
 inline Service makeService(const std::string& name, uint8_t number, uint8_t hosts) {
--- a/test/support/simulated_cluster.cc
+++ b/test/support/simulated_cluster.cc
@@ -19,7 +19,7 @@
   return std::move(valueOf(ring));
 }
 
-/** @return the node that an endpoint of the simulated network belongs to. */
+/** @return the node at an endpoint of the simulated network. */
 NodeId nodeAt(const Endpoint& endpoint) {
   return NodeId{endpoint.address - kFirstAddress};
 }
@@ -83,7 +83,7 @@
   const std::deque<Frame> waiting = std::move(running.waiting);
   running.waiting.clear();
   for (const Frame& frame : waiting) {
-    take(running, frame);
+    processFrame(running, frame);
   }
   deliver();
 }
@@ -155,7 +155,7 @@
 }
 
 void SimulatedCluster::packet(NodeId id, const std::string& bytes) {
-  handOver(Frame{Frame::Kind::kFabric, NodeId{}, id, bytes, {}});
+  deliverFrame(Frame{Frame::Kind::kFabric, NodeId{}, id, bytes, {}});
   deliver();
 }
 
@@ -172,7 +172,7 @@
 }
 
 void SimulatedCluster::datagram(NodeId to, const std::string& bytes) {
-  handOver(Frame{Frame::Kind::kMessage, NodeId{}, to, bytes, {}});
+  deliverFrame(Frame{Frame::Kind::kMessage, NodeId{}, to, bytes, {}});
   deliver();
 }
 
@@ -193,11 +193,11 @@
   while (!inFlight_.empty() && inFlight_.begin()->first <= now_) {
     Frame frame = std::move(inFlight_.begin()->second);
     inFlight_.erase(inFlight_.begin());
-    handOver(std::move(frame));
+    deliverFrame(std::move(frame));
   }
 }
 
-void SimulatedCluster::handOver(Frame frame) {
+void SimulatedCluster::deliverFrame(Frame frame) {
   const auto running = nodes_.find(frame.to);
   if (running == nodes_.end()) {
     return;
@@ -206,10 +206,10 @@
     running->second.waiting.push_back(std::move(frame));
     return;
   }
-  take(running->second, frame);
+  processFrame(running->second, frame);
 }
 
-void SimulatedCluster::take(Running& running, const Frame& frame) {
+void SimulatedCluster::processFrame(Running& running, const Frame& frame) {
   switch (frame.kind) {
     case Frame::Kind::kMessage: {
       const auto envelope = running.outputs->opener.open(frame.bytes);
--- a/test/support/simulated_cluster.h
+++ b/test/support/simulated_cluster.h
@@ -1,10 +1,10 @@
 /**
- * @file Several NodeCores on a simulated network and clock: the whole decision logic without
+ * @file Several NodeCores on a simulated network and clock: the complete decision logic without
  * processes.
  *
- * Messages cross codec and envelope, so that what is tested is what is sent. Without faults
- * delivery is immediate and nothing is lost unless a node is stopped. Everything random is drawn
- * from one seed, so that a run can be repeated.
+ * Messages pass through codec and envelope as on the wire. Without faults delivery is immediate,
+ * and only messages to stopped nodes are lost. All randomness comes from one seed, so runs are
+ * reproducible.
  */
 #pragma once
 
@@ -25,19 +25,19 @@
 
 namespace umberhold {
 
-/** What a cluster's nodes sent out to hosts. */
+/** A packet that a node of the cluster sent to a host. */
 struct SentPacket {
   NodeId node;
   Endpoint host;
   std::string bytes;
 };
 
-/** Faults of the network between nodes; messages and relayed packets alike. */
+/** Faults of the network between nodes; apply to messages and relayed packets. */
 struct ClusterFaults {
   double loss = 0.0;
   double repetition = 0.0;
   Duration shortestDelay{};
-  /** Datagrams overtake each other where this is longer than shortestDelay. */
+  /** Datagrams may be reordered if this is longer than shortestDelay. */
   Duration longestDelay{};
 };
 
@@ -49,20 +49,20 @@
 
   explicit SimulatedCluster(uint64_t seed = 1) : random_(seed) {}
 
-  /** Adds and starts a node; ids count from 1, the zone is one of three by the id. */
+  /** Adds and starts a node; ids count from 1, and the id determines one of three zones. */
   NodeCore& addNode();
-  /** Stops a node without a word. */
+  /** Stops a node without a leave announcement. */
   void killNode(NodeId id);
-  /** Starts a node again under its old id and address, with a higher incarnation. */
+  /** Restarts a node under its id and address with a higher incarnation. */
   NodeCore& restartNode(NodeId id);
-  /** The node runs no more until resumeNode; what is sent to it waits. */
+  /** Suspends the node until resumeNode(); datagrams to it are queued. */
   void pauseNode(NodeId id);
   void resumeNode(NodeId id);
   void setFaults(const ClusterFaults& faults) { faults_ = faults; }
-  /** Cuts two zones (0 to kZones - 1) off from each other. */
+  /** Partitions two zones (0 to kZones - 1) from each other. */
   void cutZones(uint32_t left, uint32_t right);
   void healZones() { cuts_.clear(); }
-  /** How late the fabric learns that a node became ready or ended. */
+  /** Sets the delay until the fabric detects that a node became ready or ended. */
   void setFabricLag(Duration lag) { fabricLag_ = lag; }
 
   NodeCore& node(NodeId id);
@@ -73,22 +73,22 @@
 
   /** Runs the cluster for some time. */
   void run(Duration time);
-  /** Runs until the condition holds. @return whether it did within the time. */
+  /** Runs until the condition holds. @return whether it held within the limit. */
   bool runUntil(const std::function<bool()>& condition, Duration limit);
-  /** Hands records to a node as if it had listed the store. */
+  /** Delivers records to a node as the result of listing the store. */
   void publish(NodeId reader, const std::vector<ConfigRecord>& records);
-  /** Hands a packet from the fabric to a node and delivers what follows. */
+  /** Delivers a packet from the fabric to a node, and all resulting datagrams that are due. */
   void packet(NodeId node, const std::string& bytes);
-  /** Hands a packet to a random node that the fabric believes to be ready. */
+  /** Delivers a packet to a random node on the fabric's list of ready nodes. */
   void packetFromFabric(const std::string& bytes);
-  /** Hands bytes to a node's control port as if they came from the network. */
+  /** Delivers bytes to a node's control port as a datagram from the network. */
   void datagram(NodeId to, const std::string& bytes);
-  /** @return the last sealed datagram between nodes; empty before there was one. */
+  /** @return the last sealed datagram between nodes; empty before the first. */
   const std::string& lastDatagram() const { return lastDatagram_; }
 
   std::vector<SentPacket>& toHosts() { return toHosts_; }
   std::vector<std::string>& toCallers() { return toCallers_; }
-  /** Observers are called at once, in the order in which packets leave. */
+  /** Observers are called synchronously, in sending order. */
   void observeHosts(std::function<void(const SentPacket&)> observer) {
     hostObserver_ = std::move(observer);
   }
@@ -114,7 +114,7 @@
     EnvelopeSealer sealer;
     EnvelopeOpener opener;
   };
-  /** Something on its way to a node. */
+  /** An event in transit to a node. */
   struct Frame {
     enum class Kind : uint8_t { kMessage, kRelayed, kFabric, kProbe };
     Kind kind = Kind::kMessage;
@@ -129,7 +129,7 @@
     bool paused = false;
     std::deque<Frame> waiting;
   };
-  /** What the fabric believes of a node, and since when the truth is another. */
+  /** The fabric's list entry for a node, and the time since which it has been outdated. */
   struct FabricEntry {
     bool listed = false;
     std::optional<TimePoint> outdatedSince;
@@ -141,8 +141,8 @@
   bool isCut(NodeId left, NodeId right) const;
   void transmit(Frame frame);
   void deliver();
-  void handOver(Frame frame);
-  void take(Running& running, const Frame& frame);
+  void deliverFrame(Frame frame);
+  void processFrame(Running& running, const Frame& frame);
   void updateFabric();
 
   TimePoint now_{std::chrono::seconds(1000)};
--- a/test/support/turn_scheduler.cc
+++ b/test/support/turn_scheduler.cc
@@ -6,8 +6,8 @@
 namespace umberhold {
 namespace {
 
-constexpr size_t kOutside = SIZE_MAX;
-thread_local size_t ownIndex = kOutside;
+constexpr size_t kNoWriterIndex = SIZE_MAX;
+thread_local size_t ownIndex = kNoWriterIndex;
 
 }  // namespace
 
@@ -25,16 +25,16 @@
   }
   do {
     for (auto ready = runnable(); !ready.empty(); ready = runnable()) {
-      giveTurnTo(ready[choose(ready.size()) % ready.size()]);
+      runWriter(ready[choose(ready.size()) % ready.size()]);
     }
-  } while (moveClockToNextWake());
+  } while (advanceClockToNextWake());
   for (std::thread& thread : threads) {
     thread.join();
   }
 }
 
 void TurnScheduler::sleepUntil(TimePoint instant) {
-  if (ownIndex == kOutside) {
+  if (ownIndex == kNoWriterIndex) {
     now_ = std::max(now_, instant);
     return;
   }
@@ -57,7 +57,7 @@
   return ready;
 }
 
-bool TurnScheduler::moveClockToNextWake() {
+bool TurnScheduler::advanceClockToNextWake() {
   TimePoint next = TimePoint::max();
   for (const Writer& writer : writers_) {
     next = writer.finished ? next : std::min(next, writer.wakeAt);
@@ -69,7 +69,7 @@
   return true;
 }
 
-void TurnScheduler::giveTurnTo(size_t writer) {
+void TurnScheduler::runWriter(size_t writer) {
   std::unique_lock lock(mutex_);
   running_ = writer;
   turn_.notify_all();
--- a/test/support/turn_scheduler.h
+++ b/test/support/turn_scheduler.h
@@ -1,6 +1,6 @@
 /**
- * @file Runs several blocking writers in an order that a test chooses, one at a time: each runs up
- * to its next turn (a store call or a sleep), then hands over.
+ * @file Schedules blocking writers deterministically, one at a time, in an order chosen by the
+ * test: each runs until its next yield point (a store call or a sleep).
  */
 #pragma once
 
@@ -13,16 +13,17 @@
 
 namespace umberhold {
 
-/** Deterministic for a given choice of turns. The clock moves only when every writer sleeps. */
+/** Deterministic for a given choice. The clock advances only while all writers sleep. */
 class TurnScheduler {
  public:
-  /** Runs the bodies to their ends. @param choose picks one of so many runnable writers. */
+  /** Runs all bodies to completion. @param choose returns an index below the given number of
+   * runnable writers. */
   void run(const std::vector<std::function<void()>>& bodies,
            const std::function<size_t(size_t)>& choose);
 
-  /** Called by a writer: others may run before it goes on. Does nothing outside run(). */
+  /** Called by a writer: lets others run before it continues. No effect outside run(). */
   void yield() { sleepUntil(now_); }
-  /** Called by a writer: goes on at that instant. Outside run() the clock just moves on. */
+  /** Called by a writer: suspends it until the instant. Outside run() only advances the clock. */
   void sleepUntil(TimePoint instant);
   TimePoint now() const { return now_; }
 
@@ -33,8 +34,8 @@
   };
 
   std::vector<size_t> runnable() const;
-  bool moveClockToNextWake();
-  void giveTurnTo(size_t writer);
+  bool advanceClockToNextWake();
+  void runWriter(size_t writer);
   void waitForTurn(size_t writer);
   void finish(size_t writer);
 
@@ -47,7 +48,7 @@
   TimePoint now_{};
 };
 
-/** The scheduler's time, for the code under test. */
+/** Adapts the scheduler's time for the code under test. */
 class TurnClock : public CallClock {
  public:
   explicit TurnClock(TurnScheduler& scheduler) : scheduler_(scheduler) {}
--- a/test/support/without_leak_detection.h
+++ b/test/support/without_leak_detection.h
@@ -1,7 +1,7 @@
 /**
- * @file Switches CppUTest's leak detection off for groups whose library keeps state between cases.
+ * @file Disables CppUTest's leak detection for groups whose libraries keep state between cases.
  *
- * Include it last: CppUTest's overloads of operator new follow the library headers.
+ * Include it last: CppUTest's overloads of operator new must come after the library headers.
  */
 #pragma once
 
