--- a/test/soak/soak_main.cc
+++ b/test/soak/soak_main.cc
@@ -1,4 +1,4 @@
-/** @file soak: real nodes under random faults, with the promises checked from outside. */
+/** @file soak: runs real nodes under random faults and checks their guarantees externally. */
 #include <Poco/Exception.h>
 #include <Poco/TemporaryFile.h>
 #include <tclap/CmdLine.h>
--- a/test/soak/unit/caller_and_host_test.cc
+++ b/test/soak/unit/caller_and_host_test.cc
@@ -1,4 +1,4 @@
-/** @file A caller and hosts with no system between them but one that loses packets. */
+/** @file Tests of SoakCaller and SoakHost, connected directly by a lossy network. */
 #include <deque>
 #include <map>
 #include <memory>
@@ -19,8 +19,8 @@
 constexpr Endpoint kNode{0x7F010101, 8172};
 const std::string kAnyHost(8, '\0');
 
-CallerHabit habit(bool repeatable) {
-  CallerHabit made;
+CallerProfile profile(bool repeatable) {
+  CallerProfile made;
   made.service = {0xC6120001, 8443};
   made.repeatable = repeatable;
   return made;
@@ -41,7 +41,7 @@
   int forged = 0;
   int resets = 0;
   int full = 0;
-  std::set<uint64_t> turnedAway;
+  std::set<uint64_t> rejected;
   std::set<uint64_t> notRun;
 
   void start(bool repeatable, HostPlan plan = {}) {
@@ -53,7 +53,7 @@
     };
     hooks.opening = [](const FlowName&, const Endpoint&) {};
     hooks.run = [this](const FlowName&, const Request& request) { ++runs[request.id]; };
-    hooks.turnedAway = [this](const Request& request) { turnedAway.insert(request.id); };
+    hooks.rejected = [this](const Request& request) { rejected.insert(request.id); };
     hooks.full = [this] { ++full; };
     hooks.forged = [this](const EchoPacket&) { ++forged; };
     plan.id = "i-1";
@@ -70,9 +70,9 @@
     callerHooks.wrongAnswer = [this](const std::string&) { ++wrong; };
     callerHooks.notRun = [this](uint64_t request) { notRun.insert(request); };
     callerHooks.ended = [](TimePoint, bool) {};
-    caller = std::make_unique<SoakCaller>(kCaller, 1, habit(repeatable), callerHooks, random);
+    caller = std::make_unique<SoakCaller>(kCaller, 1, profile(repeatable), callerHooks, random);
   }
-  void play(Duration length) {
+  void runFor(Duration length) {
     for (const TimePoint end = now + length; now < end; now += milliseconds(2)) {
       while (!toHost.empty()) {
         host->onDatagram(now, kNode, toHost.front());
@@ -90,7 +90,7 @@
 
 TEST(CallerAndHost, EveryRequestIsServedWithoutLoss) {
   start(true);
-  play(seconds(10));
+  runFor(seconds(10));
   CHECK_TRUE(caller->counts().asked > 20);
   LONGS_EQUAL(0, caller->counts().failed);
   CHECK_TRUE(caller->counts().served + 1 >= caller->counts().asked);
@@ -100,7 +100,7 @@
 TEST(CallerAndHost, LossDelaysRequestsAndRunsNoneTwice) {
   lost = 0.05;
   start(false);
-  play(seconds(60));
+  runFor(seconds(60));
   CHECK_TRUE(caller->counts().served > 50);
   for (const auto& [request, count] : runs) {
     LONGS_EQUAL(1, count);
@@ -108,46 +108,46 @@
   LONGS_EQUAL(0, wrong + forged);
 }
 
-TEST(CallerAndHost, ADrainingHostClosesItsFlowsAndTakesOpenings) {
+TEST(CallerAndHost, DrainingHostClosesItsFlowsAndAcceptsOpenings) {
   start(true);
-  play(seconds(2));
+  runFor(seconds(2));
   host->drain();
-  play(seconds(3));
+  runFor(seconds(3));
   LONGS_EQUAL(0, caller->counts().failed);
   CHECK_TRUE(caller->counts().served > 8);
 }
 
-TEST(CallerAndHost, AHostWithoutRoomTurnsAwayWhatThenHasNotRun) {
+TEST(CallerAndHost, FullHostRejectsRequestsWithoutRunningThem) {
   HostPlan plan;
   plan.slots = 1;
-  plan.work = seconds(10);  // The caller gives its first request up long before.
+  plan.work = seconds(10);  // Far beyond the caller's deadline for its first request.
   start(false, plan);
-  play(seconds(5));
+  runFor(seconds(5));
   LONGS_EQUAL(1, runs.size());
-  // The second one, and what followed it, was tried three times each.
-  CHECK_TRUE(turnedAway.size() >= 3);
-  CHECK_TRUE(turnedAway == notRun);
-  LONGS_EQUAL(turnedAway.size(), caller->counts().turnedAway);
-  LONGS_EQUAL(0, turnedAway.count(runs.begin()->first));
+  // The second and the following requests were tried three times each.
+  CHECK_TRUE(rejected.size() >= 3);
+  CHECK_TRUE(rejected == notRun);
+  LONGS_EQUAL(rejected.size(), caller->counts().rejected);
+  LONGS_EQUAL(0, rejected.count(runs.begin()->first));
   LONGS_EQUAL(0, wrong + forged + resets);
 }
 
-TEST(CallerAndHost, RequestsWaitForASlotUpToTheQueue) {
+TEST(CallerAndHost, RequestsAreQueuedForASlotUpToTheQueueLimit) {
   HostPlan plan;
   plan.slots = 1;
   plan.queue = 1;
   plan.work = milliseconds(3500);
   start(false, plan);
-  play(seconds(6));
+  runFor(seconds(6));
   LONGS_EQUAL(2, runs.size());
-  LONGS_EQUAL(0, turnedAway.size());
+  LONGS_EQUAL(0, rejected.size());
 }
 
-TEST(CallerAndHost, AResetOfTheSystemEndsAnOpenFlowOnlyNearItsAcknowledgement) {
+TEST(CallerAndHost, SystemResetEndsOpenFlowOnlyWithinTheAcknowledgementWindow) {
   start(true);
   EchoPacket last;
   for (int step = 0; caller->counts().served < 2 && step < 2000; ++step) {
-    play(milliseconds(2));
+    runFor(milliseconds(2));
     if (!toHost.empty()) {
       last = *decode(toHost.back().substr(kAnyHost.size()));
     }
@@ -169,11 +169,11 @@
   LONGS_EQUAL(1, resets);
 }
 
-TEST(CallerAndHost, AFullHostSaysNothingToOpenings) {
+TEST(CallerAndHost, FullHostIgnoresOpenings) {
   HostPlan plan;
-  plan.mostFlows = 1;
+  plan.maximumFlows = 1;
   start(true, plan);
-  play(seconds(1));
+  runFor(seconds(1));
   LONGS_EQUAL(1, host->openFlowCount());
   EchoPacket opening;
   opening.flags = kSyn;
@@ -184,16 +184,16 @@
   LONGS_EQUAL(1, host->flowCount());
 }
 
-TEST(CallerAndHost, AnEndedHostSaysNothing) {
+TEST(CallerAndHost, EndedHostSendsNothing) {
   start(true);
-  play(seconds(1));
+  runFor(seconds(1));
   host->end();
-  play(seconds(8));
+  runFor(seconds(8));
   CHECK_TRUE(caller->counts().failed > 0);
   LONGS_EQUAL(0, host->flowCount());
 }
 
-TEST(CallerAndHost, WhatNobodyWroteSoIsNoticed) {
+TEST(CallerAndHost, DetectsForgedPackets) {
   start(true);
   EchoPacket packet;
   packet.sum = 1;
@@ -203,10 +203,10 @@
   LONGS_EQUAL(1, forged);
 }
 
-TEST(CallerAndHost, AnAnswerWithAnotherBodyIsNoticed) {
+TEST(CallerAndHost, DetectsAnswerWithWrongBody) {
   start(true);
   for (int step = 0; wrong == 0 && step < 1000; ++step) {
-    play(milliseconds(2));
+    runFor(milliseconds(2));
     for (std::string& bytes : toCaller) {
       EchoPacket packet = *decode(bytes);
       if (!packet.data.empty()) {
--- a/test/soak/unit/echo_packet_test.cc
+++ b/test/soak/unit/echo_packet_test.cc
@@ -1,4 +1,5 @@
-/** @file The soak's packets against the users' example and the product's own reader. */
+/** @file Tests of the soak's packet codec against the users' example and the system's own parser.
+ */
 #include "test/soak/world/echo_packet.h"
 
 #include "platform/packet/echo_format.h"
@@ -23,7 +24,7 @@
 
 TEST_GROUP(EchoPacket){};
 
-TEST(EchoPacket, IsReadByTheProductAsItWasWritten) {
+TEST(EchoPacket, SystemParsesEncodedPacket) {
   EchoPacket packet = sample();
   packet.flags = kAck;
   packet.echo = 77;
@@ -39,7 +40,7 @@
   LONGS_EQUAL(9, valueOf(parsed).dataBytes);
 }
 
-TEST(EchoPacket, ReadsAResetOfTheProduct) {
+TEST(EchoPacket, DecodesResetOfTheSystem) {
   const auto reset = platform::EchoFormat().refusal(encodeSealed(sample()));
   const auto packet = decode(valueOf(reset));
   CHECK_TRUE(packet.has_value());
@@ -49,7 +50,7 @@
   LONGS_EQUAL(sample().sourcePort, packet->targetPort);
 }
 
-TEST(EchoPacket, TheSumCoversEverythingButTheEcho) {
+TEST(EchoPacket, ChecksumCoversEverythingButTheEcho) {
   auto packet = decode(encodeSealed(sample()));
   CHECK_TRUE(isSealed(*packet));
   packet->echo = 5;
@@ -61,7 +62,7 @@
   CHECK_FALSE(isSealed(*packet));
 }
 
-TEST(EchoPacket, RefusesWhatIsTooShortOrOfAnotherLength) {
+TEST(EchoPacket, RejectsWrongLengths) {
   const std::string bytes = encodeSealed(sample());
   CHECK_FALSE(decode(bytes.substr(0, 30)).has_value());
   CHECK_FALSE(decode(bytes + "x").has_value());
--- a/test/soak/unit/evidence_test.cc
+++ b/test/soak/unit/evidence_test.cc
@@ -1,7 +1,7 @@
-/** @file What is judged from records: runs, logs, use of the machine, faults drawn. */
+/** @file Tests of the evaluation of runs, logs and resource usage, and of the fault plan. */
 #include <sstream>
 
-#include "test/soak/world/contact_record.h"
+#include "test/soak/world/disturbance_tracker.h"
 #include "test/soak/world/fault_plan.h"
 #include "test/soak/world/node_evidence.h"
 #include "test/soak/world/promises.h"
@@ -20,9 +20,9 @@
 
 TEST_GROUP_BASE(Evidence, test::WithoutLeakDetection){};
 
-TEST(Evidence, ARequestThatMayRunOnceIsCountedOverAllHosts) {
-  PromiseBook promises(kNow);
-  RunBook runs(promises);
+TEST(Evidence, DetectsRepeatedRunOfUnrepeatableRequestOverAllHosts) {
+  ViolationRecord promises(kNow);
+  RunTracker runs(promises);
   runs.onRun(kNow, 7, false, true, "i-1");
   runs.onRun(kNow, 8, true, true, "i-1");
   runs.onRun(kNow, 8, true, true, "i-2");
@@ -34,9 +34,9 @@
   LONGS_EQUAL(3 + 2, runs.runs());
 }
 
-TEST(Evidence, WhatWasRefusedMayRunNeitherBeforeNorAfter) {
-  PromiseBook promises(kNow);
-  RunBook runs(promises);
+TEST(Evidence, RejectedRequestMayRunNeitherBeforeNorAfter) {
+  ViolationRecord promises(kNow);
+  RunTracker runs(promises);
   runs.onRun(kNow, 7, true, true, "i-1");
   runs.onNotRun(kNow, 8);
   LONGS_EQUAL(0, promises.total());
@@ -46,7 +46,7 @@
   LONGS_EQUAL(2, promises.count(Promise::kRefusedNotRun));
 }
 
-TEST(Evidence, TheReaderOfAZoneIsToldByItsLog) {
+TEST(Evidence, DetectsReaderOfAZoneFromItsLog) {
   const std::string reads =
       "ts=2026-01-01T00:00:00Z level=info event=read_source reads_store=1 cause=reader\n";
   std::istringstream never(kLine);
@@ -57,8 +57,8 @@
   CHECK_FALSE(isReaderOfZone(before));
 }
 
-TEST(Evidence, OnlyTheFirstViolationsOfEachPromiseAreKept) {
-  PromiseBook promises(kNow);
+TEST(Evidence, KeepsOnlyTheFirstViolationsOfEachPromise) {
+  ViolationRecord promises(kNow);
   for (int count = 0; count < 100; ++count) {
     promises.broken(kNow, Promise::kRecovery, "x");
   }
@@ -66,7 +66,7 @@
   CHECK_TRUE(promises.first().size() < 10);
 }
 
-TEST(Evidence, ALogIsReadLineByLine) {
+TEST(Evidence, SummarizesLogLines) {
   std::istringstream log(kLine + "half a li\n" + kLine);
   const LogSummary summary = summarizeLog(log);
   LONGS_EQUAL(3, summary.lines);
@@ -75,7 +75,7 @@
   STRCMP_EQUAL("half a li", summary.firstUnreadable.c_str());
 }
 
-TEST(Evidence, ALogMustBeReadableAndBounded) {
+TEST(Evidence, LogMustBeReadableAndBounded) {
   const NodeLimits limits;
   CHECK_TRUE(isReadable(limits, {100, 1, 2, ""}, 2, 10));
   CHECK_FALSE(isReadable(limits, {100, 3, 2, ""}, 2, 10));
@@ -83,7 +83,7 @@
   CHECK_FALSE(isReadable(limits, {100000, 0, 1, ""}, 1, 10));
 }
 
-TEST(Evidence, ANodeMustBeMeasuredAndKeepItsLimits) {
+TEST(Evidence, NodeMustBeMeasuredAndWithinLimits) {
   const NodeLimits limits;
   CHECK_TRUE(isWithin(limits, {10, 20, 1}));
   CHECK_FALSE(isWithin(limits, {0, 20, 1}));
@@ -92,17 +92,17 @@
   CHECK_FALSE(isWithin(limits, {10, limits.descriptors + 1, 1}));
 }
 
-TEST(Evidence, TroubleCountsUntilSomeTimeAfterItsEnd) {
-  ContactRecord contact{seconds(4)};
-  CHECK_TRUE(contact.isInTouch("node", kNow));
-  contact.begin("node", kNow);
-  contact.begin("node", kNow);
-  contact.end("node", kNow + seconds(1));
-  CHECK_FALSE(contact.isInTouch("node", kNow + seconds(60)));
-  contact.end("node", kNow + seconds(61));
-  CHECK_FALSE(contact.isInTouch("node", kNow + seconds(65)));
-  CHECK_TRUE(contact.isInTouch("node", kNow + seconds(66)));
-  CHECK_TRUE(contact.isInTouch("other", kNow + seconds(60)));
+TEST(Evidence, DisturbanceLastsUntilTheSettleTimeAfterItsEnd) {
+  DisturbanceTracker disturbances{seconds(4)};
+  CHECK_TRUE(disturbances.isSettled("node", kNow));
+  disturbances.begin("node", kNow);
+  disturbances.begin("node", kNow);
+  disturbances.end("node", kNow + seconds(1));
+  CHECK_FALSE(disturbances.isSettled("node", kNow + seconds(60)));
+  disturbances.end("node", kNow + seconds(61));
+  CHECK_FALSE(disturbances.isSettled("node", kNow + seconds(65)));
+  CHECK_TRUE(disturbances.isSettled("node", kNow + seconds(66)));
+  CHECK_TRUE(disturbances.isSettled("other", kNow + seconds(60)));
 }
 
 TEST(Evidence, FaultsDependOnTheSeedAlone) {
@@ -120,7 +120,7 @@
   CHECK_FALSE(same);
 }
 
-TEST(Evidence, EverySabotageHasANameOfItsOwn) {
+TEST(Evidence, SabotageNamesAreUnique) {
   for (uint8_t index = 0; index < static_cast<uint8_t>(Sabotage::kCount); ++index) {
     const auto kind = static_cast<Sabotage>(index);
     CHECK_TRUE(sabotageNamed(toString(kind)) == kind);
@@ -128,7 +128,7 @@
   CHECK_FALSE(sabotageNamed("x").has_value());
 }
 
-TEST(Evidence, HardLoadLeavesUsualFaultsAsTheyAreAndEndsWithAShortage) {
+TEST(Evidence, HardLoadKeepsUsualFaultsAndEndsWithAShortage) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     for (const Fault& fault : drawFaults(seed, seconds(60))) {
       CHECK_TRUE(fault.kind < FaultKind::kUsualCount);
--- a/test/soak/unit/load_watch_test.cc
+++ b/test/soak/unit/load_watch_test.cc
@@ -1,4 +1,4 @@
-/** @file Each promise of hard load is found broken, and holds where it is kept. */
+/** @file Tests that each guarantee under hard load is reported as violated exactly when it is. */
 #include "test/soak/world/load_watch.h"
 #include "test/support/without_leak_detection.h"
 
@@ -14,11 +14,11 @@
 }  // namespace
 
 TEST_GROUP_BASE(LoadWatch, test::WithoutLeakDetection) {
-  PromiseBook promises{kNow};
+  ViolationRecord promises{kNow};
   LoadWatch watch{LoadBounds{}, promises};
 
-  /** Requests of two services of a pool end for so long. */
-  void play(TimePoint from, Duration length, bool usualServed, bool urgentServed) {
+  /** Completes requests of two services of a pool for the given time. */
+  void runFor(TimePoint from, Duration length, bool usualServed, bool urgentServed) {
     for (TimePoint now = from; now < from + length; now += kStep) {
       watch.onEnded(now, "dispatch", "usual", now, usualServed);
       watch.onEnded(now, "dispatch", "urgent", now, urgentServed);
@@ -26,32 +26,32 @@
   }
 };
 
-TEST(LoadWatch, AServiceThatIsNotServedWhileAnotherIsStarves) {
-  play(kNow, seconds(5), false, true);
+TEST(LoadWatch, UnservedServiceStarvesWhileAnotherIsServed) {
+  runFor(kNow, seconds(5), false, true);
   LONGS_EQUAL(0, promises.total());
   CHECK_TRUE(watch.longestStarved() > seconds(4));
-  play(kNow + seconds(5), seconds(2), false, true);
+  runFor(kNow + seconds(5), seconds(2), false, true);
   LONGS_EQUAL(1, promises.count(Promise::kNoServiceStarved));
 }
 
-TEST(LoadWatch, AServiceThatIsServedNowAndThenDoesNotStarve) {
+TEST(LoadWatch, OccasionallyServedServiceDoesNotStarve) {
   for (int round = 0; round < 10; ++round) {
     const TimePoint from = kNow + round * seconds(5);
-    play(from, seconds(5), false, true);
+    runFor(from, seconds(5), false, true);
     watch.onEnded(from + seconds(5), "dispatch", "usual", from, true);
   }
   LONGS_EQUAL(0, promises.total());
 }
 
 TEST(LoadWatch, NoServiceStarvesWhereNoneOfItsPoolIsServed) {
-  play(kNow, seconds(20), false, false);
+  runFor(kNow, seconds(20), false, false);
   for (TimePoint now = kNow; now < kNow + seconds(20); now += kStep) {
     watch.onEnded(now, "mapstore", "maps", now, true);
   }
   LONGS_EQUAL(0, promises.total());
 }
 
-TEST(LoadWatch, AFullHostMayGetAFewOpeningsASecond) {
+TEST(LoadWatch, FullHostMayReceiveAFewOpeningsPerSecond) {
   for (int round = 0; round < 5; ++round) {
     for (uint32_t opening = 0; opening < LoadBounds{}.openingsToFullHost; ++opening) {
       watch.onFull(kNow + round * milliseconds(1100), "i-1");
@@ -62,32 +62,32 @@
   LONGS_EQUAL(1, promises.count(Promise::kFullHostsSpared));
 }
 
-TEST(LoadWatch, TheUsualShareReturnsAfterAShortage) {
-  watch.onRoomBack(kNow);
-  play(kNow, seconds(6), false, false);
-  play(kNow + seconds(6), seconds(2), true, true);
+TEST(LoadWatch, UsualShareRecoversAfterAShortage) {
+  watch.onCapacityRestored(kNow);
+  runFor(kNow, seconds(6), false, false);
+  runFor(kNow + seconds(6), seconds(2), true, true);
   watch.tick(kNow + seconds(5), false);  // Not looked at before its time.
   watch.tick(kNow + seconds(11), true);
-  LONGS_EQUAL(1, watch.returnsJudged());
+  LONGS_EQUAL(1, watch.recoveriesEvaluated());
   LONGS_EQUAL(0, promises.total());
 }
 
-TEST(LoadWatch, AShareThatDoesNotReturnBreaksThePromise) {
-  watch.onRoomBack(kNow);
-  play(kNow, seconds(7), false, false);
-  play(kNow + seconds(7), seconds(3), true, true);
+TEST(LoadWatch, MissingRecoveryViolatesThePromise) {
+  watch.onCapacityRestored(kNow);
+  runFor(kNow, seconds(7), false, false);
+  runFor(kNow + seconds(7), seconds(3), true, true);
   watch.tick(kNow + seconds(5), false);  // Not looked at before its time.
   watch.tick(kNow + seconds(11), true);
   LONGS_EQUAL(1, promises.count(Promise::kShareReturns));
 }
 
-TEST(LoadWatch, WhatIsTroubledMeanwhileIsNotJudged) {
-  watch.onRoomBack(kNow);
-  play(kNow, seconds(8), false, false);
+TEST(LoadWatch, DisturbedRecoveryIsNotEvaluated) {
+  watch.onCapacityRestored(kNow);
+  runFor(kNow, seconds(8), false, false);
   watch.tick(kNow + seconds(5), false);
   watch.tick(kNow + seconds(8), false);
   watch.tick(kNow + seconds(11), true);
-  LONGS_EQUAL(0, watch.returnsJudged() + promises.total());
+  LONGS_EQUAL(0, watch.recoveriesEvaluated() + promises.total());
 }
 
 }  // namespace umberhold::soak
--- a/test/soak/unit/stream_end_property.cc
+++ b/test/soak/unit/stream_end_property.cc
@@ -1,4 +1,4 @@
-/** @file Whatever is lost, repeated or overtaken, the bytes arrive whole and in order. */
+/** @file Property: with loss, duplication and reordering, all bytes arrive in order. */
 #include <rapidcheck.h>
 
 #include <string>
@@ -20,7 +20,7 @@
 
 TEST_GROUP_BASE(StreamEnd, test::WithoutLeakDetection){};
 
-TEST(StreamEnd, BytesArriveWholeAndInOrder) {
+TEST(StreamEnd, DeliversAllBytesInOrder) {
   CHECK_TRUE(rc::check([](uint64_t seed) {
     RandomSource random(seed);
     const auto first = static_cast<uint32_t>(random.below(UINT32_MAX));
--- a/test/soak/world/deployment_plan.h
+++ b/test/soak/world/deployment_plan.h
@@ -1,4 +1,4 @@
-/** @file The nodes of a soak and the loopback addresses that its parts have. */
+/** @file The nodes of a soak and the loopback addresses of its components. */
 #pragma once
 
 #include <cstdint>
@@ -10,11 +10,11 @@
 
 namespace umberhold::soak {
 
-/** What callers ask for and hosts bear. */
+/** Load of the callers and capacity of the hosts. */
 enum class SoakLoad : uint8_t {
-  /** Hosts are alike and take what they get. */
+  /** Hosts are identical and have no limits. */
   kUsual,
-  /** Hosts of uneven speed have slots, a short queue and a cap on flows; at times room is short. */
+  /** Hosts differ in speed and have slots, a short queue and a flow limit; capacity shortages. */
   kHard,
 };
 
@@ -26,16 +26,16 @@
   Endpoint readiness;
   Endpoint metrics;
   Endpoint peer;
-  /** Where this node finds the store; a cut of the node lies behind it. */
+  /** Endpoint of the store for this node; a proxy behind it can cut the node off. */
   Endpoint store;
 };
 
-/** Bounds of the deployment, as in the users' sites. */
+/** Time bounds of the deployment, as at the users' sites. */
 struct BoundPlan {
   Duration change = std::chrono::seconds(3);
   Duration drain = std::chrono::seconds(3);
   Duration contact = std::chrono::seconds(4);
-  /** After a node reported a version, older ones may still be seen for so long. */
+  /** Time after a node showed a version for which older ones are still allowed. */
   Duration back = std::chrono::milliseconds(250);
   Duration recovery = std::chrono::seconds(12);
   Duration reuse = std::chrono::seconds(2);
@@ -53,9 +53,9 @@
   const BoundPlan& bounds() const { return bounds_; }
   Endpoint hostAddress(uint32_t number) const;
   uint32_t callerAddress(uint32_t number) const;
-  /** Where probes of the configuration get their answers. */
+  /** @return the address that receives the answers to configuration probes. */
   uint32_t probeAddress() const;
-  /** Callers take packets at their own address and this port. */
+  /** Port at which callers receive packets. */
   static constexpr uint16_t kDataPort = 8172;
 
  private:
--- a/test/soak/world/echo_packet.cc
+++ b/test/soak/world/echo_packet.cc
@@ -16,7 +16,7 @@
   }
 }
 
-/** Takes numbers off the front of a text. */
+/** Reads numbers from the front of a text. */
 class NumberReader {
  public:
   explicit NumberReader(std::string_view bytes) : rest_(bytes) {}
@@ -81,7 +81,7 @@
   packet.source = reader.take<uint32_t>();
   packet.target = reader.take<uint32_t>();
   const auto length = reader.take<uint16_t>();
-  if (reader.rest().size() != length || length > kMostData) {
+  if (reader.rest().size() != length || length > kMaximumData) {
     return std::nullopt;
   }
   packet.data = std::string(reader.rest());
--- a/test/soak/world/echo_packet.h
+++ b/test/soak/world/echo_packet.h
@@ -1,8 +1,8 @@
 /**
- * @file Packets of the users' platform as callers and hosts write and read them.
+ * @file Codec for the packets of the users' platform, as used by callers and hosts.
  *
- * Written from the published form, apart from the product's own reader of it
- * (platform/packet/echo_format.h), so that the one can be checked against the other.
+ * Implemented from the published format, independently of the system's own parser
+ * (platform/packet/echo_format.h), so that each can be checked against the other.
  */
 #pragma once
 
@@ -34,16 +34,16 @@
   bool has(uint8_t flag) const { return (flags & flag) != 0; }
 };
 
-/** Most data of a packet, bytes. */
-constexpr size_t kMostData = 1200;
+/** Maximum payload of a packet in bytes. */
+constexpr size_t kMaximumData = 1200;
 
-/** @return the packet's bytes, with the sum as it stands. */
+/** @return the encoded packet with its `sum` unchanged. */
 std::string encode(const EchoPacket& packet);
-/** @return the bytes with the sum that only callers and hosts can make. */
+/** @return the encoded packet with the keyed sum, which only callers and hosts can compute. */
 std::string encodeSealed(EchoPacket packet);
-/** @return the packet, or nothing where the bytes are none. */
+/** @return the decoded packet, or nothing if the bytes are malformed. */
 std::optional<EchoPacket> decode(std::string_view bytes);
-/** @return whether the packet is as a caller or host wrote it, but for `echo`. */
+/** @return whether the sum is valid; it covers everything but `echo`. */
 bool isSealed(const EchoPacket& packet);
 
 }  // namespace umberhold::soak
--- a/test/soak/world/exchange.cc
+++ b/test/soak/world/exchange.cc
@@ -13,7 +13,7 @@
 constexpr const char* kServiceHeader = "Service";
 constexpr const char* kNotRunHeader = "Umberhold-Not-Executed";
 constexpr const char* kWantedHeader = "Answer-Bytes";
-/** Bytes that a request which may run once only carries. */
+/** Body length of a request that must not run more than once. */
 constexpr uint32_t kPostedBytes = 900;
 constexpr uint32_t kLetters = 26;
 
@@ -37,7 +37,7 @@
   return number;
 }
 
-/** Head and body of a message. */
+/** Header and body of a message. */
 struct Message {
   std::string head;
   std::string body;
--- a/test/soak/world/exchange.h
+++ b/test/soak/world/exchange.h
@@ -1,4 +1,4 @@
-/** @file The requests and answers inside the flows: enough HTTP to tell them apart and whole. */
+/** @file Requests and answers inside the flows: a minimal subset of HTTP. */
 #pragma once
 
 #include <cstdint>
@@ -7,38 +7,38 @@
 
 namespace umberhold::soak {
 
-/** Header that names a try of a request. */
+/** Header with the id of one try of a request. */
 constexpr const char* kRequestHeader = "Umberhold-Request-Id";
 
 /** One try of a request. */
 struct Request {
-  /** Of this try alone. */
+  /** Unique per try. */
   uint64_t id = 0;
-  /** It may run more than once. */
+  /** Whether it may run more than once. */
   bool repeatable = true;
-  /** Bytes of the answer's body. */
+  /** Length of the answer's body in bytes. */
   uint32_t answerBytes = 0;
 };
 
-/** An answer as its caller read it. */
+/** An answer as parsed by its caller. */
 struct Answer {
   uint64_t id = 0;
   std::string service;
   std::string body;
-  /** The host turned the request away and did not run it. */
+  /** Whether the host rejected the request without running it. */
   bool notRun = false;
 };
 
 std::string requestText(const Request& request);
 std::string answerText(const Request& request, const std::string& service);
-/** A host that has enough to do turns the request away: it has not run. */
+/** @return the answer of a host at capacity, which rejects the request without running it. */
 std::string refusalText(const Request& request);
-/** @return the body that an answer to the request must have. */
+/** @return the expected body of the answer to a request. */
 std::string bodyOf(uint64_t id, uint32_t bytes);
 
-/** Takes a whole request off the front of the text; nothing where it is not complete. */
+/** Removes and returns a complete request from the front of the text; nothing if incomplete. */
 std::optional<Request> takeRequest(std::string& text);
-/** As takeRequest(). */
+/** Like takeRequest(), for answers. */
 std::optional<Answer> takeAnswer(std::string& text);
 
 }  // namespace umberhold::soak
--- a/test/soak/world/fault_player.cc
+++ b/test/soak/world/fault_injector.cc
@@ -1,4 +1,4 @@
-#include "test/soak/world/fault_player.h"
+#include "test/soak/world/fault_injector.h"
 
 #include <algorithm>
 #include <csignal>
@@ -13,31 +13,31 @@
 constexpr uint64_t kDrainedHosts = 4;
 constexpr uint32_t kBigConfiguration = 500;
 constexpr double kLostShare = 0.03;
-/** Entries that lapsed in an outage are back within two seconds of its end. */
-constexpr Duration kRegisteredAnew = std::chrono::milliseconds(1500);
-/** Nodes that end start again after half a second and are ready soon. */
+/** Entries that expired in an outage are registered again within two seconds of its end. */
+constexpr Duration kReregistrationTime = std::chrono::milliseconds(1500);
+/** Ended nodes restart after half a second and are ready soon afterwards. */
 constexpr Duration kStartTime = std::chrono::seconds(2);
 constexpr auto kStoreSlow = std::chrono::milliseconds(200);
-/** Fewer serving hosts than this are left alone. */
-constexpr size_t kFewestHosts = 8;
-/** Hosts that are left where room is short. */
+/** Host faults are injected only with more serving hosts than this. */
+constexpr size_t kMinimumHosts = 8;
+/** Hosts that remain during a capacity shortage. */
 constexpr size_t kMainHostsLeft = 3;
 constexpr size_t kSplitHostsLeft = 1;
 constexpr Duration kRetryGap = std::chrono::milliseconds(500);
 
 }  // namespace
 
-FaultPlayer::FaultPlayer(const DeploymentPlan& plan, SoakWorld& world, NodeProcesses& nodes,
-                         test::StandinStore& store)
+FaultInjector::FaultInjector(const DeploymentPlan& plan, SoakWorld& world, NodeProcesses& nodes,
+                             test::StandinStore& store)
     : plan_(plan), world_(world), nodes_(nodes), store_(store) {}
 
-void FaultPlayer::schedule(TimePoint start, const std::vector<Fault>& faults) {
+void FaultInjector::schedule(TimePoint start, const std::vector<Fault>& faults) {
   for (const Fault& fault : faults) {
-    at(start + fault.at, [this, fault](TimePoint now) { strike(now, fault); });
+    at(start + fault.at, [this, fault](TimePoint now) { inject(now, fault); });
   }
 }
 
-void FaultPlayer::play(TimePoint now) {
+void FaultInjector::runDueSteps(TimePoint now) {
   while (!steps_.empty() && steps_.begin()->first <= now) {
     const Step step = std::move(steps_.begin()->second);
     steps_.erase(steps_.begin());
@@ -46,57 +46,57 @@
   restarted(now);
 }
 
-void FaultPlayer::restarted(TimePoint now) {
+void FaultInjector::restarted(TimePoint now) {
   const std::vector<size_t> started = nodes_.restartEnded(now);
   const std::lock_guard lock(world_.mutex());
   for (const size_t node : started) {
     world_.routes().onNodeStarted(node);
-    world_.anyTrouble().strike(nameOf(node), now);
+    world_.allDisturbances().recordInstant(nameOf(node), now);
   }
 }
 
-void FaultPlayer::begin(const std::string& struck, Cause cause, TimePoint now) {
+void FaultInjector::begin(const std::string& target, Cause cause, TimePoint now) {
   const std::lock_guard lock(world_.mutex());
-  world_.anyTrouble().begin(struck, now);
+  world_.allDisturbances().begin(target, now);
   if (cause == Cause::kUnplanned) {
-    world_.unplannedTrouble().begin(struck, now);
+    world_.unplannedDisturbances().begin(target, now);
   }
 }
 
-void FaultPlayer::end(const std::string& struck, Cause cause, TimePoint now) {
+void FaultInjector::end(const std::string& target, Cause cause, TimePoint now) {
   const std::lock_guard lock(world_.mutex());
-  world_.anyTrouble().end(struck, now);
+  world_.allDisturbances().end(target, now);
   if (cause == Cause::kUnplanned) {
-    world_.unplannedTrouble().end(struck, now);
+    world_.unplannedDisturbances().end(target, now);
   }
 }
 
-void FaultPlayer::strikeOnce(const std::string& struck, Cause cause, TimePoint now) {
-  begin(struck, cause, now);
-  end(struck, cause, now);
+void FaultInjector::recordOnce(const std::string& target, Cause cause, TimePoint now) {
+  begin(target, cause, now);
+  end(target, cause, now);
 }
 
-void FaultPlayer::strike(TimePoint now, const Fault& fault) {
+void FaultInjector::inject(TimePoint now, const Fault& fault) {
   ++counts_[fault.kind];
   if (fault.kind >= FaultKind::kUsualCount) {
-    strikeHardLoad(now, fault);
+    injectHardLoadFault(now, fault);
   } else if (fault.kind <= FaultKind::kRollingRestart || fault.kind == FaultKind::kReloadSettings ||
              fault.kind == FaultKind::kReloadBadSettings || fault.kind == FaultKind::kLossyFabric) {
-    strikeNode(now, fault);
+    injectNodeFault(now, fault);
   } else if (fault.kind <= FaultKind::kCutFromStore) {
-    strikeStore(now, fault);
+    injectStoreFault(now, fault);
   } else if (fault.kind <= FaultKind::kReuseAddress) {
-    strikeHosts(now, fault);
+    injectHostFault(now, fault);
   } else {
-    strikeConfiguration(now, fault);
+    injectConfigurationFault(now, fault);
   }
 }
 
-size_t FaultPlayer::chosenNode(const Fault& fault) const {
+size_t FaultInjector::chosenNode(const Fault& fault) const {
   return fault.choice % plan_.nodes().size();
 }
 
-void FaultPlayer::strikeNode(TimePoint now, const Fault& fault) {
+void FaultInjector::injectNodeFault(TimePoint now, const Fault& fault) {
   const size_t all = plan_.nodes().size();
   switch (fault.kind) {
     case FaultKind::kKillNode:
@@ -112,25 +112,25 @@
     case FaultKind::kRollingRestart:
       return rollingRestart(now);
     case FaultKind::kLossyFabric:
-      return loseFabric(now, fault);
+      return makeFabricLossy(now, fault);
     default:
       return nodes_.reload(chosenNode(fault), fault.kind == FaultKind::kReloadSettings);
   }
 }
 
-void FaultPlayer::killNode(TimePoint now, size_t node) {
-  strikeOnce(nameOf(node), Cause::kUnplanned, now);
+void FaultInjector::killNode(TimePoint now, size_t node) {
+  recordOnce(nameOf(node), Cause::kUnplanned, now);
   nodes_.kill(node);
   at(now + kStartTime, [](TimePoint) {});
 }
 
-void FaultPlayer::killShare(TimePoint now, const Fault& fault, size_t count) {
+void FaultInjector::killShare(TimePoint now, const Fault& fault, size_t count) {
   for (size_t index = 0; index < count; ++index) {
     killNode(now, (chosenNode(fault) + index) % plan_.nodes().size());
   }
 }
 
-void FaultPlayer::freezeNode(TimePoint now, const Fault& fault) {
+void FaultInjector::freezeNode(TimePoint now, const Fault& fault) {
   const size_t node = chosenNode(fault);
   begin(nameOf(node), Cause::kUnplanned, now);
   nodes_.signal(node, SIGSTOP);
@@ -140,20 +140,20 @@
   });
 }
 
-void FaultPlayer::restartNode(TimePoint now, size_t node) {
-  strikeOnce(nameOf(node), Cause::kPlanned, now);
+void FaultInjector::restartNode(TimePoint now, size_t node) {
+  recordOnce(nameOf(node), Cause::kPlanned, now);
   nodes_.signal(node, SIGTERM);
   at(now + kStartTime, [](TimePoint) {});
 }
 
-void FaultPlayer::rollingRestart(TimePoint now) {
+void FaultInjector::rollingRestart(TimePoint now) {
   for (size_t node = 0; node < plan_.nodes().size(); ++node) {
     at(now + static_cast<Duration::rep>(node) * kRollingGap,
        [this, node](TimePoint later) { restartNode(later, node); });
   }
 }
 
-void FaultPlayer::loseFabric(TimePoint now, const Fault& fault) {
+void FaultInjector::makeFabricLossy(TimePoint now, const Fault& fault) {
   {
     const std::lock_guard lock(world_.mutex());
     standins::FaultRule rule;
@@ -168,7 +168,7 @@
   });
 }
 
-void FaultPlayer::strikeStore(TimePoint now, const Fault& fault) {
+void FaultInjector::injectStoreFault(TimePoint now, const Fault& fault) {
   test::StandinFaults faults;
   switch (fault.kind) {
     case FaultKind::kStoreBusy:
@@ -187,34 +187,34 @@
     case FaultKind::kCutFromStore:
       return cutFromStore(now, fault);
     default:
-      strikeOnce("store", Cause::kUnplanned, now);
+      recordOnce("store", Cause::kUnplanned, now);
       store_.objects().forgetHistory();
       return;
   }
-  moodOfStore(now, fault, faults);
+  applyStoreFaults(now, fault, faults);
 }
 
-void FaultPlayer::moodOfStore(TimePoint now, const Fault& fault,
-                              const test::StandinFaults& faults) {
-  if (storeTroubled_) {
+void FaultInjector::applyStoreFaults(TimePoint now, const Fault& fault,
+                                     const test::StandinFaults& faults) {
+  if (storeFaultActive_) {
     return;
   }
-  storeTroubled_ = true;
-  const bool lapses = faults.mood == test::StoreMood::kSilent && fault.choice % 3 == 0;
+  storeFaultActive_ = true;
+  const bool expires = faults.mood == test::StoreMood::kSilent && fault.choice % 3 == 0;
   begin("store", Cause::kUnplanned, now);
   store_.setFaults(faults);
-  if (lapses) {
+  if (expires) {
     const std::lock_guard lock(world_.mutex());
-    world_.hosts().lapse();
+    world_.hosts().expireEntries();
   }
-  at(now + fault.lasts, [this, lapses](TimePoint later) {
+  at(now + fault.lasts, [this, expires](TimePoint later) {
     store_.setFaults({});
-    storeTroubled_ = false;
-    if (!lapses) {
+    storeFaultActive_ = false;
+    if (!expires) {
       end("store", Cause::kUnplanned, later);
       return;
     }
-    at(later + kRegisteredAnew, [this](TimePoint latest) {
+    at(later + kReregistrationTime, [this](TimePoint latest) {
       {
         const std::lock_guard lock(world_.mutex());
         world_.hosts().registerAll();
@@ -224,7 +224,7 @@
   });
 }
 
-void FaultPlayer::cutFromStore(TimePoint now, const Fault& fault) {
+void FaultInjector::cutFromStore(TimePoint now, const Fault& fault) {
   const size_t node = chosenNode(fault);
   begin(nameOf(node), Cause::kUnplanned, now);
   nodes_.setCut(node, true);
@@ -234,7 +234,7 @@
   });
 }
 
-void FaultPlayer::strikeHosts(TimePoint now, const Fault& fault) {
+void FaultInjector::injectHostFault(TimePoint now, const Fault& fault) {
   switch (fault.kind) {
     case FaultKind::kDrainHosts:
       return drainHosts(now, fault);
@@ -245,25 +245,25 @@
   }
 }
 
-void FaultPlayer::drainHosts(TimePoint now, const Fault& fault) {
+void FaultInjector::drainHosts(TimePoint now, const Fault& fault) {
   for (uint64_t step = 0; step < kDrainedHosts; ++step) {
     at(now + static_cast<Duration::rep>(step) * kDrainGap, [this, fault, step](TimePoint later) {
-      if (storeTroubled_) {
-        return;  // A host leaves once the store has taken that.
+      if (storeFaultActive_) {
+        return;  // A host leaves only after the store has accepted its change.
       }
       const std::lock_guard lock(world_.mutex());
       const std::vector<size_t> serving = world_.hosts().serving();
-      if (serving.size() > kFewestHosts) {
+      if (serving.size() > kMinimumHosts) {
         world_.hosts().replace(later, serving[(fault.choice + step) % serving.size()]);
       }
     });
   }
 }
 
-void FaultPlayer::crashHost(TimePoint now, const Fault& fault, bool reuse) {
+void FaultInjector::crashHost(TimePoint now, const Fault& fault, bool reuse) {
   const std::lock_guard lock(world_.mutex());
   const std::vector<size_t> serving = world_.hosts().serving();
-  if (serving.size() <= kFewestHosts) {
+  if (serving.size() <= kMinimumHosts) {
     return;
   }
   const size_t slot = serving[fault.choice % serving.size()];
@@ -276,9 +276,9 @@
   world_.hosts().start(now, plan.service, plan.zone);
 }
 
-void FaultPlayer::strikeHardLoad(TimePoint now, const Fault& fault) {
+void FaultInjector::injectHardLoadFault(TimePoint now, const Fault& fault) {
   if (fault.kind != FaultKind::kRestartHost) {
-    shortenRoom(now, fault);
+    reduceCapacity(now, fault);
     return;
   }
   const std::lock_guard lock(world_.mutex());
@@ -288,9 +288,9 @@
   }
 }
 
-void FaultPlayer::shortenRoom(TimePoint now, const Fault& fault) {
-  if (storeTroubled_) {  // A host leaves once the store has taken that.
-    at(now + kRetryGap, [this, fault](TimePoint later) { shortenRoom(later, fault); });
+void FaultInjector::reduceCapacity(TimePoint now, const Fault& fault) {
+  if (storeFaultActive_) {  // A host leaves only after the store has accepted its change.
+    at(now + kRetryGap, [this, fault](TimePoint later) { reduceCapacity(later, fault); });
     return;
   }
   const bool isMain = fault.kind == FaultKind::kShortRoom;
@@ -301,26 +301,26 @@
   for (size_t index = left; index < serving.size(); ++index) {
     world_.hosts().leave(now, serving[index]);
   }
-  world_.setCrowd(isMain);
-  world_.load().onRoomShort();
+  world_.setExtraCallers(isMain);
+  world_.load().onCapacityReduced();
   if (fault.choice % 2 == 0) {
     at(now + fault.lasts / 2, [this](TimePoint later) { killReader(later); });
   }
   const size_t gone = serving.size() - left;
   at(now + fault.lasts,
-     [this, service, gone](TimePoint later) { giveRoomBack(later, service, gone); });
+     [this, service, gone](TimePoint later) { restoreCapacity(later, service, gone); });
 }
 
-void FaultPlayer::giveRoomBack(TimePoint now, const std::string& service, size_t hosts) {
+void FaultInjector::restoreCapacity(TimePoint now, const std::string& service, size_t hosts) {
   const std::lock_guard lock(world_.mutex());
   for (size_t index = 0; index < hosts; ++index) {
     world_.hosts().start(now, service, plan_.zones()[index % plan_.zones().size()]);
   }
-  world_.setCrowd(false);
-  world_.load().onRoomBack(now);
+  world_.setExtraCallers(false);
+  world_.load().onCapacityRestored(now);
 }
 
-void FaultPlayer::killReader(TimePoint now) {
+void FaultInjector::killReader(TimePoint now) {
   const auto reader = nodes_.readerOfZone();
   if (reader) {
     ++counts_[FaultKind::kKillReader];
@@ -328,9 +328,9 @@
   }
 }
 
-void FaultPlayer::strikeConfiguration(TimePoint now, const Fault& fault) {
+void FaultInjector::injectConfigurationFault(TimePoint now, const Fault& fault) {
   const auto store = [this](uint32_t extraRoutes) {
-    if (!storeTroubled_) {
+    if (!storeFaultActive_) {
       const std::lock_guard lock(world_.mutex());
       world_.storeConfiguration(extraRoutes);
     }
--- a/test/soak/world/fault_plan.cc
+++ b/test/soak/world/fault_plan.cc
@@ -14,8 +14,8 @@
 constexpr double kLongestSeconds = 5.0;
 constexpr double kMeanHardLoadGapSeconds = 5.0;
 constexpr uint64_t kHardLoadStream = 1;
-/** Longer than the bound within which new flows no longer go to hosts that leave (3 s), and than
- * the time for which a service may go without an answer (6 s). */
+/** Longer than the bound after which leaving hosts receive no new flows (3 s) and than the maximum
+ * time for which a service may be starved (6 s). */
 constexpr Duration kShortage = std::chrono::seconds(8);
 
 Duration secondsOf(double seconds) {
--- a/test/soak/world/fault_plan.h
+++ b/test/soak/world/fault_plan.h
@@ -1,4 +1,4 @@
-/** @file Which faults strike when: drawn from a seed. */
+/** @file Kinds and times of faults, generated from a seed. */
 #pragma once
 
 #include <cstdint>
@@ -30,15 +30,15 @@
   kBigConfiguration,
   kReloadSettings,
   kReloadBadSettings,
-  /** The kinds above strike under usual load too. */
+  /** Number of the kinds above, which are also used under usual load. */
   kUsualCount,
-  /** Most hosts of the main service leave, then several times the callers come. */
+  /** Most hosts of the main service leave while the number of callers is multiplied. */
   kShortRoom = kUsualCount,
-  /** All hosts but one leave that a split shares with the main service. */
+  /** All but one host of the service that shares a traffic split with the main service leave. */
   kShortSplit,
-  /** A host starts again under its id. */
+  /** A host restarts under its id. */
   kRestartHost,
-  /** While room is short, the reader of a zone is killed. Drawn with a shortage only. */
+  /** The reader of a zone is killed during a capacity shortage; generated only with one. */
   kKillReader,
   kCount,
 };
@@ -49,21 +49,21 @@
 /** One fault. */
 struct Fault {
   FaultKind kind = FaultKind::kKillNode;
-  /** From the start of the traffic. */
+  /** Time since the start of the traffic. */
   Duration at{0};
   Duration lasts{0};
-  /** Chooses what is struck. */
+  /** Random number that selects the target. */
   uint64_t choice = 0;
 };
 
 /**
- * @param seed decides everything.
- * @param length of the time in which faults begin; they end soon after.
- * @return faults by time, several at once at times; every kind has the same chance.
+ * @param seed determines the result completely.
+ * @param length time in which faults begin; they end soon after.
+ * @return faults in order of time; they may overlap, and all kinds are equally likely.
  */
 std::vector<Fault> drawFaults(uint64_t seed, Duration length);
-/** As drawFaults(), the kinds of hard load; drawn apart, so that a seed's other faults stay as they
- * are. At the end room is short in any case. */
+/** Like drawFaults(), for the kinds of hard load; generated separately, so that the other faults of
+ * a seed are unchanged. Always ends with a capacity shortage. */
 std::vector<Fault> drawHardLoad(uint64_t seed, Duration length);
 
 }  // namespace umberhold::soak
--- a/test/soak/world/host_fleet.cc
+++ b/test/soak/world/host_fleet.cc
@@ -11,13 +11,14 @@
 
 constexpr uint32_t kSlots = 60;
 constexpr uint32_t kHeartbeatsUntilGone = 3;
-/** How long a host that leaves outlives its bound, as a part of it. What reaches it then shows a
- * fault: with 0 to 1 times, a sabotage that sends it openings went unseen in 1 of 3 runs. */
-constexpr double kShortestStay = 0.5;
-constexpr double kLongestStay = 2.0;
-/** Every so many-th host that leaves loses its entry without saying that it drains. */
-constexpr uint64_t kSilentLeavers = 3;
-/** Work time of the fastest host, and by how much a slower one exceeds it at most. */
+/** Time for which a leaving host stays beyond the drain bound, as a fraction of the bound. Openings
+ * that it receives then are violations. With fractions of 0 to 1, a sabotage that sends such
+ * openings was not detected in 1 of 3 runs. */
+constexpr double kMinimumStay = 0.5;
+constexpr double kMaximumStay = 2.0;
+/** Every n-th leaving host loses its entry without announcing its drain. */
+constexpr uint64_t kSilentLeavePeriod = 3;
+/** Work time of the fastest host, and the maximum excess of slower ones. */
 constexpr uint64_t kFastestMillis = 5;
 constexpr uint64_t kSlowerMillis = 20;
 constexpr uint32_t kSlotsOfHost = 2;
@@ -54,7 +55,7 @@
 
 std::optional<size_t> HostFleet::freeSlot(TimePoint now) const {
   for (size_t slot = 0; slot < slots_.size(); ++slot) {
-    if (!slots_[slot].host && now >= slots_[slot].freeAt && !reuses_.contains(slot)) {
+    if (!slots_[slot].host && now >= slots_[slot].reusableAt && !reuses_.contains(slot)) {
       return slot;
     }
   }
@@ -81,15 +82,15 @@
     host.work = std::chrono::milliseconds(kFastestMillis + host.incarnation % kSlowerMillis);
     host.slots = kSlotsOfHost;
     host.queue = kQueue;
-    host.mostFlows = kMostFlows;
-    host.born = unixMillis();
+    host.maximumFlows = kMaximumFlows;
+    host.startedAtMillis = unixMillis();
   }
   runHost(slot, host);
 }
 
 void HostFleet::restart(size_t slot) {
   HostPlan host = slots_[slot].host->plan();
-  host.born = std::max(unixMillis(), host.born + 1);
+  host.startedAtMillis = std::max(unixMillis(), host.startedAtMillis + 1);
   runHost(slot, host);
 }
 
@@ -103,12 +104,14 @@
 
 void HostFleet::enter(const HostSlot& slot) {
   const HostPlan& host = slot.host->plan();
-  const bool draining = slot.host->mood() == HostMood::kDraining;
-  objects_.set("servers", host.id,
-               R"({"service":")" + host.service + R"(","address":")" + toString(host.address) +
-                   R"(","zone":")" + host.zone + R"(","version":"v1","slots":2,"state":")" +
-                   (draining ? "draining" : "ready") + R"(","cold_remaining_ms":0,"sequence":1)" +
-                   (host.born == 0 ? "" : R"(,"born":)" + std::to_string(host.born)) + "}");
+  const bool draining = slot.host->state() == HostState::kDraining;
+  objects_.set(
+      "servers", host.id,
+      R"({"service":")" + host.service + R"(","address":")" + toString(host.address) +
+          R"(","zone":")" + host.zone + R"(","version":"v1","slots":2,"state":")" +
+          (draining ? "draining" : "ready") + R"(","cold_remaining_ms":0,"sequence":1)" +
+          (host.startedAtMillis == 0 ? "" : R"(,"born":)" + std::to_string(host.startedAtMillis)) +
+          "}");
 }
 
 void HostFleet::withdraw(const HostSlot& slot) {
@@ -125,11 +128,11 @@
 
 void HostFleet::leave(TimePoint now, size_t slot) {
   HostSlot& leaving = slots_[slot];
-  leaving.leavesSilently = random_.below(kSilentLeavers) == 0;
-  leaving.leavesSince = now;
-  const double outlives = kShortestStay + (kLongestStay - kShortestStay) * random_.unit();
+  leaving.leavesWithoutDraining = random_.below(kSilentLeavePeriod) == 0;
+  leaving.leavingSince = now;
+  const double outlives = kMinimumStay + (kMaximumStay - kMinimumStay) * random_.unit();
   leaving.endsAt = now + plan_.bounds().drain + partOf(plan_.bounds().drain, outlives);
-  if (leaving.leavesSilently) {
+  if (leaving.leavesWithoutDraining) {
     withdraw(leaving);
   } else {
     leaving.host->drain();
@@ -140,7 +143,7 @@
 void HostFleet::crash(TimePoint now, size_t slot) {
   HostSlot& struck = slots_[slot];
   struck.host->end();
-  struck.entryGoesAt = now + kHeartbeatsUntilGone * plan_.bounds().heartbeat;
+  struck.entryExpiresAt = now + kHeartbeatsUntilGone * plan_.bounds().heartbeat;
 }
 
 void HostFleet::crashAndReuse(TimePoint now, size_t slot) {
@@ -149,7 +152,7 @@
   crash(now, slot);
 }
 
-void HostFleet::lapse() {
+void HostFleet::expireEntries() {
   for (const HostSlot& slot : slots_) {
     if (slot.host) {
       withdraw(slot);
@@ -159,7 +162,7 @@
 
 void HostFleet::registerAll() {
   for (const HostSlot& slot : slots_) {
-    if (slot.host && slot.host->mood() != HostMood::kEnded && !slot.leavesSilently) {
+    if (slot.host && slot.host->state() != HostState::kEnded && !slot.leavesWithoutDraining) {
       enter(slot);
     }
   }
@@ -170,19 +173,19 @@
     HostSlot& slot = slots_[index];
     if (!slot.host) {
       const auto reuse = reuses_.find(index);
-      if (reuse != reuses_.end() && now >= slot.freeAt) {
+      if (reuse != reuses_.end() && now >= slot.reusableAt) {
         startAt(index, reuse->second, plan_.zones()[index % plan_.zones().size()]);
         reuses_.erase(index);
       }
       continue;
     }
     slot.host->tick(now);
-    if (now >= slot.endsAt || now >= slot.entryGoesAt) {
+    if (now >= slot.endsAt || now >= slot.entryExpiresAt) {
       slot.host->end();
       withdraw(slot);
       slot.host.reset();
-      slot.endsAt = slot.entryGoesAt = TimePoint::max();
-      slot.freeAt = now + plan_.bounds().reuse;
+      slot.endsAt = slot.entryExpiresAt = TimePoint::max();
+      slot.reusableAt = now + plan_.bounds().reuse;
     }
   }
 }
@@ -191,7 +194,8 @@
   std::vector<size_t> found;
   for (size_t slot = 0; slot < slots_.size(); ++slot) {
     const HostSlot& candidate = slots_[slot];
-    if (candidate.host && candidate.host->mood() == HostMood::kServing && !candidate.leavesSince) {
+    if (candidate.host && candidate.host->state() == HostState::kServing &&
+        !candidate.leavingSince) {
       found.push_back(slot);
     }
   }
--- a/test/soak/world/host_fleet.h
+++ b/test/soak/world/host_fleet.h
@@ -1,4 +1,4 @@
-/** @file The hosts of the platform: who runs at which address, and what the store says of them. */
+/** @file The hosts of the platform: their addresses, lifecycle and entries in the store. */
 #pragma once
 
 #include <cstdint>
@@ -16,54 +16,53 @@
 
 namespace umberhold::soak {
 
-/** One address and the host that has it now. */
+/** One address and its current host. */
 struct HostSlot {
   Endpoint address;
   std::unique_ptr<SoakHost> host;
-  /** When the host's leaving was acknowledged by the store, by `draining` or by its entry's end. */
-  std::optional<TimePoint> leavesSince;
-  /** When it is to end, once it leaves. */
+  /** When the store acknowledged that the host leaves, by `draining` or by removal of its entry. */
+  std::optional<TimePoint> leavingSince;
+  /** When a leaving host ends. */
   TimePoint endsAt = TimePoint::max();
-  /** When the entry of a host that ended without a word goes. */
-  TimePoint entryGoesAt = TimePoint::max();
-  /** From when on the address may be given again. */
-  TimePoint freeAt{};
-  /** It loses its entry and serves on. */
-  bool leavesSilently = false;
+  /** When the entry of a crashed host expires. */
+  TimePoint entryExpiresAt = TimePoint::max();
+  /** When the address may be reused. */
+  TimePoint reusableAt{};
+  /** Whether it loses its entry but continues to serve. */
+  bool leavesWithoutDraining = false;
 };
 
 /** See the file comment. Not thread safe. */
 class HostFleet {
  public:
-  /** Open flows of a host at most, under hard load. */
-  static constexpr uint32_t kMostFlows = 96;
+  /** Maximum number of open flows of a host under hard load. */
+  static constexpr uint32_t kMaximumFlows = 96;
 
-  /** @param objects, random borrowed. @param hooks what each host tells, given its slot. */
+  /** @param objects, random borrowed. @param hooks creates the callbacks of a host, by slot. */
   HostFleet(const DeploymentPlan& plan, test::StandinObjects& objects,
             std::function<HostHooks(size_t slot)> hooks, RandomSource& random, SoakLoad load);
 
-  /** Starts a host of the service at a free address; @return its slot, or nothing if none is free.
-   */
+  /** Starts a host of the service. @return its slot, or nothing if no address is free. */
   std::optional<size_t> start(TimePoint now, const std::string& service, const std::string& zone);
-  /** The host leaves, and ends some time later. */
+  /** Makes the host leave; it ends some time later. */
   void leave(TimePoint now, size_t slot);
-  /** The host starts again at once, under its id; it holds nothing of before. */
+  /** Restarts the host immediately under its id; all its state is lost. */
   void restart(size_t slot);
-  /** Starts a successor, and has the host leave. */
+  /** Starts a successor and makes the host leave. */
   void replace(TimePoint now, size_t slot);
-  /** The host ends without a word; its entry goes after three heartbeats. */
+  /** Ends the host without notice; its entry expires after three heartbeats. */
   void crash(TimePoint now, size_t slot);
-  /** A crashed host's address goes to a host of another service. */
+  /** Crashes the host and reuses its address for a host of another service. */
   void crashAndReuse(TimePoint now, size_t slot);
-  /** The store loses all entries, as leases run out in an outage; they are back soon. */
-  void lapse();
+  /** Removes all entries from the store, like leases that expire in an outage. */
+  void expireEntries();
   void registerAll();
   void tick(TimePoint now);
 
-  /** @return slots with a host that takes new flows. */
+  /** @return the slots whose hosts accept new flows. */
   std::vector<size_t> serving() const;
   std::vector<size_t> serving(const std::string& service) const;
-  /** @return the slot of the living host that holds the flow open. */
+  /** @return the slot of the running host on which the flow is open. */
   std::optional<size_t> holderOf(const FlowName& flow) const;
   std::vector<HostSlot>& slots() { return slots_; }
   const std::vector<HostSlot>& slots() const { return slots_; }
@@ -82,7 +81,7 @@
   const SoakLoad load_;
   std::vector<HostSlot> slots_;
   uint64_t nextIncarnation_ = 1;
-  /** Reuses that wait for their address: slot and service. */
+  /** Pending reuses of an address: slot and service. */
   std::map<size_t, std::string> reuses_;
 };
 
--- a/test/soak/world/load_watch.cc
+++ b/test/soak/world/load_watch.cc
@@ -6,20 +6,20 @@
 namespace {
 
 constexpr Duration kFullWindow = std::chrono::seconds(1);
-/** Requests that begin in the judged time end within their callers' deadlines. */
-constexpr Duration kEndPatience = std::chrono::seconds(3);
+/** Requests that begin in the evaluated time end within their callers' deadlines. */
+constexpr Duration kRequestDeadline = std::chrono::seconds(3);
 
 }  // namespace
 
 void LoadWatch::onEnded(TimePoint now, const std::string& pool, const std::string& service,
                         TimePoint begunAt, bool served) {
-  if (roomBackAt_ && begunAt >= *roomBackAt_ + bounds_.returns &&
-      begunAt < *roomBackAt_ + bounds_.returns + bounds_.judged) {
+  if (capacityRestoredAt_ && begunAt >= *capacityRestoredAt_ + bounds_.returns &&
+      begunAt < *capacityRestoredAt_ + bounds_.returns + bounds_.judged) {
     ++returned_.all;
     returned_.served += served ? 1 : 0;
   }
-  std::map<std::string, Hunger>& services = hunger_[pool];
-  Hunger& own = services[service];
+  std::map<std::string, Starvation>& services = starvation_[pool];
+  Starvation& own = services[service];
   if (served) {
     for (auto& [name, other] : services) {
       other.othersServed += name == service ? 0 : 1;
@@ -31,7 +31,7 @@
     own = {now, 0, 0};
   }
   ++own.unserved;
-  if (own.unserved < bounds_.fewestEnds || own.othersServed < bounds_.fewestEnds) {
+  if (own.unserved < bounds_.minimumEnds || own.othersServed < bounds_.minimumEnds) {
     return;
   }
   const Duration starved = now - *own.since;
@@ -57,27 +57,27 @@
   }
 }
 
-void LoadWatch::onRoomBack(TimePoint now) {
-  roomBackAt_ = now;
+void LoadWatch::onCapacityRestored(TimePoint now) {
+  capacityRestoredAt_ = now;
   returned_ = {};
 }
 
-void LoadWatch::tick(TimePoint now, bool inTouch) {
-  if (!roomBackAt_ || now < *roomBackAt_ + bounds_.returns) {
+void LoadWatch::tick(TimePoint now, bool allSettled) {
+  if (!capacityRestoredAt_ || now < *capacityRestoredAt_ + bounds_.returns) {
     return;
   }
-  if (!inTouch) {
-    roomBackAt_.reset();
+  if (!allSettled) {
+    capacityRestoredAt_.reset();
     return;
   }
-  if (now < *roomBackAt_ + bounds_.returns + bounds_.judged + kEndPatience) {
+  if (now < *capacityRestoredAt_ + bounds_.returns + bounds_.judged + kRequestDeadline) {
     return;
   }
-  roomBackAt_.reset();
-  if (returned_.all < bounds_.fewestEnds) {
+  capacityRestoredAt_.reset();
+  if (returned_.all < bounds_.minimumEnds) {
     return;
   }
-  ++returnsJudged_;
+  ++recoveriesEvaluated_;
   const double share = static_cast<double>(returned_.served) / static_cast<double>(returned_.all);
   if (share < bounds_.usualShare) {
     promises_.broken(
--- a/test/soak/world/load_watch.h
+++ b/test/soak/world/load_watch.h
@@ -1,4 +1,4 @@
-/** @file Whether callers fare under hard load as they are promised. No I/O, no clock. */
+/** @file Checks the guarantees for callers under hard load. No I/O, no clock. */
 #pragma once
 
 #include <cstdint>
@@ -15,21 +15,21 @@
 /** Bounds under hard load. */
 struct LoadBounds {
   /**
-   * Longest time in which requests of a service end and none is served, while another service of
-   * the same pool is served. Callers give a request up after 3 s: two in a row may be lost.
+   * Maximum time in which no request of a service is served while another service of the same pool
+   * is served. Callers give up a request after 3 s, so two consecutive ones may be lost.
    */
   Duration starved = std::chrono::seconds(6);
-  /** Fewer ends of requests than this, of either service, show nothing. */
-  uint32_t fewestEnds = 10;
+  /** Minimum number of ended requests of either service for a result. */
+  uint32_t minimumEnds = 10;
   /**
-   * Openings that may reach a host which holds as many flows as it can, within a second: each of
-   * ten nodes has one under way that the others can't know of.
+   * Maximum openings per second at a host at its flow limit: each of ten nodes may have one in
+   * flight that the others have not been notified of.
    */
   uint32_t openingsToFullHost = 10;
-  /** After room is there again, requests are served as usual at the latest after this time: hosts
-   * register, nodes notice them within the bound of changes (3 s), and requests of before end. */
+  /** Maximum recovery time after capacity is restored: hosts register, nodes detect them within the
+   * bound for changes (3 s), and earlier requests end. */
   Duration returns = std::chrono::seconds(6);
-  /** Requests that begin within this time after that are judged. */
+  /** Requests that begin within this time after the recovery are evaluated. */
   Duration judged = std::chrono::seconds(2);
   double usualShare = 0.95;
 };
@@ -38,28 +38,28 @@
 class LoadWatch {
  public:
   /** @param promises borrowed. */
-  LoadWatch(LoadBounds bounds, PromiseBook& promises) : bounds_(bounds), promises_(promises) {}
+  LoadWatch(LoadBounds bounds, ViolationRecord& promises) : bounds_(bounds), promises_(promises) {}
 
-  /** A request of a service ended, whose hosts are in the pool. */
+  /** Records the end of a request of a service whose hosts are in the pool. */
   void onEnded(TimePoint now, const std::string& pool, const std::string& service,
                TimePoint begunAt, bool served);
-  /** An opening reached a host that holds as many flows as it can. */
+  /** Records an opening at a host at its flow limit. */
   void onFull(TimePoint now, const std::string& host);
-  /** Room was short, and is there again. */
-  void onRoomBack(TimePoint now);
-  /** Room is short: what was to return before is not judged. */
-  void onRoomShort() { roomBackAt_.reset(); }
-  /** Judges the return once its time is over. @param inTouch whether everything has been without
-   * trouble for a while; a return in trouble is not judged. */
-  void tick(TimePoint now, bool inTouch);
+  /** Records the end of a capacity shortage. */
+  void onCapacityRestored(TimePoint now);
+  /** Records the start of a capacity shortage; a pending recovery is not evaluated. */
+  void onCapacityReduced() { capacityRestoredAt_.reset(); }
+  /** Evaluates the recovery when its time is over. @param allSettled whether no target is
+   * disturbed; a disturbed recovery is not evaluated. */
+  void tick(TimePoint now, bool allSettled);
 
-  /** @return the longest time for which a service was starved. */
+  /** @return the maximum time for which a service was starved. */
   Duration longestStarved() const { return longestStarved_; }
-  uint64_t returnsJudged() const { return returnsJudged_; }
+  uint64_t recoveriesEvaluated() const { return recoveriesEvaluated_; }
 
  private:
-  /** Since a service was last served. */
-  struct Hunger {
+  /** Counts since a service was last served. */
+  struct Starvation {
     std::optional<TimePoint> since;
     uint32_t unserved = 0;
     uint32_t othersServed = 0;
@@ -70,14 +70,14 @@
   };
 
   const LoadBounds bounds_;
-  PromiseBook& promises_;
+  ViolationRecord& promises_;
   /** By pool and service. */
-  std::map<std::string, std::map<std::string, Hunger>> hunger_;
+  std::map<std::string, std::map<std::string, Starvation>> starvation_;
   Duration longestStarved_{0};
   std::map<std::string, std::deque<TimePoint>> full_;
-  std::optional<TimePoint> roomBackAt_;
+  std::optional<TimePoint> capacityRestoredAt_;
   Ends returned_;
-  uint64_t returnsJudged_ = 0;
+  uint64_t recoveriesEvaluated_ = 0;
 };
 
 }  // namespace umberhold::soak
--- a/test/soak/world/node_evidence.h
+++ b/test/soak/world/node_evidence.h
@@ -1,4 +1,4 @@
-/** @file What node processes left behind: logs that can be read, memory and descriptors. */
+/** @file Checks of the logs and the resource usage of node processes. */
 #pragma once
 
 #include <cstdint>
@@ -7,22 +7,22 @@
 
 namespace umberhold::soak {
 
-/** Most that a node may use. */
+/** Maximum resource usage of a node. */
 struct NodeLimits {
   double memoryMegabytes = 64;
   uint64_t descriptors = 200;
-  /** Lines a second, on average over the whole run. */
+  /** Log lines per second, averaged over the run. */
   double linesPerSecond = 500;
 };
 
-/** The most that a node used at one time. */
+/** Peak resource usage of a node. */
 struct NodePeak {
   double memoryMegabytes = 0;
   uint64_t descriptors = 0;
   uint64_t lives = 0;
 };
 
-/** What the log of a node holds. */
+/** Summary of a node's log. */
 struct LogSummary {
   uint64_t lines = 0;
   /** Lines that are not `key=value` pairs with a time, a level and an event. */
@@ -31,16 +31,16 @@
   std::string firstUnreadable;
 };
 
-/** @param log lines of one node, over all its lives. */
+/** @param log log of all processes of one node. */
 LogSummary summarizeLog(std::istream& log);
-/** @param log of one node. @return whether it last said that it reads the store for its zone. */
+/** @param log log of one node. @return whether it currently reads the store for its zone. */
 bool isReaderOfZone(std::istream& log);
-/** @return whether the node was measured and kept the limits. */
+/** @return whether the node was measured and is within the limits. */
 bool isWithin(const NodeLimits& limits, const NodePeak& peak);
 /**
- * @param lives of the node: one that is killed while it writes may leave a broken line.
- * @param seconds that the log covers.
- * @return whether a node's log can be read and is not longer than allowed.
+ * @param lives number of processes of the node; each may leave one broken line when it is killed.
+ * @param seconds duration of the log.
+ * @return whether the log is well formed and within the length limit.
  */
 bool isReadable(const NodeLimits& limits, const LogSummary& log, uint64_t lives, double seconds);
 /** @return whether the line has the schema of docs/OPERATIONS.md. */
--- a/test/soak/world/node_processes.h
+++ b/test/soak/world/node_processes.h
@@ -1,4 +1,4 @@
-/** @file The nodes as real processes: started, signalled, started again after their end. */
+/** @file Runs the nodes as real processes: start, signals, restart. */
 #pragma once
 
 #include <atomic>
@@ -17,35 +17,35 @@
 
 namespace umberhold::soak {
 
-/** Not thread safe, but for the cuts. */
+/** Not thread safe except for setCut(). */
 class NodeProcesses {
  public:
   /**
-   * @param program the node's. @param store where the store is. @param folder for settings and
-   * logs.
+   * @param program path of the node's program. @param store endpoint of the store. @param folder
+   * for settings and logs.
    */
   NodeProcesses(const DeploymentPlan& plan, std::string program, const Endpoint& store,
                 std::string folder);
 
-  /** Starts all for the first time. */
+  /** Starts all nodes for the first time. */
   void startAll();
   void kill(size_t node) { processes_.kill(plan_.nodes()[node].name); }
   void signal(size_t node, int signal) { processes_.signal(plan_.nodes()[node].name, signal); }
-  /** Writes settings that can or can't be read, and sends SIGHUP. */
+  /** Writes valid or invalid settings and sends SIGHUP. */
   void reload(size_t node, bool valid);
   void setCut(size_t node, bool cut) { *cuts_[node] = cut; }
 
-  /** Starts nodes again that have ended a short while ago; @return them. */
+  /** Restarts nodes some time after they ended. @return the restarted nodes. */
   std::vector<size_t> restartEnded(TimePoint now);
-  /** Notes what each node uses. */
+  /** Records the resource usage of each node. */
   void measure();
-  /** Notes how long each node waited for a processor. */
+  /** Records the time that each node waited for a processor. */
   void measureWaits(TimePoint now, WaitWatch& waits) const;
   const std::vector<NodePeak>& peaks() const { return peaks_; }
   std::string logFile(size_t node) const;
   /** @return a node that reads the store for its zone. */
   std::optional<size_t> readerOfZone() const;
-  /** Ends all nodes; no node is started again. */
+  /** Ends all nodes without restarting them. */
   void endAll();
 
  private:
--- a/test/soak/world/promises.cc
+++ b/test/soak/world/promises.cc
@@ -5,7 +5,7 @@
 namespace umberhold::soak {
 namespace {
 
-/** Of each promise; a run that goes wrong would fill the memory otherwise. */
+/** Maximum number of stored violations per promise; limits the memory of a failing run. */
 constexpr uint64_t kKeptViolations = 5;
 
 }  // namespace
@@ -48,18 +48,18 @@
   return "unknown";
 }
 
-void PromiseBook::broken(TimePoint now, Promise promise, const std::string& detail) {
+void ViolationRecord::broken(TimePoint now, Promise promise, const std::string& detail) {
   if (++counts_[static_cast<size_t>(promise)] <= kKeptViolations) {
     first_.push_back({promise, now - start_, detail});
   }
 }
 
-uint64_t PromiseBook::total() const {
+uint64_t ViolationRecord::total() const {
   return std::accumulate(counts_.begin(), counts_.end(), uint64_t{0});
 }
 
-void RunBook::onRun(TimePoint now, uint64_t request, bool repeatable, bool allowed,
-                    const std::string& host) {
+void RunTracker::onRun(TimePoint now, uint64_t request, bool repeatable, bool allowed,
+                       const std::string& host) {
   ++runs_;
   const std::string detail = "request " + std::to_string(request) + " at " + host;
   ran_.insert(request);
@@ -74,7 +74,7 @@
   }
 }
 
-void RunBook::onNotRun(TimePoint now, uint64_t request) {
+void RunTracker::onNotRun(TimePoint now, uint64_t request) {
   notRun_.insert(request);
   if (ran_.contains(request)) {
     promises_.broken(now, Promise::kRefusedNotRun, "request " + std::to_string(request));
--- a/test/soak/world/promises.h
+++ b/test/soak/world/promises.h
@@ -1,4 +1,4 @@
-/** @file What the soak holds the system to, and the record of what was broken. */
+/** @file The promises that the soak checks, and the record of their violations. */
 #pragma once
 
 #include <array>
@@ -24,7 +24,7 @@
   kNoOlderConfiguration,
   kOpenFlowsStay,
   kRecovery,
-  /** A try that its caller knows not to have run has run. */
+  /** A try that was rejected or refused is never run. */
   kRefusedNotRun,
   /** See load_watch.h. */
   kNoServiceStarved,
@@ -38,17 +38,17 @@
 /** @return the snake_case name of a promise. */
 std::string_view toString(Promise promise);
 
-/** One promise broken once. */
+/** One violation of a promise. */
 struct Violation {
   Promise promise = Promise::kWholeAnswers;
   Duration at{0};
   std::string detail;
 };
 
-/** Violations by promise: all are counted, the first few of each are kept. Not thread safe. */
-class PromiseBook {
+/** Counts violations by promise and keeps the first few of each. Not thread safe. */
+class ViolationRecord {
  public:
-  explicit PromiseBook(TimePoint start) : start_(start) {}
+  explicit ViolationRecord(TimePoint start) : start_(start) {}
 
   void broken(TimePoint now, Promise promise, const std::string& detail);
   uint64_t count(Promise promise) const { return counts_[static_cast<size_t>(promise)]; }
@@ -62,20 +62,20 @@
   std::vector<Violation> first_;
 };
 
-/** Runs of requests by hosts, from the hosts' own records. Not thread safe. */
-class RunBook {
+/** Tracks which requests hosts ran, from the hosts' own records. Not thread safe. */
+class RunTracker {
  public:
-  explicit RunBook(PromiseBook& promises) : promises_(promises) {}
+  explicit RunTracker(ViolationRecord& promises) : promises_(promises) {}
 
-  /** A host began to work on a request. @param allowed whether its service may run it. */
+  /** Records that a host started a request. @param allowed whether its service may run it. */
   void onRun(TimePoint now, uint64_t request, bool repeatable, bool allowed,
              const std::string& host);
-  /** A caller knows that the try has not run. */
+  /** Records that a caller was notified that the try has not run. */
   void onNotRun(TimePoint now, uint64_t request);
   uint64_t runs() const { return runs_; }
 
  private:
-  PromiseBook& promises_;
+  ViolationRecord& promises_;
   std::unordered_map<uint64_t, uint32_t> unrepeatable_;
   std::unordered_set<uint64_t> ran_;
   std::unordered_set<uint64_t> notRun_;
--- a/test/soak/world/readiness_watch.cc
+++ b/test/soak/world/readiness_watch.cc
@@ -43,7 +43,7 @@
   }
 }
 
-size_t ReadinessWatch::inCount() const {
+size_t ReadinessWatch::readyCount() const {
   return static_cast<size_t>(std::count_if(states_.begin(), states_.end(),
                                            [](const auto& state) { return bool(state->in); }));
 }
@@ -58,7 +58,7 @@
     if (own) {
       ofZone.push_back(index);
     }
-    if (readiness.isIn(index)) {
+    if (readiness.isReady(index)) {
       (own ? in : elsewhere).push_back(index);
     }
   }
--- a/test/soak/world/readiness_watch.h
+++ b/test/soak/world/readiness_watch.h
@@ -1,4 +1,4 @@
-/** @file Which nodes the platform's routers hand packets to: those that answer 200. */
+/** @file Readiness checks of the platform's routers, which forward packets to ready nodes only. */
 #pragma once
 
 #include <atomic>
@@ -10,7 +10,7 @@
 
 namespace umberhold::soak {
 
-/** Asks every node twice a second, on a thread each; two misses put a node out. Thread safe. */
+/** Polls each node twice a second on its own thread; two failures exclude it. Thread safe. */
 class ReadinessWatch {
  public:
   explicit ReadinessWatch(const std::vector<NodePlan>& nodes);
@@ -18,8 +18,8 @@
   ReadinessWatch(const ReadinessWatch&) = delete;
   ReadinessWatch& operator=(const ReadinessWatch&) = delete;
 
-  bool isIn(size_t node) const { return states_[node]->in; }
-  size_t inCount() const;
+  bool isReady(size_t node) const { return states_[node]->in; }
+  size_t readyCount() const;
 
  private:
   struct State {
@@ -33,8 +33,8 @@
   std::vector<std::unique_ptr<State>> states_;
 };
 
-/** @return the node for a flow of the zone: by rendezvous, so that a node that goes moves its own
- * flows only; see the users' page for zones where few nodes or none are in. */
+/** @return the node for a flow of the zone by rendezvous hashing, so that the loss of a node moves
+ * only its own flows; see the users' page for zones with few or no ready nodes. */
 size_t routeOf(const std::vector<NodePlan>& nodes, const ReadinessWatch& readiness,
                const std::string& zone, uint64_t flow);
 
--- a/test/soak/world/route_book.cc
+++ b/test/soak/world/route_tracker.cc
@@ -1,4 +1,4 @@
-#include "test/soak/world/route_book.h"
+#include "test/soak/world/route_tracker.h"
 
 #include <algorithm>
 #include <set>
@@ -12,9 +12,9 @@
 constexpr uint32_t kExtraAddress = 0xC6120A00;
 constexpr uint16_t kFirstPort = 2000;
 constexpr uint16_t kMarkerPorts = 40000;
-/** Time from the store's answer to the operator's note of it, and of packets on their way. */
+/** Time between the store's answer and its record here, and for packets in flight. */
 constexpr Duration kSlack = std::chrono::milliseconds(200);
-/** Markers that probes ask for: those that are there and some that no longer are. */
+/** Number of latest markers that probes target: the current ones and some that were dropped. */
 constexpr uint64_t kProbedMarkers = 6;
 
 Endpoint markerEndpoint(uint64_t version) {
@@ -40,19 +40,20 @@
 
 }  // namespace
 
-RouteBook::RouteBook(const DeploymentPlan& plan, std::vector<CallerRoute> routes,
-                     PromiseBook& promises, const ContactRecord& contact, RouteBookOptions options)
+RouteTracker::RouteTracker(const DeploymentPlan& plan, std::vector<CallerRoute> routes,
+                           ViolationRecord& promises, const DisturbanceTracker& disturbances,
+                           RouteTrackerOptions options)
     : plan_(plan),
       routes_(std::move(routes)),
       promises_(promises),
-      contact_(contact),
+      disturbances_(disturbances),
       options_(std::move(options)) {}
 
-bool RouteBook::isMarker(const Endpoint& service) {
+bool RouteTracker::isMarker(const Endpoint& service) {
   return service.address == kMarkerAddress;
 }
 
-std::string RouteBook::nextVersion(uint32_t extraRoutes) {
+std::string RouteTracker::nextVersion(uint32_t extraRoutes) {
   versions_.push_back({version() + 1, TimePoint::max()});
   std::ostringstream text;
   text << R"({"version":)" << version() * 10 << R"(,"routes":[)";
@@ -77,61 +78,61 @@
   for (const std::string& service :
        std::set<std::string>{"dispatch", "mapstore", options_.markerService}) {
     text << separator << R"({"name":")" << service << R"(","max_connections":)"
-         << options_.mostFlows << "}";
+         << options_.maximumFlows << "}";
     separator = ",";
   }
   text << R"(],"limits":{"idle_timeout_ms":15000}})";
   return text.str();
 }
 
-void RouteBook::onNodeStarted(size_t node) {
+void RouteTracker::onNodeStarted(size_t node) {
   ++lives_[node];
   shown_.erase(node);
 }
 
-TimePoint RouteBook::addedAt(uint64_t marker) const {
+TimePoint RouteTracker::addedAt(uint64_t marker) const {
   return versions_[marker - 1].acknowledgedAt;
 }
 
-TimePoint RouteBook::droppedAt(uint64_t marker) const {
+TimePoint RouteTracker::droppedAt(uint64_t marker) const {
   const uint64_t dropping = versionThatDropped(marker);
   return dropping <= version() ? versions_[dropping - 1].acknowledgedAt : TimePoint::max();
 }
 
-std::optional<Endpoint> RouteBook::startProbe(TimePoint now, size_t node, uint16_t callerPort,
-                                              RandomSource& random) {
+std::optional<Endpoint> RouteTracker::startProbe(TimePoint now, size_t node, uint16_t callerPort,
+                                                 RandomSource& random) {
   if (versions_.empty()) {
     return std::nullopt;
   }
   const uint64_t range = std::min(kProbedMarkers, version());
   const uint64_t marker = version() - random.below(range);
-  underWay_[callerPort] = {node, marker, now, lives_[node]};
+  pendingProbes_[callerPort] = {node, marker, now, lives_[node]};
   ++probes_;
   return markerEndpoint(marker);
 }
 
-std::optional<Probe> RouteBook::takeProbe(uint16_t callerPort) {
-  const auto found = underWay_.find(callerPort);
-  if (found == underWay_.end()) {
+std::optional<Probe> RouteTracker::takeProbe(uint16_t callerPort) {
+  const auto found = pendingProbes_.find(callerPort);
+  if (found == pendingProbes_.end()) {
     return std::nullopt;
   }
   const Probe probe = found->second;
-  underWay_.erase(found);
+  pendingProbes_.erase(found);
   return probe.life == lives_[probe.node] ? std::optional(probe) : std::nullopt;
 }
 
-void RouteBook::show(size_t node, uint64_t version, const Probe& probe, TimePoint now) {
+void RouteTracker::show(size_t node, uint64_t version, const Probe& probe, TimePoint now) {
   Shown& shown = shown_[node];
   if (version > shown.version || shown.life != probe.life) {
     shown = {version, now, probe.life};
   }
 }
 
-void RouteBook::judge(TimePoint now, const Probe& probe, uint64_t neededVersion,
-                      TimePoint neededSince, const char* handled) {
+void RouteTracker::checkVersion(TimePoint now, const Probe& probe, uint64_t neededVersion,
+                                TimePoint neededSince, const char* handled) {
   const std::string& nodeName = plan_.nodes()[probe.node].name;
-  // Trouble before the probe was sent counts, and trouble that began while it was under way.
-  if (!contact_.isInTouch(nodeName, now) || !contact_.isInTouch("store", now)) {
+  // Disturbances before the probe was sent and while it was in flight both count.
+  if (!disturbances_.isSettled(nodeName, now) || !disturbances_.isSettled("store", now)) {
     return;
   }
   const std::string detail = nodeName + " " + handled + " marker " + std::to_string(probe.marker) +
@@ -149,19 +150,19 @@
   }
 }
 
-void RouteBook::onAccepted(TimePoint now, uint16_t callerPort) {
+void RouteTracker::onAccepted(TimePoint now, uint16_t callerPort) {
   const auto probe = takeProbe(callerPort);
   if (!probe) {
     return;
   }
   const uint64_t dropping = versionThatDropped(probe->marker);
   if (dropping <= version()) {
-    judge(now, *probe, dropping, droppedAt(probe->marker), "forwarded");
+    checkVersion(now, *probe, dropping, droppedAt(probe->marker), "forwarded");
   }
   show(probe->node, probe->marker, *probe, now);
 }
 
-void RouteBook::onRefused(TimePoint now, uint16_t callerPort) {
+void RouteTracker::onRefused(TimePoint now, uint16_t callerPort) {
   const auto probe = takeProbe(callerPort);
   if (!probe) {
     return;
@@ -169,11 +170,11 @@
   const uint64_t dropping = versionThatDropped(probe->marker);
   const bool maybeDropped = dropping <= version();
   if (!maybeDropped) {
-    judge(now, *probe, probe->marker, addedAt(probe->marker), "refused");
+    checkVersion(now, *probe, probe->marker, addedAt(probe->marker), "refused");
   }
 }
 
-bool RouteBook::mayRun(const Endpoint& route, const std::string& service) const {
+bool RouteTracker::mayRun(const Endpoint& route, const std::string& service) const {
   const auto found =
       std::find_if(routes_.begin(), routes_.end(),
                    [&route](const CallerRoute& known) { return known.listen == route; });
--- a/test/soak/world/route_book.h
+++ b/test/soak/world/route_tracker.h
@@ -1,9 +1,9 @@
 /**
- * @file The operator's configurations, and whether nodes handle probes by one that is too old.
+ * @file Generates the operator's configurations and detects nodes that use an outdated one.
  *
- * Besides the routes that callers use, each version adds a marker, a route that nobody uses, and
- * drops older ones. A probe opens a flow to a marker at a chosen node: that node's newest version
- * shows in whether the opening reaches a host or is refused.
+ * Besides the callers' routes, each version adds a marker, which is a route that callers don't use,
+ * and drops older markers. A probe opens a flow to a marker at a selected node: whether the opening
+ * reaches a host or is refused shows the node's version.
  */
 #pragma once
 
@@ -16,61 +16,63 @@
 
 #include "common/base/random.h"
 #include "common/base/time.h"
-#include "test/soak/world/contact_record.h"
 #include "test/soak/world/deployment_plan.h"
+#include "test/soak/world/disturbance_tracker.h"
 #include "test/soak/world/promises.h"
 
 namespace umberhold::soak {
 
-/** A route that callers use. */
+/** A route used by callers. */
 struct CallerRoute {
   std::string name;
   Endpoint listen;
   bool repeatable = true;
   /** Services with their weights. */
   std::vector<std::pair<std::string, uint32_t>> parts;
-  /** 0 is the most urgent; none: the configuration doesn't say. */
+  /** 0 is the most urgent; empty: not set in the configuration. */
   std::optional<uint32_t> priority = std::nullopt;
 };
 
-/** A probe that is under way. */
+/** A probe in flight. */
 struct Probe {
   size_t node = 0;
   uint64_t marker = 0;
   TimePoint sentAt{};
-  /** Of the node when the probe was sent; a node that starts again may know less. */
+  /** Process number of the node at sending; a restarted node may have an older configuration. */
   uint32_t life = 0;
 };
 
-/** What a configuration says beside its routes. */
-struct RouteBookOptions {
+/** Contents of a configuration other than its routes. */
+struct RouteTrackerOptions {
   /** `max_connections` of each service. */
-  uint32_t mostFlows = 2000;
-  /** Whose hosts markers lead to. Where room is short they are others than the callers', so that a
-   * node which refuses a probe can't do so for lack of room. */
+  uint32_t maximumFlows = 2000;
+  /** Service of the markers. Under hard load its hosts are not those of the callers, so that no
+   * probe is refused for lack of capacity. */
   std::string markerService = "dispatch";
 };
 
 /** See the file comment. Not thread safe. */
-class RouteBook {
+class RouteTracker {
  public:
-  /** @param plan, promises, contact borrowed. */
-  RouteBook(const DeploymentPlan& plan, std::vector<CallerRoute> routes, PromiseBook& promises,
-            const ContactRecord& contact, RouteBookOptions options = {});
+  /** @param plan, promises, disturbances borrowed. */
+  RouteTracker(const DeploymentPlan& plan, std::vector<CallerRoute> routes,
+               ViolationRecord& promises, const DisturbanceTracker& disturbances,
+               RouteTrackerOptions options = {});
 
-  /** Makes the next version, with `extra` routes that nobody uses. @return its text. */
+  /** Creates the next version, with `extraRoutes` unused routes. @return its text. */
   std::string nextVersion(uint32_t extraRoutes);
-  /** The store has taken the newest version. */
+  /** Records that the store accepted the newest version. */
   void onAcknowledged(TimePoint now) { versions_.back().acknowledgedAt = now; }
-  /** A new process serves as the node. */
+  /** Records the start of a new process of the node. */
   void onNodeStarted(size_t node);
 
-  /** @return where a probe of some marker goes, or nothing before there is one. */
+  /** Starts a probe of a random marker. @return its endpoint, or nothing before the first version.
+   */
   std::optional<Endpoint> startProbe(TimePoint now, size_t node, uint16_t callerPort,
                                      RandomSource& random);
-  /** The probe's opening reached a host. */
+  /** Records that the probe's opening reached a host. */
   void onAccepted(TimePoint now, uint16_t callerPort);
-  /** The probe's opening was refused. */
+  /** Records that the probe's opening was refused. */
   void onRefused(TimePoint now, uint16_t callerPort);
 
   const std::vector<CallerRoute>& routes() const { return routes_; }
@@ -85,7 +87,7 @@
     uint64_t number = 0;
     TimePoint acknowledgedAt = TimePoint::max();
   };
-  /** What a node has shown. */
+  /** The newest version that a node has shown. */
   struct Shown {
     uint64_t version = 0;
     TimePoint at{};
@@ -98,21 +100,21 @@
   uint64_t versionThatDropped(uint64_t marker) const { return marker + kMarkersKept; }
   std::optional<Probe> takeProbe(uint16_t callerPort);
   void show(size_t node, uint64_t version, const Probe& probe, TimePoint now);
-  /** The node handled the probe as only versions before the needed one allow. */
-  void judge(TimePoint now, const Probe& probe, uint64_t neededVersion, TimePoint neededSince,
-             const char* handled);
+  /** Checks a probe that the node handled by a version older than the needed one. */
+  void checkVersion(TimePoint now, const Probe& probe, uint64_t neededVersion,
+                    TimePoint neededSince, const char* handled);
 
-  /** A marker is there in its own version and the following ones, so many in all. */
+  /** Number of versions that contain a marker, from its own version on. */
   static constexpr uint64_t kMarkersKept = 3;
 
   const DeploymentPlan& plan_;
   const std::vector<CallerRoute> routes_;
-  PromiseBook& promises_;
-  const ContactRecord& contact_;
-  const RouteBookOptions options_;
+  ViolationRecord& promises_;
+  const DisturbanceTracker& disturbances_;
+  const RouteTrackerOptions options_;
   std::vector<Version> versions_;
   std::map<size_t, Shown> shown_;
-  std::map<uint16_t, Probe> underWay_;
+  std::map<uint16_t, Probe> pendingProbes_;
   std::map<size_t, uint32_t> lives_;
   uint64_t probes_ = 0;
 };
--- a/test/soak/world/sabotage.h
+++ b/test/soak/world/sabotage.h
@@ -1,6 +1,6 @@
 /**
- * @file Ways in which a broken system would break a promise, played on the way between nodes and
- * the others: a check that no such system fails is no check.
+ * @file Faulty system behaviours that violate a promise, simulated between nodes and the other
+ * components, to verify that the checks detect them.
  */
 #pragma once
 
@@ -12,23 +12,23 @@
 
 enum class Sabotage : uint8_t {
   kNone,
-  /** Openings are handed to a host of another service. */
+  /** Openings are forwarded to a host of another service. */
   kWrongService,
-  /** A request that may run once only is run by a second host too. */
+  /** An unrepeatable request is also run by a second host. */
   kRunsTwice,
-  /** Packets for hosts are changed. */
+  /** Packets to hosts are modified. */
   kChangesPackets,
-  /** Answers are changed, in a form that a caller can't tell from its host's. */
+  /** Answers are modified and sealed again, so that only their content shows it. */
   kChangesAnswers,
-  /** Openings are handed to hosts that leave. */
+  /** Openings are forwarded to leaving hosts. */
   kFillsLeavingHosts,
-  /** Openings of routes that the node knows are refused, as an older version would. */
+  /** Openings of configured routes are refused, as under an older version. */
   kOldConfiguration,
   /** Open flows are reset. */
   kResetsFlows,
-  /** A part of the packets is lost for good after the last fault. */
+  /** A share of the packets is lost permanently after the last fault. */
   kNeverRecovers,
-  /** Requests that hosts turn away are run nevertheless, and nothing of one service reaches its
+  /** Requests that hosts reject are run nevertheless, and no packet of one service reaches its
    * hosts. */
   kIgnoresRoom,
   kCount,
--- a/test/soak/world/soak_caller.cc
+++ b/test/soak/world/soak_caller.cc
@@ -6,43 +6,44 @@
 namespace umberhold::soak {
 namespace {
 
-/** After the first opening packet: when copies are sent, and when the caller gives up. */
+/** Retransmission times of the opening packet, and the timeout, after its first transmission. */
 constexpr std::array<Duration, 2> kOpeningCopies = {std::chrono::milliseconds(200),
                                                     std::chrono::milliseconds(600)};
-constexpr Duration kOpeningPatience = std::chrono::milliseconds(1400);
-/** Well below the longest life of a flow. */
+constexpr Duration kOpeningTimeout = std::chrono::milliseconds(1400);
+/** Well below the maximum lifetime of a flow. */
 constexpr Duration kFlowLife = std::chrono::seconds(20);
-/** A reset by the system ends an open flow if its number is within this of the last
- * acknowledgement. */
+/** A reset by the system ends an open flow if its sequence number is within this distance of the
+ * last acknowledgement. */
 constexpr uint32_t kResetWindow = 76800;
 constexpr uint16_t kFirstPort = 10000;
 constexpr uint16_t kLastPort = 60000;
-/** Requests of one caller are numbered within this. */
+/** Size of the request id range of one caller. */
 constexpr uint64_t kRequestsOfCaller = 1000000;
 
 }  // namespace
 
-SoakCaller::SoakCaller(uint32_t address, uint32_t number, CallerHabit habit, CallerHooks hooks,
+SoakCaller::SoakCaller(uint32_t address, uint32_t number, CallerProfile profile, CallerHooks hooks,
                        RandomSource& random)
     : address_(address),
       number_(number),
-      habit_(habit),
+      profile_(profile),
       hooks_(std::move(hooks)),
       random_(random),
       port_(static_cast<uint16_t>(kFirstPort + random.below(kLastPort - kFirstPort))) {}
 
 void SoakCaller::begin(TimePoint now) {
   ++counts_.asked;
-  wanted_ = Wanted{{0, habit_.repeatable, habit_.answerBytes}, now, 0};
+  pending_ = PendingRequest{{0, profile_.repeatable, profile_.answerBytes}, now, 0};
   tryOnce(now);
 }
 
 void SoakCaller::tryOnce(TimePoint now) {
   ++counts_.tries;
-  ++wanted_->tries;
-  // Each try is distinguished, so that runs can be distinguished.
-  wanted_->request.id = (uint64_t{number_} + 1) * kRequestsOfCaller + ++nextRequest_;
-  const bool usable = phase_ == Phase::kOpen && !habit_.freshFlows && now - openedAt_ < kFlowLife;
+  ++pending_->tries;
+  // Each try has its own id, so that its runs can be distinguished.
+  pending_->request.id = (uint64_t{number_} + 1) * kRequestsOfCaller + ++nextRequest_;
+  const bool usable =
+      phase_ == Phase::kOpen && !profile_.flowPerRequest && now - openedAt_ < kFlowLife;
   if (usable) {
     sendRequest(now);
     return;
@@ -68,14 +69,14 @@
   packet.acknowledged = openings_++;
   packet.source = address_;
   packet.sourcePort = port_;
-  packet.target = habit_.service.address;
-  packet.targetPort = habit_.service.port;
+  packet.target = profile_.service.address;
+  packet.targetPort = profile_.service.port;
   hooks_.send(encodeSealed(packet));
 }
 
 void SoakCaller::sendRequest(TimePoint now) {
   std::vector<std::string> out;
-  stream_->write(requestText(wanted_->request));
+  stream_->write(requestText(pending_->request));
   stream_->tick(now, out);
   sendAll(out);
 }
@@ -107,7 +108,7 @@
   }
   phase_ = Phase::kOpen;
   openedAt_ = now;
-  stream_.emplace(StreamAddresses{address_, habit_.service.address, port_, habit_.service.port},
+  stream_.emplace(StreamAddresses{address_, profile_.service.address, port_, profile_.service.port},
                   firstSequence_ + 1, packet.sequence + 1);
   stream_->setEcho(packet.echo);
   sendRequest(now);
@@ -130,7 +131,7 @@
   }
   phase_ = Phase::kNone;
   stream_.reset();
-  if (wanted_) {
+  if (pending_) {
     failTry(now, wasOpen);
   }
 }
@@ -147,24 +148,24 @@
   }
   if (stream_ && stream_->isFinishedByOther()) {
     closeFlow(now);
-    if (wanted_) {
+    if (pending_) {
       failTry(now, true);
     }
   }
 }
 
 void SoakCaller::checkAnswer(TimePoint now, const Answer& answer) {
-  if (!wanted_ || answer.id != wanted_->request.id) {
+  if (!pending_ || answer.id != pending_->request.id) {
     hooks_.wrongAnswer("an answer to request " + std::to_string(answer.id));
     return;
   }
   if (answer.notRun) {
-    ++counts_.turnedAway;
-    closeFlow(now);  // A further try takes a new flow.
+    ++counts_.rejected;
+    closeFlow(now);  // The next try uses a new flow.
     failTry(now, false);
     return;
   }
-  if (answer.body != bodyOf(answer.id, habit_.answerBytes)) {
+  if (answer.body != bodyOf(answer.id, profile_.answerBytes)) {
     hooks_.wrongAnswer("another body for request " + std::to_string(answer.id));
   }
   endRequest(now, true);
@@ -172,10 +173,11 @@
 
 void SoakCaller::failTry(TimePoint now, bool ran) {
   if (!ran) {
-    hooks_.notRun(wanted_->request.id);
+    hooks_.notRun(pending_->request.id);
   }
-  const bool mayRepeat = habit_.repeatable || !ran;
-  if (mayRepeat && wanted_->tries <= habit_.retries && now - wanted_->begunAt < habit_.deadline) {
+  const bool mayRepeat = profile_.repeatable || !ran;
+  if (mayRepeat && pending_->tries <= profile_.retries &&
+      now - pending_->begunAt < profile_.deadline) {
     tryOnce(now);
     return;
   }
@@ -184,18 +186,18 @@
 
 void SoakCaller::endRequest(TimePoint now, bool served) {
   ++(served ? counts_.served : counts_.failed);
-  hooks_.ended(wanted_->begunAt, served);
-  wanted_.reset();
-  nextAt_ = now + Duration{static_cast<Duration::rep>(static_cast<double>(habit_.pause.count()) *
+  hooks_.ended(pending_->begunAt, served);
+  pending_.reset();
+  nextAt_ = now + Duration{static_cast<Duration::rep>(static_cast<double>(profile_.pause.count()) *
                                                       (0.5 + random_.unit()))};
-  if (habit_.freshFlows || !served) {
+  if (profile_.flowPerRequest || !served) {
     closeFlow(now);
   }
 }
 
 void SoakCaller::closeFlow(TimePoint now) {
   if (phase_ == Phase::kOpen) {
-    // What is left of the flow is of no interest; the host gives it up in time.
+    // The rest of the flow is ignored; the host times it out.
     std::vector<std::string> out;
     stream_->finish();
     stream_->tick(now, out);
@@ -206,19 +208,19 @@
 }
 
 void SoakCaller::tick(TimePoint now) {
-  if (!wanted_) {
+  if (!pending_) {
     if (!stopping_ && now >= nextAt_) {
       begin(now);
     }
     return;
   }
-  if (now - wanted_->begunAt >= habit_.deadline) {
+  if (now - pending_->begunAt >= profile_.deadline) {
     endRequest(now, false);
     return;
   }
   if (phase_ == Phase::kOpening) {
     const Duration waited = now - openedAt_;
-    if (waited >= kOpeningPatience) {
+    if (waited >= kOpeningTimeout) {
       ++counts_.openingsUnanswered;
       phase_ = Phase::kNone;
       failTry(now, false);
--- a/test/soak/world/soak_caller.h
+++ b/test/soak/world/soak_caller.h
@@ -1,4 +1,4 @@
-/** @file A user of the platform: opens flows, sends requests, tries again, checks answers. No I/O.
+/** @file A caller of the platform: opens flows, sends and retries requests, checks answers. No I/O.
  */
 #pragma once
 
@@ -14,19 +14,19 @@
 
 namespace umberhold::soak {
 
-/** What a user asks for, again and again. */
-struct CallerHabit {
+/** The repeated requests of a caller. */
+struct CallerProfile {
   Endpoint service;
   bool repeatable = true;
-  /** A flow for each request; otherwise one for many, with pauses. */
-  bool freshFlows = false;
+  /** Whether each request has its own flow; otherwise one flow carries many, with pauses. */
+  bool flowPerRequest = false;
   uint32_t answerBytes = 2000;
   Duration pause = std::chrono::milliseconds(200);
   Duration deadline = std::chrono::seconds(3);
   uint32_t retries = 2;
 };
 
-/** How requests ended. */
+/** Counters of the requests and their results. */
 struct CallerCounts {
   uint64_t asked = 0;
   uint64_t served = 0;
@@ -35,36 +35,36 @@
   uint64_t openingsRefused = 0;
   uint64_t openingsUnanswered = 0;
   uint64_t systemResets = 0;
-  /** Resets whose number no flow that is open takes, as of an opening sent again. */
+  /** Resets with a number outside the window of the open flow, such as for a repeated opening. */
   uint64_t strayResets = 0;
   uint64_t hostResets = 0;
-  /** Tries that hosts turned away. */
-  uint64_t turnedAway = 0;
+  /** Tries that hosts rejected. */
+  uint64_t rejected = 0;
 };
 
-/** What a caller tells the world. Each must be set. */
+/** Callbacks of a caller. All must be set. */
 struct CallerHooks {
   std::function<void(const std::string& packet)> send;
-  /** A reset that no host wrote ended an open flow. */
+  /** A reset that was not sent by a host ended an open flow. */
   std::function<void(const FlowName& flow)> openFlowReset;
-  /** Something came that is no whole answer to what was asked, or was written by nobody. */
+  /** An incomplete, mismatched or forged answer arrived. */
   std::function<void(const std::string& detail)> wrongAnswer;
-  /** A try ended of which the caller knows that it has not run, and will not. */
+  /** A try ended with a result that excludes that it has run or will run. */
   std::function<void(uint64_t request)> notRun;
-  /** A request ended. @param at when it began. */
+  /** A request ended. @param at time of its start. */
   std::function<void(TimePoint at, bool served)> ended;
 };
 
 /** See the file comment. Not thread safe. */
 class SoakCaller {
  public:
-  /** @param address where answers come; each caller has its own. @param number of this caller. */
-  SoakCaller(uint32_t address, uint32_t number, CallerHabit habit, CallerHooks hooks,
+  /** @param address receives answers; unique per caller. @param number index of this caller. */
+  SoakCaller(uint32_t address, uint32_t number, CallerProfile profile, CallerHooks hooks,
              RandomSource& random);
 
   void onDatagram(TimePoint now, std::string_view bytes);
   void tick(TimePoint now);
-  /** No further request begins, until start(). */
+  /** Starts no further request until start(). */
   void stop() { stopping_ = true; }
   void start() { stopping_ = false; }
   const CallerCounts& counts() const { return counts_; }
@@ -72,7 +72,7 @@
 
  private:
   enum class Phase : uint8_t { kNone, kOpening, kOpen };
-  struct Wanted {
+  struct PendingRequest {
     Request request;
     TimePoint begunAt;
     uint32_t tries = 0;
@@ -87,16 +87,16 @@
   void onReset(TimePoint now, const EchoPacket& packet);
   void onOpen(TimePoint now, const EchoPacket& packet);
   void checkAnswer(TimePoint now, const Answer& answer);
-  /** The try failed. @param ran whether it may have run. */
+  /** Handles a failed try. @param ran whether it may have run. */
   void failTry(TimePoint now, bool ran);
   void endRequest(TimePoint now, bool served);
   void closeFlow(TimePoint now);
   void sendAll(const std::vector<std::string>& packets);
-  FlowName flow() const { return {{address_, port_}, habit_.service}; }
+  FlowName flow() const { return {{address_, port_}, profile_.service}; }
 
   const uint32_t address_;
   const uint32_t number_;
-  const CallerHabit habit_;
+  const CallerProfile profile_;
   CallerHooks hooks_;
   RandomSource& random_;
   CallerCounts counts_;
@@ -104,7 +104,7 @@
   uint16_t port_;
   uint64_t nextRequest_ = 0;
   TimePoint nextAt_{};
-  std::optional<Wanted> wanted_;
+  std::optional<PendingRequest> pending_;
 
   Phase phase_ = Phase::kNone;
   TimePoint openedAt_{};
--- a/test/soak/world/soak_host.cc
+++ b/test/soak/world/soak_host.cc
@@ -8,10 +8,10 @@
 
 constexpr size_t kIncarnationBytes = 8;
 constexpr unsigned kByteBits = 8;
-/** A host gives a flow up after so many tries. */
-constexpr uint32_t kMostTries = 9;
-/** An opening whose caller took another host's answer, or none, is forgotten. */
-constexpr Duration kOpeningPatience = std::chrono::seconds(3);
+/** Number of transmissions after which a host abandons a flow. */
+constexpr uint32_t kMaximumTries = 9;
+/** Timeout of an opening whose caller accepted another host's answer, or none. */
+constexpr Duration kOpeningTimeout = std::chrono::seconds(3);
 
 uint64_t incarnationOf(std::string_view bytes) {
   uint64_t incarnation = 0;
@@ -49,7 +49,7 @@
 }
 
 void SoakHost::onDatagram(TimePoint now, const Endpoint& node, std::string_view bytes) {
-  if (mood_ == HostMood::kEnded || bytes.size() < kIncarnationBytes) {
+  if (state_ == HostState::kEnded || bytes.size() < kIncarnationBytes) {
     return;
   }
   const uint64_t meant = incarnationOf(bytes);
@@ -77,7 +77,7 @@
     flows_.erase(found);
     return;
   }
-  onLater(now, *packet, name, found->second);
+  onSegment(now, *packet, name, found->second);
 }
 
 void SoakHost::onOpening(TimePoint now, const EchoPacket& packet, const Endpoint& node) {
@@ -85,7 +85,7 @@
   hooks_.opening(name, node);
   auto found = flows_.find(name);
   if (found == flows_.end()) {
-    if (plan_.mostFlows > 0 && openFlowCount() >= plan_.mostFlows) {
+    if (plan_.maximumFlows > 0 && openFlowCount() >= plan_.maximumFlows) {
       hooks_.full();
       return;
     }
@@ -106,9 +106,10 @@
   hooks_.send(name.caller, encodeSealed(answer));
 }
 
-void SoakHost::onLater(TimePoint now, const EchoPacket& packet, const FlowName& name, Flow& flow) {
+void SoakHost::onSegment(TimePoint now, const EchoPacket& packet, const FlowName& name,
+                         Flow& flow) {
   if (!flow.open && packet.acknowledged != flow.firstSequence + 1) {
-    return;  // The caller took another host's answer.
+    return;  // The caller accepted another host's answer.
   }
   flow.open = true;
   std::vector<std::string> out;
@@ -128,7 +129,7 @@
     if (doneAt) {
       hooks_.run(name, *request);
     } else {
-      hooks_.turnedAway(*request);
+      hooks_.rejected(*request);
     }
     flow.jobs.push_back({*request, doneAt.value_or(now), !doneAt});
   }
@@ -155,10 +156,10 @@
 void SoakHost::answerDone(TimePoint now, Flow& flow) {
   while (!flow.jobs.empty() && flow.jobs.front().doneAt <= now) {
     const Job& job = flow.jobs.front();
-    flow.stream.write(job.turnedAway ? refusalText(job.request)
-                                     : answerText(job.request, plan_.service));
+    flow.stream.write(job.rejected ? refusalText(job.request)
+                                   : answerText(job.request, plan_.service));
     flow.jobs.erase(flow.jobs.begin());
-    if (mood_ == HostMood::kDraining && flow.jobs.empty() && !flow.closing) {
+    if (state_ == HostState::kDraining && flow.jobs.empty() && !flow.closing) {
       flow.closing = true;
       flow.stream.finish();
     }
@@ -173,14 +174,14 @@
     flow.stream.tick(now, out);
     sendAll(place->first, out);
     const bool closed = flow.closing && flow.stream.isDrained() && flow.stream.isFinishedByOther();
-    const bool lost = flow.stream.tries() >= kMostTries;
-    const bool unopened = !flow.open && now - flow.begunAt > kOpeningPatience;
+    const bool lost = flow.stream.tries() >= kMaximumTries;
+    const bool unopened = !flow.open && now - flow.begunAt > kOpeningTimeout;
     place = closed || lost || unopened ? flows_.erase(place) : std::next(place);
   }
 }
 
 void SoakHost::end() {
-  mood_ = HostMood::kEnded;
+  state_ = HostState::kEnded;
   flows_.clear();
 }
 
--- a/test/soak/world/soak_host.h
+++ b/test/soak/world/soak_host.h
@@ -18,7 +18,7 @@
 
 namespace umberhold::soak {
 
-/** The caller's and the service's end of a flow. */
+/** Endpoints of the caller and the service of a flow. */
 struct FlowName {
   Endpoint caller;
   Endpoint service;
@@ -26,18 +26,18 @@
   auto operator<=>(const FlowName&) const = default;
 };
 
-/** @return the flow of a packet that its caller wrote. */
+/** @return the flow of a packet sent by its caller. */
 FlowName flowOfCaller(const EchoPacket& packet);
 
-enum class HostMood : uint8_t {
+enum class HostState : uint8_t {
   kServing,
-  /** Keeps its flows, closes each after its next answer, still takes openings. */
+  /** Closes each flow after its next answer; still accepts openings. */
   kDraining,
-  /** Says nothing; it has forgotten its flows. */
+  /** Sends nothing and has no flows. */
   kEnded,
 };
 
-/** What a host is. */
+/** Identity and limits of a host. */
 struct HostPlan {
   std::string id;
   uint64_t incarnation = 0;
@@ -45,28 +45,28 @@
   std::string zone;
   Endpoint address;
   Duration work = std::chrono::milliseconds(10);
-  /** Requests that it works on at once, and that wait beyond these; 0 slots: no limit. */
+  /** Maximum numbers of running and of queued requests; 0 slots: no limit. */
   uint32_t slots = 0;
   uint32_t queue = 0;
-  /** Open flows that it holds at most; at so many it says nothing to openings. 0: no limit. */
-  uint32_t mostFlows = 0;
-  /** When it started, Unix ms; tells lives of one id apart. 0: its entry does not say it. */
-  uint64_t born = 0;
+  /** Maximum number of open flows; at the limit, openings are ignored. 0: no limit. */
+  uint32_t maximumFlows = 0;
+  /** Start time in Unix ms; distinguishes processes with one id. 0: not part of its entry. */
+  uint64_t startedAtMillis = 0;
 };
 
-/** What a host tells the world. Each must be set. */
+/** Callbacks of a host. All must be set. */
 struct HostHooks {
   /** A packet for a caller. */
   std::function<void(const Endpoint& caller, const std::string& packet)> send;
-  /** An opening was taken; `node` handed it on. */
+  /** An opening forwarded by `node` was accepted. */
   std::function<void(const FlowName& flow, const Endpoint& node)> opening;
-  /** A request is taken to be run. */
+  /** A request was accepted to be run. */
   std::function<void(const FlowName& flow, const Request& request)> run;
-  /** A request was turned away. */
-  std::function<void(const Request& request)> turnedAway;
-  /** An opening found that the host holds as many flows as it can. */
+  /** A request was rejected. */
+  std::function<void(const Request& request)> rejected;
+  /** An opening arrived at the flow limit. */
   std::function<void()> full;
-  /** A packet arrived that no caller wrote so. */
+  /** A packet without a valid seal arrived. */
   std::function<void(const EchoPacket& packet)> forged;
 };
 
@@ -75,26 +75,26 @@
  public:
   SoakHost(HostPlan plan, HostHooks hooks, RandomSource& random);
 
-  /** A datagram from a node. */
+  /** Processes a datagram from a node. */
   void onDatagram(TimePoint now, const Endpoint& node, std::string_view bytes);
   void tick(TimePoint now);
-  void drain() { mood_ = HostMood::kDraining; }
-  /** It crashes or has ended. */
+  void drain() { state_ = HostState::kDraining; }
+  /** Ends or crashes the host. */
   void end();
 
   const HostPlan& plan() const { return plan_; }
-  HostMood mood() const { return mood_; }
-  /** @return whether it holds the flow open. */
+  HostState state() const { return state_; }
+  /** @return whether the flow is open on the host. */
   bool holds(const FlowName& flow) const;
   size_t flowCount() const { return flows_.size(); }
-  /** @return the open flows that their callers have not closed. */
+  /** @return the number of open flows that their callers have not closed. */
   size_t openFlowCount() const;
 
  private:
   struct Job {
     Request request;
     TimePoint doneAt;
-    bool turnedAway = false;
+    bool rejected = false;
   };
   struct Flow {
     StreamEnd stream;
@@ -107,9 +107,9 @@
   };
 
   void onOpening(TimePoint now, const EchoPacket& packet, const Endpoint& node);
-  void onLater(TimePoint now, const EchoPacket& packet, const FlowName& name, Flow& flow);
+  void onSegment(TimePoint now, const EchoPacket& packet, const FlowName& name, Flow& flow);
   void takeRequests(TimePoint now, const FlowName& name, Flow& flow);
-  /** @return when the request will be done, or nothing where there is no room for it. */
+  /** @return when the request will be done, or nothing without a free slot or queue place. */
   std::optional<TimePoint> takeSlot(TimePoint now);
   void answerDone(TimePoint now, Flow& flow);
   void sendReset(const EchoPacket& packet);
@@ -118,11 +118,11 @@
   HostPlan plan_;
   HostHooks hooks_;
   RandomSource& random_;
-  HostMood mood_ = HostMood::kServing;
+  HostState state_ = HostState::kServing;
   std::map<FlowName, Flow> flows_;
-  /** When each slot is free. */
+  /** When each slot becomes free. */
   std::vector<TimePoint> slotsFreeAt_;
-  /** When the requests that wait begin. */
+  /** Start times of the queued requests. */
   std::deque<TimePoint> waiting_;
 };
 
--- a/test/soak/world/soak_report.cc
+++ b/test/soak/world/soak_report.cc
@@ -1,4 +1,4 @@
-/** @file The report of a soak: one line of JSON, and a page of figures. */
+/** @file The report of a soak: one line of JSON and a text summary. */
 #include <Poco/DateTimeFormatter.h>
 #include <Poco/JSON/Array.h>
 #include <Poco/JSON/Object.h>
@@ -66,12 +66,12 @@
   object.set("probes", result.probes);
   object.set("versions", result.versions);
   object.set("served_after_recovery", result.servedAfterRecovery);
-  object.set("turned_away", result.callers.turnedAway);
+  object.set("turned_away", result.callers.rejected);
   object.set("starved_seconds_most", std::chrono::duration<double>(result.longestStarved).count());
-  object.set("open_flows_most", result.mostOpenFlows);
+  object.set("open_flows_most", result.maximumOpenFlows);
   object.set("pause_seconds_most", std::chrono::duration<double>(result.longestPause).count());
-  object.set("store_queue_most", result.storeQueueMost);
-  object.set("returns_judged", result.returnsJudged);
+  object.set("store_queue_most", result.maximumStoreQueue);
+  object.set("returns_judged", result.recoveriesEvaluated);
   object.set("memory_mb_most", result.highest.memoryMegabytes);
   object.set("descriptors_most", result.highest.descriptors);
   object.set("log_lines", result.logLines);
@@ -116,14 +116,14 @@
   writeFigure(text, "resets by nodes", result.callers.systemResets);
   writeFigure(text, "resets that open flows don't take", result.callers.strayResets);
   writeFigure(text, "resets by hosts", result.callers.hostResets);
-  writeFigure(text, "turned away by hosts", result.callers.turnedAway);
+  writeFigure(text, "turned away by hosts", result.callers.rejected);
   writeFigure(text, "longest without service, s",
               std::chrono::duration<double>(result.longestStarved).count());
-  writeFigure(text, "open flows of a host at most", result.mostOpenFlows);
+  writeFigure(text, "open flows of a host at most", result.maximumOpenFlows);
   writeFigure(text, "longest pause of the soak itself, s",
               std::chrono::duration<double>(result.longestPause).count());
-  writeFigure(text, "queue of the store's stand-in at most", result.storeQueueMost);
-  writeFigure(text, "returns of room judged", result.returnsJudged);
+  writeFigure(text, "queue of the store's stand-in at most", result.maximumStoreQueue);
+  writeFigure(text, "returns of room judged", result.recoveriesEvaluated);
   writeFigure(text, "runs at hosts", result.runs);
   writeFigure(text, "probes of the configuration", result.probes);
   writeFigure(text, "versions of the configuration", result.versions);
--- a/test/soak/world/soak_run.cc
+++ b/test/soak/world/soak_run.cc
@@ -6,23 +6,23 @@
 #include <thread>
 
 #include "common/platform/steady_now.h"
-#include "test/soak/world/fault_player.h"
+#include "test/soak/world/fault_injector.h"
 
 namespace umberhold::soak {
 namespace {
 
 constexpr auto kStep = std::chrono::milliseconds(10);
-constexpr Duration kStartPatience = std::chrono::seconds(30);
+constexpr Duration kStartTimeout = std::chrono::seconds(30);
 constexpr Duration kMeasureInterval = std::chrono::seconds(1);
 constexpr Duration kWaitInterval = std::chrono::milliseconds(50);
-/** At the end, for requests that began before. */
+/** Time at the end in which pending requests complete. */
 constexpr Duration kWindDown = std::chrono::seconds(3);
-/** Requests that are judged after the recovery time. */
+/** Time after the recovery time in which requests are evaluated. */
 constexpr Duration kJudgedTime = std::chrono::seconds(4);
 constexpr double kServedAfterRecovery = 0.97;
-constexpr uint64_t kFewestRequests = 200;
+constexpr uint64_t kMinimumRequests = 200;
 
-/** Everything of one run; its parts end in the reverse order. */
+/** All components of one run; destroyed in reverse order. */
 class Soak {
  public:
   explicit Soak(const SoakOptions& options)
@@ -51,17 +51,17 @@
       planned_.insert(planned_.end(), hard.begin(), hard.end());
     }
     faults_.schedule(start, planned_);
-    const TimePoint faultsOver = playFaults();
+    const TimePoint faultsOver = injectFaults();
     const TimePoint calmEnd = std::max(end, faultsOver + calm);
-    playUntil([calmEnd](TimePoint now) { return now >= calmEnd; });
+    runUntil([calmEnd](TimePoint now) { return now >= calmEnd; });
     stopTraffic();
-    return judge(start, faultsOver, calmEnd);
+    return evaluate(start, faultsOver, calmEnd);
   }
 
  private:
   bool waitReady() {
-    const TimePoint deadline = steadyNow() + kStartPatience;
-    while (world_.readiness().inCount() < plan_.nodes().size()) {
+    const TimePoint deadline = steadyNow() + kStartTimeout;
+    while (world_.readiness().readyCount() < plan_.nodes().size()) {
       if (steadyNow() >= deadline) {
         return false;
       }
@@ -70,14 +70,14 @@
     return true;
   }
 
-  void playUntil(const std::function<bool(TimePoint)>& isDone) {
+  void runUntil(const std::function<bool(TimePoint)>& isDone) {
     TimePoint nextMeasure = steadyNow();
     TimePoint nextWaits = nextMeasure;
     for (TimePoint now = steadyNow(); !isDone(now); now = steadyNow()) {
-      faults_.play(now);
+      faults_.runDueSteps(now);
       if (now >= nextMeasure) {
         nodes_.measure();
-        storeQueueMost_ = std::max(storeQueueMost_, store_.calls().queued);
+        maximumStoreQueue_ = std::max(maximumStoreQueue_, store_.calls().queued);
         nextMeasure = now + kMeasureInterval;
       }
       if (now >= nextWaits) {
@@ -88,9 +88,9 @@
     }
   }
 
-  /** @return when the last fault was over. */
-  TimePoint playFaults() {
-    playUntil([this](TimePoint) { return faults_.isOver(); });
+  /** Injects all faults. @return the end of the last one. */
+  TimePoint injectFaults() {
+    runUntil([this](TimePoint) { return faults_.isOver(); });
     const std::lock_guard lock(world_.mutex());
     world_.afterLastFault();
     return steadyNow();
@@ -104,12 +104,12 @@
     std::this_thread::sleep_for(kWindDown);
   }
 
-  Result<SoakResult, SoakError> judge(TimePoint start, TimePoint faultsOver, TimePoint end) {
+  Result<SoakResult, SoakError> evaluate(TimePoint start, TimePoint faultsOver, TimePoint end) {
     nodes_.endAll();
     const std::lock_guard lock(world_.mutex());
     SoakResult result;
     result.callers = world_.totals();
-    if (result.callers.asked < kFewestRequests) {
+    if (result.callers.asked < kMinimumRequests) {
       return SoakError::kNoTraffic;
     }
     result.runs = world_.runs();
@@ -120,14 +120,14 @@
     result.seconds = world_.seconds();
     result.longestStarved = world_.load().longestStarved();
     result.longestPause = world_.longestPause();
-    result.storeQueueMost = storeQueueMost_;
+    result.maximumStoreQueue = maximumStoreQueue_;
     result.waits = nodeWaits_.waits();
     const std::vector<Wait>& own = world_.pauses().waits();
     result.waits.insert(result.waits.end(), own.begin(), own.end());
     result.begunAt = world_.promises().start();
-    result.mostOpenFlows = world_.mostOpenFlows();
-    result.returnsJudged = world_.load().returnsJudged();
-    judgeRecovery(start, faultsOver, end, result);
+    result.maximumOpenFlows = world_.maximumOpenFlows();
+    result.recoveriesEvaluated = world_.load().recoveriesEvaluated();
+    checkRecovery(start, faultsOver, end, result);
     judgeNodes(end - start, result);
     for (uint8_t index = 0; index < static_cast<uint8_t>(Promise::kCount); ++index) {
       const auto promise = static_cast<Promise>(index);
@@ -139,7 +139,7 @@
     return result;
   }
 
-  void judgeRecovery(TimePoint start, TimePoint faultsOver, TimePoint end, SoakResult& result) {
+  void checkRecovery(TimePoint start, TimePoint faultsOver, TimePoint end, SoakResult& result) {
     const auto secondOf = [start](TimePoint at) {
       return std::chrono::ceil<std::chrono::seconds>(at - start).count();
     };
@@ -188,10 +188,10 @@
   test::StandinStore store_;
   SoakWorld world_;
   NodeProcesses nodes_;
-  FaultPlayer faults_;
+  FaultInjector faults_;
   std::vector<Fault> planned_;
   WaitWatch nodeWaits_;
-  uint64_t storeQueueMost_ = 0;
+  uint64_t maximumStoreQueue_ = 0;
 };
 
 }  // namespace
--- a/test/soak/world/soak_run.h
+++ b/test/soak/world/soak_run.h
@@ -1,4 +1,4 @@
-/** @file One soak: the system, its world, faults, a calm end, and the judgement. */
+/** @file One soak run: system, environment, faults, a final time without faults, and evaluation. */
 #pragma once
 
 #include <cstdint>
@@ -16,29 +16,29 @@
 
 struct SoakOptions {
   uint64_t seed = 1;
-  /** Of the traffic; the last part of it is calm. */
+  /** Duration of the traffic; its last part is without faults. */
   uint32_t seconds = 60;
   Sabotage sabotage = Sabotage::kNone;
   SoakLoad load = SoakLoad::kHard;
   /** The node's program. */
   std::string program;
-  /** Gets settings and logs. */
+  /** Receives settings and logs. */
   std::string folder;
   uint8_t block = 0;
 };
 
-/** Why a soak could not be judged. */
+/** Why a soak could not be evaluated. */
 enum class SoakError : uint8_t {
   /** Not every node became ready before the traffic. */
   kNotReady,
-  /** Too few requests for any judgement. */
+  /** Too few requests for an evaluation. */
   kNoTraffic,
 };
 
 /** @return the snake_case name of an error. */
 std::string_view toString(SoakError error);
 
-/** What a soak showed. */
+/** Results of a soak. */
 struct SoakResult {
   CallerCounts callers;
   uint64_t runs = 0;
@@ -46,20 +46,20 @@
   uint64_t versions = 0;
   uint64_t logLines = 0;
   NodePeak highest;
-  /** Served part of the requests that began after the recovery time of the last fault. */
+  /** Share of requests served, of those that began after the recovery time of the last fault. */
   double servedAfterRecovery = 0;
-  /** The longest time for which a service was not served while another of its pool was. */
+  /** Maximum time for which a service was not served while another of its pool was. */
   Duration longestStarved{0};
-  /** Shortages after which the usual share was judged. */
-  uint64_t returnsJudged = 0;
-  size_t mostOpenFlows = 0;
-  /** The longest time for which callers and hosts stood still. */
+  /** Number of shortages after which the recovery was evaluated. */
+  uint64_t recoveriesEvaluated = 0;
+  size_t maximumOpenFlows = 0;
+  /** Maximum pause of the event loop of callers and hosts. */
   Duration longestPause{0};
-  /** Calls that waited for a thread of the store's stand-in at one time. */
-  uint64_t storeQueueMost = 0;
-  /** Of nodes and of the soak. */
+  /** Maximum number of calls queued for a thread of the stand-in store. */
+  uint64_t maximumStoreQueue = 0;
+  /** Pauses of the nodes and of the soak. */
   std::vector<Wait> waits;
-  /** What the times of violations are counted from. */
+  /** Time origin of the violations. */
   TimePoint begunAt{};
   std::map<FaultKind, uint64_t> faults;
   std::vector<Fault> planned;
@@ -74,11 +74,10 @@
 
 /** @return one line of JSON. */
 std::string toJsonLine(const SoakOptions& options, const SoakResult& result);
-/** Writes served.tsv and faults.tsv into the folder, for test/soak/served.gp, and waits.tsv: by the
- * time of day, as in the nodes' logs, what stood still for how many milliseconds, and what was
- * broken. */
+/** Writes served.tsv and faults.tsv into the folder, for test/soak/served.gp, and waits.tsv: pauses
+ * in milliseconds and violations by time of day, as in the nodes' logs. */
 void writePlotData(const std::string& folder, const SoakResult& result);
-/** @return the figures for people. */
+/** @return the human-readable summary. */
 std::string toText(const SoakOptions& options, const SoakResult& result);
 
 }  // namespace umberhold::soak
--- a/test/soak/world/soak_world.cc
+++ b/test/soak/world/soak_world.cc
@@ -10,16 +10,16 @@
 
 constexpr uint32_t kDispatchHosts = 12;
 constexpr uint32_t kMapHosts = 6;
-/** Under hard load markers lead to hosts of their own, of which there are always enough. */
-constexpr uint32_t kBeaconHosts = 6;
-constexpr const char* kBeaconService = "beacons";
+/** Under hard load markers have their own hosts, whose capacity is always sufficient. */
+constexpr uint32_t kMarkerHosts = 6;
+constexpr const char* kMarkerService = "beacons";
 constexpr uint32_t kCallers = 90;
-/** They come where room is short, beside the others. */
-constexpr uint32_t kCrowd = 2 * kCallers;
+/** Additional callers during a capacity shortage. */
+constexpr uint32_t kExtraCallers = 2 * kCallers;
 constexpr Duration kProbeInterval = std::chrono::milliseconds(40);
 constexpr uint16_t kFirstProbePort = 10000;
 constexpr uint16_t kProbePorts = 40000;
-/** Between the store's answer and the hosts' note of it. */
+/** Time between the store's answer and its record by the hosts. */
 constexpr Duration kSlack = std::chrono::milliseconds(300);
 
 constexpr uint32_t kRouteAddress = 0xC6120001;
@@ -41,23 +41,23 @@
   return routes;
 }
 
-/** Habits of the users' kinds of requests, in the order of callerRoutes(). */
-CallerHabit habitOf(const CallerRoute& known, size_t route, SoakLoad load) {
-  CallerHabit habit;
-  habit.service = known.listen;
-  habit.repeatable = known.repeatable;
-  // Under hard load, callers with a flow for each request compete with those that keep theirs.
-  habit.freshFlows = load == SoakLoad::kHard && (route == 1 || route == 3);
+/** Request profiles of the users, in the order of callerRoutes(). */
+CallerProfile profileOf(const CallerRoute& known, size_t route, SoakLoad load) {
+  CallerProfile profile;
+  profile.service = known.listen;
+  profile.repeatable = known.repeatable;
+  // Under hard load, callers with a flow per request compete with callers with long-lived flows.
+  profile.flowPerRequest = load == SoakLoad::kHard && (route == 1 || route == 3);
   if (route == 2) {
-    habit.freshFlows = true;
-    habit.answerBytes = 40000;
-    habit.deadline = std::chrono::seconds(8);
-    habit.pause = std::chrono::milliseconds(800);
+    profile.flowPerRequest = true;
+    profile.answerBytes = 40000;
+    profile.deadline = std::chrono::seconds(8);
+    profile.pause = std::chrono::milliseconds(800);
   }
-  return habit;
+  return profile;
 }
 
-/** @return which of callerRoutes() a caller uses. */
+/** @return the index of the caller's route in callerRoutes(). */
 size_t routeOfCaller(uint32_t number) {
   const size_t kind = number % 8;
   return kind < 4 ? 0 : kind < 6 ? 1 : kind == 6 ? 2 : 3;
@@ -80,14 +80,14 @@
       promises_(steadyNow()),
       runs_(promises_),
       loadWatch_({}, promises_),
-      anyTrouble_(plan.bounds().contact),
-      unplannedTrouble_(plan.bounds().contact),
+      allDisturbances_(plan.bounds().contact),
+      unplannedDisturbances_(plan.bounds().contact),
       delays_(loop_) {
-  const RouteBookOptions options = load_ == SoakLoad::kHard
-                                       ? RouteBookOptions{HostFleet::kMostFlows, kBeaconService}
-                                       : RouteBookOptions{};
-  routes_ =
-      std::make_unique<RouteBook>(plan_, callerRoutes(load_), promises_, anyTrouble_, options);
+  const RouteTrackerOptions options =
+      load_ == SoakLoad::kHard ? RouteTrackerOptions{HostFleet::kMaximumFlows, kMarkerService}
+                               : RouteTrackerOptions{};
+  routes_ = std::make_unique<RouteTracker>(plan_, callerRoutes(load_), promises_, allDisturbances_,
+                                           options);
   fleet_ = std::make_unique<HostFleet>(
       plan_, store_.objects(), [this](size_t slot) { return hooksOf(slot); }, random_, load_);
   openHostSockets();
@@ -118,23 +118,23 @@
     addCaller(number);
   }
   if (load_ == SoakLoad::kHard) {
-    for (uint32_t number = kCallers; number < kCallers + kCrowd; ++number) {
+    for (uint32_t number = kCallers; number < kCallers + kExtraCallers; ++number) {
       addCaller(number);
     }
-    setCrowd(false);
+    setExtraCallers(false);
   }
 }
 
-void SoakWorld::setCrowd(bool comes) {
+void SoakWorld::setExtraCallers(bool active) {
   for (size_t number = kCallers; number < callers_.size(); ++number) {
     SoakCaller& caller = *callers_[number].caller;
-    comes ? caller.start() : caller.stop();
+    active ? caller.start() : caller.stop();
   }
 }
 
 void SoakWorld::addCaller(uint32_t number) {
   const size_t route = routeOfCaller(number);
-  const CallerHabit habit = habitOf(routes_->routes()[route], route, load_);
+  const CallerProfile profile = profileOf(routes_->routes()[route], route, load_);
   const size_t index = callers_.size();
   CallerHooks hooks;
   hooks.send = [this, index](const std::string& packet) {
@@ -154,7 +154,7 @@
   CallerEntry entry;
   const uint32_t address = plan_.callerAddress(number);
   entry.zone = plan_.zones()[number % plan_.zones().size()];
-  entry.caller = std::make_unique<SoakCaller>(address, number, habit, hooks, random_);
+  entry.caller = std::make_unique<SoakCaller>(address, number, profile, hooks, random_);
   entry.socket = loop_.open({address, DeploymentPlan::kDataPort},
                             [this, index](const Endpoint& from, std::string_view bytes) {
                               onCallerDatagram(index, from, bytes);
@@ -173,7 +173,7 @@
   hooks.run = [this, slot](const FlowName& flow, const Request& request) {
     onHostRun(slot, flow, request);
   };
-  hooks.turnedAway = [this, slot](const Request& request) { onTurnedAway(slot, request); };
+  hooks.rejected = [this, slot](const Request& request) { onRejected(slot, request); };
   hooks.full = [this, slot] {
     loadWatch_.onFull(steadyNow(), fleet_->slots()[slot].host->plan().id);
   };
@@ -192,8 +192,8 @@
       fleet_->start(now, number < kDispatchHosts ? "dispatch" : "mapstore",
                     plan_.zones()[number % plan_.zones().size()]);
     }
-    for (uint32_t number = 0; load_ == SoakLoad::kHard && number < kBeaconHosts; ++number) {
-      fleet_->start(now, kBeaconService, plan_.zones()[number % plan_.zones().size()]);
+    for (uint32_t number = 0; load_ == SoakLoad::kHard && number < kMarkerHosts; ++number) {
+      fleet_->start(now, kMarkerService, plan_.zones()[number % plan_.zones().size()]);
     }
     storeConfiguration(0);
   }
@@ -234,7 +234,7 @@
   for (CallerEntry& entry : callers_) {
     entry.caller->tick(now);
   }
-  loadWatch_.tick(now, isAllInTouch(now));
+  loadWatch_.tick(now, areAllSettled(now));
   probe(now);
 }
 
@@ -244,7 +244,7 @@
   }
   nextProbe_ = now + kProbeInterval;
   const size_t node = random_.below(plan_.nodes().size());
-  if (!readiness_->isIn(node)) {
+  if (!readiness_->isReady(node)) {
     return;
   }
   probePort_ = static_cast<uint16_t>((probePort_ + 1) % kProbePorts);
@@ -266,11 +266,12 @@
 void SoakWorld::toNode(size_t node, standins::SocketIndex socket, const std::string& zone,
                        std::string_view packet) {
   const NodePlan& target = plan_.nodes()[node];
-  const bool lost = faultsOver_ && sabotage_ == Sabotage::kNeverRecovers && strikes(0.7);
+  const bool lost = faultsOver_ && sabotage_ == Sabotage::kNeverRecovers && drawShare(0.7);
   if (lost) {
     return;
   }
-  for (const uint32_t delay : fabric_.deliveryDelays({"fabric", zone}, {target.name, target.zone}, random_)) {
+  for (const uint32_t delay :
+       fabric_.deliveryDelays({"fabric", zone}, {target.name, target.zone}, random_)) {
     delays_.send(delay, socket, target.data, packet);
   }
 }
@@ -297,7 +298,7 @@
 void SoakWorld::onProbeDatagram(std::string_view bytes) {
   const auto packet = decode(bytes);
   if (packet && packet->has(kRst) && packet->sum == 0) {
-    // Also a refused probe tells its node only by the port that it was sent from.
+    // The node of a refused probe is identified only by the probe's source port.
     routes_->onRefused(steadyNow(), packet->targetPort);
   }
 }
@@ -314,13 +315,13 @@
 void SoakWorld::onHostOpening(size_t slot, const FlowName& flow, const Endpoint& node) {
   const TimePoint now = steadyNow();
   const std::string name = nodeNameOf(node);
-  if (RouteBook::isMarker(flow.service)) {
+  if (RouteTracker::isMarker(flow.service)) {
     routes_->onAccepted(now, flow.caller.port);
   }
   const HostSlot& taken = fleet_->slots()[slot];
-  mostOpenFlows_ = std::max(mostOpenFlows_, taken.host->openFlowCount());
-  const bool late = taken.leavesSince && now > *taken.leavesSince + plan_.bounds().drain + kSlack;
-  if (late && anyTrouble_.isInTouch(name, now) && anyTrouble_.isInTouch("store", now)) {
+  maximumOpenFlows_ = std::max(maximumOpenFlows_, taken.host->openFlowCount());
+  const bool late = taken.leavingSince && now > *taken.leavingSince + plan_.bounds().drain + kSlack;
+  if (late && allDisturbances_.isSettled(name, now) && allDisturbances_.isSettled("store", now)) {
     promises_.broken(now, Promise::kNoFlowsOnLeavingHosts, name + " to " + taken.host->plan().id);
   }
 }
@@ -329,22 +330,22 @@
   const HostPlan& host = fleet_->slots()[slot].host->plan();
   const bool allowed = routes_->mayRun(flow.service, host.service);
   runs_.onRun(steadyNow(), request.id, request.repeatable, allowed, host.id);
-  if (sabotage_ == Sabotage::kRunsTwice && strikes(0.05)) {
+  if (sabotage_ == Sabotage::kRunsTwice && drawShare(0.05)) {
     runs_.onRun(steadyNow(), request.id, request.repeatable, allowed, host.id + " again");
   }
 }
 
-void SoakWorld::onTurnedAway(size_t slot, const Request& request) {
+void SoakWorld::onRejected(size_t slot, const Request& request) {
   if (sabotage_ == Sabotage::kIgnoresRoom) {
     runs_.onRun(steadyNow(), request.id, request.repeatable, true,
                 fleet_->slots()[slot].host->plan().id);
   }
 }
 
-bool SoakWorld::isAllInTouch(TimePoint now) const {
-  return anyTrouble_.isInTouch("store", now) &&
+bool SoakWorld::areAllSettled(TimePoint now) const {
+  return allDisturbances_.isSettled("store", now) &&
          std::all_of(plan_.nodes().begin(), plan_.nodes().end(), [this, now](const auto& node) {
-           return anyTrouble_.isInTouch(node.name, now);
+           return allDisturbances_.isSettled(node.name, now);
          });
 }
 
@@ -356,7 +357,7 @@
   }
   const std::string host = fleet_->slots()[*holder].host->plan().id;
   const std::string node = nodeNameOf(sender_);
-  if (unplannedTrouble_.isInTouch(node, now) && unplannedTrouble_.isInTouch(host, now)) {
+  if (unplannedDisturbances_.isSettled(node, now) && unplannedDisturbances_.isSettled(host, now)) {
     promises_.broken(now, Promise::kOpenFlowsStay, node + " reset a flow at " + host);
   }
 }
@@ -382,7 +383,7 @@
     total.systemResets += counts.systemResets;
     total.strayResets += counts.strayResets;
     total.hostResets += counts.hostResets;
-    total.turnedAway += counts.turnedAway;
+    total.rejected += counts.rejected;
   }
   return total;
 }
--- a/test/soak/world/soak_world.h
+++ b/test/soak/world/soak_world.h
@@ -1,6 +1,6 @@
 /**
- * @file Callers, routers and hosts of the platform on real sockets, around nodes that are real
- * processes; what they see is held against the promises.
+ * @file Callers, routers and hosts of the platform on real sockets, connected to real node
+ * processes; checks the promises from their observations.
  */
 #pragma once
 
@@ -18,12 +18,12 @@
 #include "standins/common/delay_line.h"
 #include "standins/proxy/fault_rules.h"
 #include "test/platform/store/standin_store.h"
-#include "test/soak/world/contact_record.h"
+#include "test/soak/world/disturbance_tracker.h"
 #include "test/soak/world/host_fleet.h"
 #include "test/soak/world/load_watch.h"
 #include "test/soak/world/promises.h"
 #include "test/soak/world/readiness_watch.h"
-#include "test/soak/world/route_book.h"
+#include "test/soak/world/route_tracker.h"
 #include "test/soak/world/sabotage.h"
 #include "test/soak/world/soak_caller.h"
 #include "test/soak/world/wait_watch.h"
@@ -37,8 +37,8 @@
 };
 
 /**
- * Runs a thread of its own from start() to the end. Other threads take mutex() before they touch
- * anything but start().
+ * Runs its own thread from start() to destruction. Other threads must hold mutex() for all calls
+ * except start().
  */
 class SoakWorld {
  public:
@@ -56,31 +56,31 @@
 
   std::mutex& mutex() { return loop_.mutex(); }
   HostFleet& hosts() { return *fleet_; }
-  RouteBook& routes() { return *routes_; }
-  PromiseBook& promises() { return promises_; }
-  /** Every trouble, and those that no plan brought. */
-  ContactRecord& anyTrouble() { return anyTrouble_; }
+  RouteTracker& routes() { return *routes_; }
+  ViolationRecord& promises() { return promises_; }
+  /** All disturbances; unplannedDisturbances() has only the unplanned ones. */
+  DisturbanceTracker& allDisturbances() { return allDisturbances_; }
   LoadWatch& load() { return loadWatch_; }
-  /** Several times the usual callers come, or go. */
-  void setCrowd(bool comes);
-  ContactRecord& unplannedTrouble() { return unplannedTrouble_; }
+  /** Starts or stops the extra callers, a multiple of the usual ones. */
+  void setExtraCallers(bool active);
+  DisturbanceTracker& unplannedDisturbances() { return unplannedDisturbances_; }
   standins::FaultRules& fabric() { return fabric_; }
   const ReadinessWatch& readiness() const { return *readiness_; }
   /** Stores the next version of the configuration. */
   void storeConfiguration(uint32_t extraRoutes);
-  /** The last fault is over. */
+  /** Records the end of the last fault. */
   void afterLastFault() { faultsOver_ = true; }
 
   CallerCounts totals() const;
-  /** @return the most open flows that a host had. */
-  size_t mostOpenFlows() const { return mostOpenFlows_; }
-  /** @return the longest time for which callers and hosts stood still, all at once: the machine was
-   * too busy for the soak. */
+  /** @return the maximum number of open flows of a host. */
+  size_t maximumOpenFlows() const { return maximumOpenFlows_; }
+  /** @return the maximum pause of the event loop, which stops all callers and hosts; caused by an
+   * overloaded machine. */
   Duration longestPause() const { return longestPause_; }
-  /** Times for which callers and hosts stood still. */
+  /** @return the pauses of the event loop. */
   const WaitWatch& pauses() const { return pauses_; }
   uint64_t runs() const { return runs_.runs(); }
-  /** By seconds since startTraffic(). */
+  /** @return the counts by seconds since startTraffic(). */
   const std::map<int64_t, SecondCounts>& seconds() const { return seconds_; }
 
  private:
@@ -100,9 +100,9 @@
   void onHostOpening(size_t slot, const FlowName& flow, const Endpoint& node);
   void onHostRun(size_t slot, const FlowName& flow, const Request& request);
   void onOpenFlowReset(const FlowName& flow);
-  void onTurnedAway(size_t slot, const Request& request);
+  void onRejected(size_t slot, const Request& request);
   void onEnded(const CallerRoute& route, TimePoint begunAt, bool served);
-  bool isAllInTouch(TimePoint now) const;
+  bool areAllSettled(TimePoint now) const;
   void toNode(size_t node, standins::SocketIndex socket, const std::string& zone,
               std::string_view packet);
   void toCaller(size_t slot, const Endpoint& caller, const std::string& packet);
@@ -111,29 +111,29 @@
   std::string nodeNameOf(const Endpoint& data) const;
 
   // Sabotage (soak_world_sabotage.cc).
-  /** @return whether the datagram was dealt with. */
+  /** @return whether the datagram was handled. */
   bool sabotageToHost(size_t slot, const Endpoint& from, std::string_view bytes);
   bool redirect(size_t slot, const Endpoint& from, std::string_view bytes,
                 const EchoPacket& packet);
   std::vector<size_t> redirectionTargets(size_t slot) const;
   std::string sabotageToCaller(const std::string& packet);
   void sendSystemReset(const EchoPacket& packet);
-  bool strikes(double share) { return random_.unit() < share; }
+  bool drawShare(double share) { return random_.unit() < share; }
 
   const DeploymentPlan& plan_;
   test::StandinStore& store_;
   RandomSource random_;
   const Sabotage sabotage_;
   const SoakLoad load_;
-  PromiseBook promises_;
-  RunBook runs_;
+  ViolationRecord promises_;
+  RunTracker runs_;
   LoadWatch loadWatch_;
-  ContactRecord anyTrouble_;
-  ContactRecord unplannedTrouble_;
+  DisturbanceTracker allDisturbances_;
+  DisturbanceTracker unplannedDisturbances_;
   standins::DatagramLoop loop_;
   standins::DelayLine delays_;
   standins::FaultRules fabric_;
-  std::unique_ptr<RouteBook> routes_;
+  std::unique_ptr<RouteTracker> routes_;
   std::unique_ptr<HostFleet> fleet_;
   std::unique_ptr<ReadinessWatch> readiness_;
   std::vector<standins::SocketIndex> hostSockets_;
@@ -141,17 +141,17 @@
   standins::SocketIndex probeSocket_ = 0;
   uint16_t probePort_ = 0;
   TimePoint nextProbe_{};
-  /** Who sent the datagram that a caller is handling. */
+  /** Sender of the datagram that a caller is processing. */
   Endpoint sender_;
   bool traffic_ = false;
   bool faultsOver_ = false;
-  size_t mostOpenFlows_ = 0;
+  size_t maximumOpenFlows_ = 0;
   std::optional<TimePoint> lastTick_;
   Duration longestPause_{0};
   WaitWatch pauses_;
   TimePoint trafficSince_{};
   std::map<int64_t, SecondCounts> seconds_;
-  /** Flows that sabotage leads elsewhere. */
+  /** Flows redirected by sabotage, with their slots. */
   std::map<FlowName, size_t> redirected_;
   std::atomic<bool> stop_{false};
   std::thread thread_;
--- a/test/soak/world/soak_world_sabotage.cc
+++ b/test/soak/world/soak_world_sabotage.cc
@@ -1,4 +1,4 @@
-/** @file What a broken system would do, played between the nodes and the others. */
+/** @file Simulates faulty system behaviour between the nodes and the other components. */
 #include "common/platform/steady_now.h"
 #include "test/soak/world/soak_world.h"
 
@@ -27,20 +27,20 @@
   if (sabotage_ == Sabotage::kNone || !packet || !fleet_->slots()[slot].host) {
     return false;
   }
-  const bool marker = RouteBook::isMarker({packet->target, packet->targetPort});
+  const bool marker = RouteTracker::isMarker({packet->target, packet->targetPort});
   if (sabotage_ == Sabotage::kIgnoresRoom &&
       flowOfCaller(*packet).service == routes_->routes().back().listen) {
     return true;
   }
-  if (sabotage_ == Sabotage::kOldConfiguration && marker && strikes(kOften)) {
+  if (sabotage_ == Sabotage::kOldConfiguration && marker && drawShare(kOften)) {
     sendSystemReset(*packet);
     return true;
   }
-  if (sabotage_ == Sabotage::kResetsFlows && !packet->has(kSyn) && strikes(kSeldom)) {
+  if (sabotage_ == Sabotage::kResetsFlows && !packet->has(kSyn) && drawShare(kSeldom)) {
     sendSystemReset(*packet);
     return true;
   }
-  if (sabotage_ == Sabotage::kChangesPackets && !packet->data.empty() && strikes(kSeldom)) {
+  if (sabotage_ == Sabotage::kChangesPackets && !packet->data.empty() && drawShare(kSeldom)) {
     std::string changed(bytes);
     changed.back() = static_cast<char>(changed.back() ^ 1);
     fleet_->slots()[slot].host->onDatagram(steadyNow(), from, changed);
@@ -52,7 +52,7 @@
 bool SoakWorld::redirect(size_t slot, const Endpoint& from, std::string_view bytes,
                          const EchoPacket& packet) {
   const FlowName flow = flowOfCaller(packet);
-  if (packet.has(kSyn) && !redirected_.contains(flow) && strikes(kOften)) {
+  if (packet.has(kSyn) && !redirected_.contains(flow) && drawShare(kOften)) {
     const std::vector<size_t> targets = redirectionTargets(slot);
     if (!targets.empty()) {
       redirected_[flow] = targets[random_.below(targets.size())];
@@ -77,7 +77,8 @@
     }
     const bool same = candidate.host->plan().service == service;
     const bool wrong = sabotage_ == Sabotage::kWrongService && !same;
-    const bool leaving = sabotage_ == Sabotage::kFillsLeavingHosts && same && candidate.leavesSince;
+    const bool leaving =
+        sabotage_ == Sabotage::kFillsLeavingHosts && same && candidate.leavingSince;
     if (wrong || leaving) {
       targets.push_back(index);
     }
@@ -88,7 +89,7 @@
 std::string SoakWorld::sabotageToCaller(const std::string& bytes) {
   auto packet = decode(bytes);
   if (sabotage_ != Sabotage::kChangesAnswers || !packet || packet->data.empty() ||
-      !strikes(kSeldom)) {
+      !drawShare(kSeldom)) {
     return bytes;
   }
   packet->data.back() = packet->data.back() == 'a' ? 'b' : 'a';
--- a/test/soak/world/stream_end.cc
+++ b/test/soak/world/stream_end.cc
@@ -5,7 +5,7 @@
 namespace umberhold::soak {
 namespace {
 
-constexpr size_t kMostUnderWay = 16;
+constexpr size_t kMaximumInFlight = 16;
 constexpr Duration kFirstWait = std::chrono::milliseconds(200);
 constexpr Duration kLongestWait = std::chrono::milliseconds(1600);
 
@@ -16,10 +16,10 @@
 }  // namespace
 
 void StreamEnd::write(const std::string& bytes) {
-  for (size_t at = 0; at < bytes.size(); at += kMostData) {
+  for (size_t at = 0; at < bytes.size(); at += kMaximumData) {
     Part part;
     part.sequence = nextSequence_;
-    part.data = bytes.substr(at, kMostData);
+    part.data = bytes.substr(at, kMaximumData);
     nextSequence_ += part.length();
     parts_.push_back(std::move(part));
   }
@@ -81,8 +81,8 @@
 }
 
 void StreamEnd::tick(TimePoint now, std::vector<std::string>& out) {
-  const size_t underWay = std::min(parts_.size(), kMostUnderWay);
-  for (size_t index = 0; index < underWay; ++index) {
+  const size_t inFlight = std::min(parts_.size(), kMaximumInFlight);
+  for (size_t index = 0; index < inFlight; ++index) {
     Part& part = parts_[index];
     if (part.tries > 0 && now < part.dueAt) {
       continue;
--- a/test/soak/world/stream_end.h
+++ b/test/soak/world/stream_end.h
@@ -1,4 +1,5 @@
-/** @file One end of a flow's byte stream: parts, acknowledgements, repeats, order. No I/O. */
+/** @file One end of a flow's byte stream: segmentation, acknowledgement, retransmission,
+ * reordering. No I/O. */
 #pragma once
 
 #include <cstdint>
@@ -12,7 +13,7 @@
 
 namespace umberhold::soak {
 
-/** The addresses of a flow as this end writes them. */
+/** Source and target of the packets that this end sends. */
 struct StreamAddresses {
   uint32_t source = 0;
   uint32_t target = 0;
@@ -24,27 +25,27 @@
 class StreamEnd {
  public:
   /**
-   * @param nextSequence of the first byte that this end sends.
+   * @param nextSequence sequence number of the first byte that this end sends.
    * @param expected sequence number of the first byte of the other end.
    */
   StreamEnd(const StreamAddresses& addresses, uint32_t nextSequence, uint32_t expected)
       : addresses_(addresses), nextSequence_(nextSequence), expected_(expected) {}
 
   void write(const std::string& bytes);
-  /** Ends the stream after what was written. */
+  /** Ends the stream after the written bytes. */
   void finish();
-  /** @return the bytes that follow in order; packets to send are added to `out`. */
+  /** @return the next bytes in order; appends packets to send to `out`. */
   std::string onPacket(TimePoint now, const EchoPacket& packet, std::vector<std::string>& out);
-  /** Sends what is due for the first time or again. */
+  /** Sends new data and retransmissions that are due. */
   void tick(TimePoint now, std::vector<std::string>& out);
 
-  /** @return whether the other end has sent everything. */
+  /** @return whether all bytes and the end of the other side were received. */
   bool isFinishedByOther() const { return finishedByOther_; }
-  /** @return whether all that was written was acknowledged, the end included. */
+  /** @return whether all written bytes and the end were acknowledged. */
   bool isDrained() const { return parts_.empty(); }
-  /** @return how often the part that waits longest was sent. */
+  /** @return the number of transmissions of the oldest unacknowledged part. */
   uint32_t tries() const { return parts_.empty() ? 0 : parts_.front().tries; }
-  /** @return what this end acknowledges. */
+  /** @return the acknowledgement number of this end. */
   uint32_t acknowledged() const { return expected_; }
   void setEcho(uint32_t echo) { echo_ = echo; }
   const StreamAddresses& addresses() const { return addresses_; }
--- a/test/soak/world/wait_watch.h
+++ b/test/soak/world/wait_watch.h
@@ -1,8 +1,7 @@
 /**
- * @file How long the soak and the nodes stood still for lack of a processor.
+ * @file Records pauses of the soak and the nodes for lack of a processor.
  *
- * Nothing is forgiven for it: a trace of a broken promise needs it to tell a node that waited from
- * a host that did.
+ * Pauses excuse no violation; they help to analyse whether a node or a host was delayed.
  */
 #pragma once
 
@@ -14,9 +13,9 @@
 
 namespace umberhold::soak {
 
-/** One time for which something stood still. */
+/** One pause. */
 struct Wait {
-  /** When it was noticed: at its end, or a little later. */
+  /** When it was detected: at its end or shortly after. */
   TimePoint at{};
   std::string who;
   Duration length{0};
@@ -25,26 +24,27 @@
 /** Not thread safe. */
 class WaitWatch {
  public:
-  /** @param total for which the process has waited since its start, as the system counts it. */
+  /** @param total cumulative wait time of the process since its start, as reported by the kernel.
+   */
   void onTotal(TimePoint now, const std::string& who, Duration total) {
     const auto known = totals_.find(who);
-    // Less than before: the process is another one by now.
+    // A decrease means that the process was replaced.
     const bool isNew = known == totals_.end() || total < known->second;
     const Duration waited = isNew ? total : total - known->second;
     totals_[who] = total;
     onWait(now, who, waited);
   }
   void onWait(TimePoint now, const std::string& who, Duration length) {
-    if (length >= kLongWait && waits_.size() < kMostWaits) {
+    if (length >= kLongWait && waits_.size() < kMaximumWaits) {
       waits_.push_back({now, who, length});
     }
   }
   const std::vector<Wait>& waits() const { return waits_; }
 
  private:
-  /** A quarter of the time after which callers send again. */
+  /** A quarter of the callers' retransmission timeout. */
   static constexpr Duration kLongWait = std::chrono::milliseconds(50);
-  static constexpr size_t kMostWaits = 20000;
+  static constexpr size_t kMaximumWaits = 20000;
 
   std::map<std::string, Duration> totals_;
   std::vector<Wait> waits_;
