--- a/test/soak/unit/route_tracker_test.cc
+++ b/test/soak/unit/route_tracker_test.cc
@@ -18,7 +18,7 @@
   DeploymentPlan plan{20};
   TimePoint now{seconds(100)};
   ViolationRecord promises{now};
-  DisturbanceTracker disturbances{plan.bounds().disturbances};
+  DisturbanceTracker disturbances{plan.bounds().settleTime};
   RouteTracker tracker{plan, {{"alerts", {1, 1}, true, {{"dispatch", 1}}}}, promises, disturbances};
   RandomSource random{7};
 
--- a/test/soak/world/deployment_plan.h
+++ b/test/soak/world/deployment_plan.h
@@ -34,7 +34,7 @@
 struct BoundPlan {
   Duration change = std::chrono::seconds(3);
   Duration drain = std::chrono::seconds(3);
-  Duration contact = std::chrono::seconds(4);
+  Duration settleTime = std::chrono::seconds(4);
   /** Time after a node showed a version for which older ones are still allowed. */
   Duration back = std::chrono::milliseconds(250);
   Duration recovery = std::chrono::seconds(12);
--- a/test/soak/world/load_watch.cc
+++ b/test/soak/world/load_watch.cc
@@ -13,10 +13,10 @@
 
 void LoadWatch::onEnded(TimePoint now, const std::string& pool, const std::string& service,
                         TimePoint begunAt, bool served) {
-  if (capacityRestoredAt_ && begunAt >= *capacityRestoredAt_ + bounds_.returns &&
-      begunAt < *capacityRestoredAt_ + bounds_.returns + bounds_.judged) {
-    ++returned_.all;
-    returned_.served += served ? 1 : 0;
+  if (capacityRestoredAt_ && begunAt >= *capacityRestoredAt_ + bounds_.maximumRecovery &&
+      begunAt < *capacityRestoredAt_ + bounds_.maximumRecovery + bounds_.evaluationTime) {
+    ++requestsAfterRecovery_.all;
+    requestsAfterRecovery_.served += served ? 1 : 0;
   }
   std::map<std::string, Starvation>& services = starvation_[pool];
   Starvation& own = services[service];
@@ -59,30 +59,32 @@
 
 void LoadWatch::onCapacityRestored(TimePoint now) {
   capacityRestoredAt_ = now;
-  returned_ = {};
+  requestsAfterRecovery_ = {};
 }
 
 void LoadWatch::tick(TimePoint now, bool allSettled) {
-  if (!capacityRestoredAt_ || now < *capacityRestoredAt_ + bounds_.returns) {
+  if (!capacityRestoredAt_ || now < *capacityRestoredAt_ + bounds_.maximumRecovery) {
     return;
   }
   if (!allSettled) {
     capacityRestoredAt_.reset();
     return;
   }
-  if (now < *capacityRestoredAt_ + bounds_.returns + bounds_.judged + kRequestDeadline) {
+  if (now <
+      *capacityRestoredAt_ + bounds_.maximumRecovery + bounds_.evaluationTime + kRequestDeadline) {
     return;
   }
   capacityRestoredAt_.reset();
-  if (returned_.all < bounds_.minimumEnds) {
+  if (requestsAfterRecovery_.all < bounds_.minimumEnds) {
     return;
   }
   ++recoveriesEvaluated_;
-  const double share = static_cast<double>(returned_.served) / static_cast<double>(returned_.all);
+  const double share = static_cast<double>(requestsAfterRecovery_.served) /
+                       static_cast<double>(requestsAfterRecovery_.all);
   if (share < bounds_.usualShare) {
-    promises_.broken(
-        now, Promise::kShareReturns,
-        "served " + std::to_string(returned_.served) + " of " + std::to_string(returned_.all));
+    promises_.broken(now, Promise::kShareReturns,
+                     "served " + std::to_string(requestsAfterRecovery_.served) + " of " +
+                         std::to_string(requestsAfterRecovery_.all));
   }
 }
 
--- a/test/soak/world/load_watch.h
+++ b/test/soak/world/load_watch.h
@@ -28,9 +28,9 @@
   uint32_t openingsToFullHost = 10;
   /** Maximum recovery time after capacity is restored: hosts register, nodes detect them within the
    * bound for changes (3 s), and earlier requests end. */
-  Duration returns = std::chrono::seconds(6);
+  Duration maximumRecovery = std::chrono::seconds(6);
   /** Requests that begin within this time after the recovery are evaluated. */
-  Duration judged = std::chrono::seconds(2);
+  Duration evaluationTime = std::chrono::seconds(2);
   double usualShare = 0.95;
 };
 
@@ -76,7 +76,7 @@
   Duration longestStarved_{0};
   std::map<std::string, std::deque<TimePoint>> full_;
   std::optional<TimePoint> capacityRestoredAt_;
-  Ends returned_;
+  Ends requestsAfterRecovery_;
   uint64_t recoveriesEvaluated_ = 0;
 };
 
--- a/test/soak/world/soak_run.cc
+++ b/test/soak/world/soak_run.cc
@@ -18,7 +18,7 @@
 /** Time at the end in which pending requests complete. */
 constexpr Duration kWindDown = std::chrono::seconds(3);
 /** Time after the recovery time in which requests are evaluated. */
-constexpr Duration kJudgedTime = std::chrono::seconds(4);
+constexpr Duration kEvaluatedTime = std::chrono::seconds(4);
 constexpr double kServedAfterRecovery = 0.97;
 constexpr uint64_t kMinimumRequests = 200;
 
@@ -40,7 +40,7 @@
     }
     const TimePoint start = steadyNow();
     const TimePoint end = start + std::chrono::seconds(options_.seconds);
-    const Duration calm = plan_.bounds().recovery + kJudgedTime;
+    const Duration calm = plan_.bounds().recovery + kEvaluatedTime;
     {
       const std::lock_guard lock(world_.mutex());
       world_.startTraffic(start);
@@ -143,20 +143,20 @@
     const auto secondOf = [start](TimePoint at) {
       return std::chrono::ceil<std::chrono::seconds>(at - start).count();
     };
-    SecondCounts judged;
+    SecondCounts evaluated;
     for (const auto& [second, counts] : result.seconds) {
       if (second >= secondOf(faultsOver + plan_.bounds().recovery) && second < secondOf(end)) {
-        judged.asked += counts.asked;
-        judged.served += counts.served;
+        evaluated.asked += counts.asked;
+        evaluated.served += counts.served;
       }
     }
-    result.servedAfterRecovery =
-        judged.asked == 0 ? 0.0
-                          : static_cast<double>(judged.served) / static_cast<double>(judged.asked);
+    result.servedAfterRecovery = evaluated.asked == 0 ? 0.0
+                                                      : static_cast<double>(evaluated.served) /
+                                                            static_cast<double>(evaluated.asked);
     if (result.servedAfterRecovery < kServedAfterRecovery) {
       world_.promises().broken(end, Promise::kRecovery,
                                "served " + std::to_string(result.servedAfterRecovery) + " of " +
-                                   std::to_string(judged.asked));
+                                   std::to_string(evaluated.asked));
     }
   }
 
--- a/test/soak/world/soak_world.cc
+++ b/test/soak/world/soak_world.cc
@@ -80,8 +80,8 @@
       promises_(steadyNow()),
       runs_(promises_),
       loadWatch_({}, promises_),
-      allDisturbances_(plan.bounds().contact),
-      unplannedDisturbances_(plan.bounds().contact),
+      allDisturbances_(plan.bounds().settleTime),
+      unplannedDisturbances_(plan.bounds().settleTime),
       delays_(loop_) {
   const RouteTrackerOptions options =
       load_ == SoakLoad::kHard ? RouteTrackerOptions{HostFleet::kMaximumFlows, kMarkerService}
