--- a/test/soak/world/fault_injector.cc
+++ b/test/soak/world/fault_injector.cc
@@ -172,14 +172,14 @@
   test::StandinFaults faults;
   switch (fault.kind) {
     case FaultKind::kStoreBusy:
-      faults.mood = test::StoreResponseMode::kBusy;
+      faults.responseMode = test::StoreResponseMode::kBusy;
       break;
     case FaultKind::kStoreSilent:
-      faults.mood = test::StoreResponseMode::kSilent;
+      faults.responseMode = test::StoreResponseMode::kSilent;
       faults.staysSilent = fault.choice % 2 == 0;
       break;
     case FaultKind::kStoreResets:
-      faults.mood = test::StoreResponseMode::kReset;
+      faults.responseMode = test::StoreResponseMode::kReset;
       break;
     case FaultKind::kStoreSlow:
       faults.slow = kStoreSlow;
@@ -200,7 +200,7 @@
     return;
   }
   storeFaultActive_ = true;
-  const bool expires = faults.mood == test::StoreResponseMode::kSilent && fault.choice % 3 == 0;
+  const bool expires = faults.responseMode == test::StoreResponseMode::kSilent && fault.choice % 3 == 0;
   begin("store", Cause::kUnplanned, now);
   store_.setFaults(faults);
   if (expires) {
