--- a/source/common/shard/known_flows.cc
+++ b/source/common/shard/known_flows.cc
@@ -66,9 +66,8 @@
                                                     ByteBudget& lists) {
   const bool nothingNew = announced_ && waiting_.empty();
   const bool full = waiting_.size() >= kBatchFlows;
-  const Duration interval = full || !announced_ || budget.isAtLeastHalfFull(now)
-                                ? kMinBatchInterval
-                                : kPartialBatchDelay;
+  const Duration interval =
+      full || !announced_ || budget.isAtLeastHalfFull(now) ? kMinBatchInterval : kPartialBatchDelay;
   const Duration delay = inFlight_ ? kResendInterval : (flushRequested_ ? Duration(0) : interval);
   if (state_ == State::kStopped || nothingNew || now - lastSend_ < delay) {
     return std::nullopt;
