--- a/test/soak/world/fault_injector.cc
+++ b/test/soak/world/fault_injector.cc
@@ -200,7 +200,8 @@
     return;
   }
   storeFaultActive_ = true;
-  const bool expires = faults.responseMode == test::StoreResponseMode::kSilent && fault.choice % 3 == 0;
+  const bool expires =
+      faults.responseMode == test::StoreResponseMode::kSilent && fault.choice % 3 == 0;
   begin("store", Cause::kUnplanned, now);
   store_.setFaults(faults);
   if (expires) {
