--- a/source/common/membership/news_merging.cc
+++ b/source/common/membership/news_merging.cc
@@ -1,4 +1,4 @@
-/** @file How a failure detector takes in what others say about members. */
+/** @file Merging of received membership updates into the failure detector's table. */
 #include <algorithm>
 #include <utility>
 
@@ -8,9 +8,10 @@
 namespace umberhold {
 namespace {
 
+/** Minimum interval between two anti-entropy exchanges that are triggered by revived members. */
 constexpr Duration kRevivalSyncPeriod = std::chrono::seconds(2);
-/** Ids in one MemberQuery. */
-constexpr size_t kMaxQueried = 28;
+/** Maximum number of ids in one MemberQuery. */
+constexpr size_t kMaxQueriedIds = 28;
 
 }  // namespace
 
@@ -19,14 +20,16 @@
   for (const Member& member : gossip.joined) {
     mergeMember(now, member, true);
   }
-  // Who is dead itself in this view may come from across a partition: there, everybody here is
-  // dead.
-  const bool believed = isKnownLive(sender);
-  mergeUpdates(now, from, gossip.updates, believed ? DeathClaims::kBelieve : DeathClaims::kVerify);
+  // A sender that is dead in this view may be on the other side of a partition, where all members
+  // of this side are considered dead.
+  const bool trusted = isKnownLive(sender);
+  mergeUpdates(now, from, gossip.updates,
+               trusted ? DeathClaimPolicy::kAccept : DeathClaimPolicy::kVerify);
 }
 
 void FailureDetector::mergeUpdates(TimePoint now, const Endpoint& from,
-                                   const std::vector<MemberUpdate>& updates, DeathClaims claims) {
+                                   const std::vector<MemberUpdate>& updates,
+                                   DeathClaimPolicy claims) {
   MemberQuery unknown;
   for (MemberUpdate update : updates) {
     if (update.state == MemberState::kSuspect) {
@@ -36,16 +39,16 @@
       mergeSelf(now, from, update);
       continue;
     }
-    if (update.state == MemberState::kDead && claims == DeathClaims::kVerify) {
+    if (update.state == MemberState::kDead && claims == DeathClaimPolicy::kVerify) {
       verifyDeathClaim(now, update);
       continue;
     }
     const bool wasDead = isDeadEntry(context_.table.find(update.id));
     const MergeOutcome outcome = context_.table.merge(now, update);
-    if (outcome == MergeOutcome::kUnknown && unknown.ids.size() < kMaxQueried) {
+    if (outcome == MergeOutcome::kUnknown && unknown.ids.size() < kMaxQueriedIds) {
       unknown.ids.push_back(update.id);
     } else if (outcome == MergeOutcome::kChanged) {
-      applied(update.id, false);
+      queueAndNotify(update.id, false);
       if (wasDead) {
         onRevived(now, from);
       }
@@ -66,13 +69,13 @@
     return;
   }
   if (spread) {
-    applied(member.id, outcome == MergeOutcome::kAdded);
+    queueAndNotify(member.id, outcome == MergeOutcome::kAdded);
   } else {
     notify(member.id);
   }
 }
 
-/** Refutes news of this node that overrides what it says of itself, and corrects older news. */
+/** Refutes updates of this node that override its own state, and corrects older ones. */
 void FailureDetector::mergeSelf(TimePoint now, const Endpoint& from, const MemberUpdate& update) {
   const Member& own = selfMember();
   if (left_ || update == updateOf(own)) {
@@ -80,14 +83,14 @@
   }
   if (overrides(update.incarnation, update.state, own)) {
     context_.table.setSelf(now, update.incarnation + 1, own.state);
-    applied(self(), false);
+    queueAndNotify(self(), false);
   }
   if (from != own.controlEndpoint()) {
     context_.sink.send(from, Message{MemberGossip{{updateOf(selfMember())}, {}}});
   }
 }
 
-/** Tells the member that it is said to be dead, and probes it: if it lives it refutes by itself. */
+/** Sends the reported death to the member and probes it: a member that is alive refutes it. */
 void FailureDetector::verifyDeathClaim(TimePoint now, const MemberUpdate& claim) {
   const MemberEntry* entry = context_.table.find(claim.id);
   if (entry == nullptr || !overrides(claim.incarnation, claim.state, entry->member)) {
@@ -97,9 +100,10 @@
   prober_.probe(now, claim.id);
 }
 
-/** A member that was dead here is back: others from its side of a partition may be, too. */
+/** A member that was dead in this view is alive again: probes the other dead members sooner,
+ * because a partition may have healed. */
 void FailureDetector::onRevived(TimePoint now, const Endpoint& from) {
-  nextDeadRetry_ = std::min(nextDeadRetry_, now + context_.options.deadRetryBurst);
+  nextDeadRetry_ = std::min(nextDeadRetry_, now + context_.options.deadRetryPeriodAfterRevival);
   if (now - lastRevivalSync_ >= kRevivalSyncPeriod) {
     lastRevivalSync_ = now;
     sync_.begin(from);
--- a/source/common/membership/prober.cc
+++ b/source/common/membership/prober.cc
@@ -32,9 +32,9 @@
 NodeId Prober::nextTarget() {
   const NodeId self = context_.table.self().id;
   for (int pass = 0; pass < 2; ++pass) {
-    while (!order_.empty()) {
-      const NodeId id = order_.back();
-      order_.pop_back();
+    while (!probeOrder_.empty()) {
+      const NodeId id = probeOrder_.back();
+      probeOrder_.pop_back();
       const MemberEntry* entry = context_.table.find(id);
       if (entry != nullptr && isLiveEntry(*entry)) {
         return id;
@@ -42,10 +42,10 @@
     }
     for (const MemberEntry& entry : context_.table.entries()) {
       if (isLiveEntry(entry) && entry.member.id != self) {
-        order_.push_back(entry.member.id);
+        probeOrder_.push_back(entry.member.id);
       }
     }
-    std::shuffle(order_.begin(), order_.end(), context_.random.engine());
+    std::shuffle(probeOrder_.begin(), probeOrder_.end(), context_.random.engine());
   }
   return self;
 }
@@ -80,11 +80,11 @@
 
 void Prober::onNack(uint32_t sequence, NodeId helper) {
   for (Probe& probe : probes_) {
-    const bool known =
-        std::find(probe.witnesses.begin(), probe.witnesses.end(), helper) != probe.witnesses.end();
+    const bool known = std::find(probe.confirmations.begin(), probe.confirmations.end(), helper) !=
+                       probe.confirmations.end();
     if (probe.sequence == sequence && !known &&
-        probe.witnesses.size() < context_.options.witnesses) {
-      probe.witnesses.push_back(helper);
+        probe.confirmations.size() < context_.options.confirmations) {
+      probe.confirmations.push_back(helper);
     }
   }
 }
@@ -120,26 +120,26 @@
 bool Prober::stepSuspect(TimePoint now, Probe& probe, std::vector<ProbeVerdict>& verdicts) {
   const Duration suspectedFor = now - probe.suspectedAt;
   const bool due = suspectedFor >= context_.options.suspicionTime;
-  if (due && isWitnessed(probe)) {
+  if (due && isConfirmed(probe)) {
     verdicts.push_back({probe.target, probe.incarnation, MemberState::kDead});
     return false;
   }
   sendPing(probe);
   sendRequests(probe);
-  // Without witnesses this node may itself be cut off: go on, at a falling rate.
+  // Without confirmations this node may itself be partitioned: continue at a decreasing rate.
   const Duration slower = due ? suspectedFor / 2 : Duration::zero();
   probe.nextStep = now + context_.options.verifyPeriod + slower;
   return true;
 }
 
-bool Prober::isWitnessed(const Probe& probe) const {
+bool Prober::isConfirmed(const Probe& probe) const {
   const NodeId self = context_.table.self().id;
   size_t helpers = 0;
   for (const MemberEntry& entry : context_.table.entries()) {
     const bool possible = entry.member.id != self && entry.member.id != probe.target;
     helpers += possible && isTrustedEntry(entry) ? 1 : 0;
   }
-  return probe.witnesses.size() >= std::min(helpers, context_.options.witnesses);
+  return probe.confirmations.size() >= std::min(helpers, context_.options.confirmations);
 }
 
 void Prober::sendPing(const Probe& probe) {
@@ -150,13 +150,13 @@
 
 void Prober::sendRequests(const Probe& probe) {
   const MemberEntry* entry = context_.table.find(probe.target);
-  std::vector<NodeId> asked;
+  std::vector<NodeId> chosen;
   for (size_t index = 0; index < context_.options.helpers; ++index) {
     const Member* helper = pickHelper(probe, index == 0);
-    if (helper == nullptr || std::find(asked.begin(), asked.end(), helper->id) != asked.end()) {
+    if (helper == nullptr || std::find(chosen.begin(), chosen.end(), helper->id) != chosen.end()) {
       continue;
     }
-    asked.push_back(helper->id);
+    chosen.push_back(helper->id);
     context_.sink.send(
         helper->controlEndpoint(),
         Message{PingRequest{probe.sequence, probe.target, entry->member.controlEndpoint()}});
--- a/source/common/packet/packet_path.cc
+++ b/source/common/packet/packet_path.cc
@@ -29,17 +29,17 @@
 
 void PacketPath::onPacket(TimePoint now, PacketSource source, std::string_view bytes) {
   ++counters_.received[static_cast<size_t>(source)];
-  if (!ready_ && holds_) {
+  if (!ready_ && holdUntilReady_) {
     hold(now, bytes);
     return;
   }
   if (!ready_) {
-    dropUnread(now, DropReason::kNotReady, bytes);
+    dropBeforeDecision(now, DropReason::kNotReady, bytes);
     return;
   }
   const auto parsed = format_.parse(bytes);
   if (!isOk(parsed)) {
-    dropUnread(now, errorOf(parsed), bytes);
+    dropBeforeDecision(now, errorOf(parsed), bytes);
     return;
   }
   route(now, source, valueOf(parsed), bytes.substr(0, valueOf(parsed).totalLength));
@@ -48,17 +48,17 @@
 void PacketPath::hold(TimePoint now, std::string_view bytes) {
   const auto parsed = format_.parse(bytes);
   if (!isOk(parsed)) {
-    dropUnread(now, errorOf(parsed), bytes);
+    dropBeforeDecision(now, errorOf(parsed), bytes);
     return;
   }
   ++counters_.heldUntilReady;
-  const size_t pushedOut =
+  const size_t evicted =
       held_.hold(now, flowPacketOf(valueOf(parsed), PacketSource::kFabric), bytes);
-  counters_.dropped[static_cast<size_t>(DropReason::kNotReady)] += pushedOut;
+  counters_.dropped[static_cast<size_t>(DropReason::kNotReady)] += evicted;
 }
 
 void PacketPath::releaseHeld(TimePoint now) {
-  holds_ = false;
+  holdUntilReady_ = false;
   for (const std::string& bytes : held_.take(now)) {
     onPacket(now, PacketSource::kFabric, bytes);
   }
@@ -71,7 +71,7 @@
     return;
   }
   ++counters_.resetFlows;
-  output_.toCaller(decision.key.caller, valueOf(reset));
+  output_.sendToCaller(decision.key.caller, valueOf(reset));
   if (observer_ != nullptr) {
     observer_->onReset(now, decision);
   }
@@ -112,7 +112,7 @@
   return DropPacket{DropReason::kUnknownService};
 }
 
-void PacketPath::dropUnread(TimePoint now, DropReason reason, std::string_view bytes) {
+void PacketPath::dropBeforeDecision(TimePoint now, DropReason reason, std::string_view bytes) {
   drop(reason);
   if (observer_ != nullptr) {
     observer_->onDropped(now, reason, bytes);
@@ -126,7 +126,7 @@
 void PacketPath::act(const ForwardToHost& decision, const ParsedPacket& /*packet*/,
                      std::string_view bytes) {
   ++counters_.forwarded;
-  output_.toHost(decision.endpoint, format_.forHost(bytes, decision, hostBuffer_));
+  output_.sendToHost(decision.endpoint, format_.rewriteForHost(bytes, decision, hostBuffer_));
 }
 
 void PacketPath::act(const RelayToNode& decision, const ParsedPacket& /*packet*/,
@@ -138,7 +138,7 @@
     return;
   }
   ++counters_.relayed;
-  output_.toNode(decision.endpoint, relayBuffer_);
+  output_.sendToNode(decision.endpoint, relayBuffer_);
 }
 
 void PacketPath::act(const RefuseFlow&, const ParsedPacket& packet, std::string_view bytes) {
@@ -148,7 +148,7 @@
     ++counters_.unanswered;
     return;
   }
-  output_.toCaller(packet.key.caller, valueOf(answer));
+  output_.sendToCaller(packet.key.caller, valueOf(answer));
 }
 
 void PacketPath::act(const HoldPacket&, const ParsedPacket&, std::string_view) {
--- a/source/common/packet/refusal_builder.cc
+++ b/source/common/packet/refusal_builder.cc
@@ -13,10 +13,11 @@
 namespace {
 
 constexpr uint8_t kAnswerTimeToLive = 64;
-/** Bytes after the IP header that an ICMP error quotes at least; they hold the ports. */
+/** Minimum number of bytes after the IP header that an ICMP error quotes; they include the ports.
+ */
 constexpr size_t kQuotedBytes = 8;
 constexpr uint8_t kPortUnreachable = 3;
-constexpr uint32_t kLowestMulticast = 0xE0000000U;
+constexpr uint32_t kFirstMulticastAddress = 0xE0000000U;
 
 Tins::IPv4Address networkOrder(uint32_t address) {
   return Tins::IPv4Address(Tins::Endian::host_to_be(address));
@@ -29,7 +30,7 @@
   return ip;
 }
 
-/** Sequence numbers that the segment takes up: its data, and one each for SYN and FIN. */
+/** Length of the segment in sequence numbers: its data, and one each for SYN and FIN. */
 uint32_t segmentLength(const ParsedPacket& parsed, const Tins::TCP& segment) {
   const size_t headers = parsed.networkHeaderLength + parsed.transportHeaderLength;
   return static_cast<uint32_t>(parsed.totalLength - headers) + segment.get_flag(Tins::TCP::SYN) +
@@ -51,7 +52,7 @@
 }
 
 bool isUnicast(uint32_t address) {
-  return address != 0 && address < kLowestMulticast;
+  return address != 0 && address < kFirstMulticastAddress;
 }
 
 std::string serialize(Tins::IP packet) {
--- a/source/common/platform/collection_follower.cc
+++ b/source/common/platform/collection_follower.cc
@@ -6,7 +6,7 @@
 
 CollectionFollower::CollectionFollower(FollowerOptions options, RandomSource& random)
     : options_(options),
-      gathering_(options.gatherChanges),
+      changeBatchDelay_(options.changeBatchDelay),
       backOff_(options.retry, random),
       budget_(options.retryBudget) {}
 
@@ -17,47 +17,50 @@
   if (page_) {
     return *page_;
   }
-  return WatchFrom{watchVersion_, options_.longestWatch};
+  return WatchFrom{watchVersion_, options_.maxWatchDuration};
 }
 
 PageOutcome CollectionFollower::onPage(uint64_t version, const std::string& lastName, bool more) {
-  succeed();
-  const bool mayLag = page_ && page_->mayLag;
+  recordSuccess();
+  const bool allowStale = page_ && page_->allowStale;
   if (!page_ || page_->after.empty()) {
     listVersion_ = version;
   }
   if (more) {
-    page_ = ReadPage{lastName, mayLag};
+    page_ = ReadPage{lastName, allowStale};
     return PageOutcome::kPartial;
   }
   page_.reset();
   watchVersion_ = listVersion_;
   hasListed_ = true;
-  return mayLag ? PageOutcome::kLaggingListComplete : PageOutcome::kListComplete;
+  return allowStale ? PageOutcome::kStaleListComplete : PageOutcome::kListComplete;
 }
 
 void CollectionFollower::onWatch(TimePoint now, uint64_t version, bool hadEvents) {
-  succeed();
+  recordSuccess();
   watchVersion_ = std::max(watchVersion_, version);
   if (hadEvents) {
-    pausedUntil_ = now + gatheringAt(now);
+    pausedUntil_ = now + changeBatchDelayAt(now);
   }
 }
 
-Duration CollectionFollower::gatheringAt(TimePoint now) const {
-  return now < expectedUntil_ ? std::min(gathering_, options_.gatherExpectedChanges) : gathering_;
+Duration CollectionFollower::changeBatchDelayAt(TimePoint now) const {
+  return now < changesExpectedUntil_
+             ? std::min(changeBatchDelay_, options_.expectedChangeBatchDelay)
+             : changeBatchDelay_;
 }
 
 void CollectionFollower::onFailure(TimePoint now, const StoreError& error) {
   if (error.code == StoreErrorCode::kTooOld) {
-    startListAnew();
-    // The store answers: no failure, but a history this short must not make a loop of lists.
-    pausedUntil_ = now + gathering_;
+    restartList();
+    // The store answers, so this is not a failure. The delay keeps a history that is too short
+    // from causing lists in a loop.
+    pausedUntil_ = now + changeBatchDelay_;
     return;
   }
   failing_ = true;
   if (page_ && !page_->after.empty()) {
-    startListAnew();
+    restartList();
   }
   pausedUntil_ = now + backOff_.next(error.retryAfter);
   if (!budget_.tryTake(pausedUntil_)) {
@@ -66,28 +69,29 @@
   }
 }
 
-void CollectionFollower::demandCurrentList() {
+void CollectionFollower::requireCurrentList() {
   if (page_) {
     page_ = ReadPage{"", false};
   }
 }
 
 void CollectionFollower::beginAt(uint64_t version) {
-  succeed();
+  recordSuccess();
   page_.reset();
   listVersion_ = version;
   watchVersion_ = version;
   hasListed_ = true;
 }
 
-void CollectionFollower::succeed() {
+void CollectionFollower::recordSuccess() {
   failing_ = false;
   backOff_.reset();
 }
 
-void CollectionFollower::startListAnew() {
-  // Only the very first list may lag: afterwards a copy exists that must not go back in time.
-  page_ = ReadPage{"", !hasListed_ && page_ && page_->mayLag};
+void CollectionFollower::restartList() {
+  // Only the initial list may be stale: afterwards a copy exists that must not revert to an
+  // older state.
+  page_ = ReadPage{"", !hasListed_ && page_ && page_->allowStale};
 }
 
 }  // namespace umberhold
--- a/source/common/platform/reader_roster.cc
+++ b/source/common/platform/reader_roster.cc
@@ -9,8 +9,8 @@
 namespace umberhold {
 namespace {
 
-/** Higher capacity first; the hash keeps nodes of neighbouring names apart. */
-bool isAhead(const RosterNode& left, const RosterNode& right) {
+/** Orders by capacity, highest first; the hash spreads nodes with adjacent names. */
+bool ranksBefore(const RosterNode& left, const RosterNode& right) {
   if (left.capacity != right.capacity) {
     return left.capacity > right.capacity;
   }
@@ -32,27 +32,27 @@
     }
   }
   candidates_.clear();
-  readersAhead_.clear();
-  standInStep_ = 0;
-  readsItself_ = ranked.size() < options_.smallestZone;
+  higherRankedReaders_.clear();
+  fallbackStep_ = 0;
+  readsItself_ = ranked.size() < options_.minZoneNodes;
   if (readsItself_) {
     return;
   }
-  std::sort(ranked.begin(), ranked.end(), isAhead);
+  std::sort(ranked.begin(), ranked.end(), ranksBefore);
   const auto self =
       static_cast<size_t>(std::find(ranked.begin(), ranked.end(), self_) - ranked.begin());
   const size_t readers = (ranked.size() + options_.nodesPerReader - 1) / options_.nodesPerReader;
   readsItself_ = self < readers;
   if (readsItself_) {
-    readersAhead_.assign(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(self));
+    higherRankedReaders_.assign(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(self));
     return;
   }
-  standInStep_ = static_cast<uint32_t>(std::bit_width(self / readers)) - 1;
+  fallbackStep_ = static_cast<uint32_t>(std::bit_width(self / readers)) - 1;
   const size_t first = hashBytes(self_.name) % readers;
   std::rotate(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(first),
               ranked.begin() + static_cast<std::ptrdiff_t>(readers));
   ranked.erase(ranked.begin() + static_cast<std::ptrdiff_t>(self));
-  ranked.resize(std::min(ranked.size(), options_.mostCandidates));
+  ranked.resize(std::min(ranked.size(), options_.maxCandidates));
   candidates_ = std::move(ranked);
 }
 
--- a/source/common/server/node_metrics.cc
+++ b/source/common/server/node_metrics.cc
@@ -1,4 +1,4 @@
-/** @file Metrics by prometheus-cpp's families and text serializer. */
+/** @file Metrics built from prometheus-cpp's families and its text serializer. */
 #include "common/server/node_metrics.h"
 
 #include <prometheus/metric_family.h>
@@ -99,7 +99,7 @@
       .add(static_cast<double>(shards.takeoversFromOwner), {metricLabel("from", "owner")})
       .add(static_cast<double>(shards.takeoversFromReplica), {metricLabel("from", "replica")})
       .add(static_cast<double>(shards.takeoversFromOwnState), {metricLabel("from", "own_state")})
-      .add(static_cast<double>(shards.shardsBuiltNew), {metricLabel("from", "nothing")})
+      .add(static_cast<double>(shards.shardsCreated), {metricLabel("from", "nothing")})
       .take();
 }
 
@@ -147,7 +147,7 @@
                              static_cast<double>(core.recordsRejected)));
   families.push_back(gaugeOf("umberhold_config_version",
                              "Store version up to which the node has applied every change",
-                             static_cast<double>(core.inForceVersion)));
+                             static_cast<double>(core.effectiveVersion)));
 }
 
 void addUsage(const NodeMetrics& metrics, const ProcessUsage& usage,
--- a/source/common/server/packet_transport.cc
+++ b/source/common/server/packet_transport.cc
@@ -1,9 +1,9 @@
-/** @file Answers to callers. */
+/** @file Sends packets to callers through the return gateway. */
 #include "common/server/packet_transport.h"
 
 namespace umberhold {
 
-void PacketTransport::toCaller(const Endpoint& /*caller*/, std::string_view packet) {
+void PacketTransport::sendToCaller(const Endpoint& /*caller*/, std::string_view packet) {
   if (returnGateway_.port == 0) {
     ++unsentAnswers_;
     return;
--- a/source/common/server/silence_text.h
+++ b/source/common/server/silence_text.h
@@ -1,11 +1,11 @@
-/** @file The log's line for a verdict on a silent host. */
+/** @file Log line for a verdict on a silent host. */
 #pragma once
 
 #include <chrono>
 #include <optional>
 #include <ostream>
 
-#include "common/token/silence_judge.h"
+#include "common/token/silence_detector.h"
 
 namespace umberhold {
 
--- a/source/common/server/token_node_metrics.cc
+++ b/source/common/server/token_node_metrics.cc
@@ -85,8 +85,8 @@
   families.push_back(suppressed.take());
   families.push_back(
       counterFamily("umberhold_log_lines_total", "Lines by whether the output had room for them")
-          .add(static_cast<double>(metrics.output.taken), {metricLabel("result", "taken")})
-          .add(static_cast<double>(metrics.output.lost), {metricLabel("result", "lost")})
+          .add(static_cast<double>(metrics.output.accepted), {metricLabel("result", "taken")})
+          .add(static_cast<double>(metrics.output.dropped), {metricLabel("result", "lost")})
           .take());
 }
 
@@ -108,7 +108,8 @@
       counterFamily("umberhold_peer_questions_total", "Questions to and from peers by outcome")
           .add(static_cast<double>(store.peerConfirmations), {metricLabel("outcome", "confirmed")})
           .add(static_cast<double>(store.peerFailures), {metricLabel("outcome", "failed")})
-          .add(static_cast<double>(store.answeredPeers), {metricLabel("outcome", "answered")})
+          .add(static_cast<double>(store.answeredPeerRequests),
+               {metricLabel("outcome", "answered")})
           .take());
   families.push_back(
       counterOf("umberhold_host_copies_total",
--- a/source/common/shard/baseline_director.cc
+++ b/source/common/shard/baseline_director.cc
@@ -7,7 +7,7 @@
 namespace umberhold {
 namespace {
 
-constexpr uint8_t kEqualWeight = 255;
+constexpr uint8_t kUniformWeight = 255;
 
 }  // namespace
 
@@ -49,12 +49,12 @@
   local.hosts.update(id, service);
   for (HostSlot& slot : local.slots.all()) {
     const HostRecord* record = local.hosts.find(slot.host);
-    slot.runs = slot.runs && record != nullptr && record->endpoint == slot.endpoint;
+    slot.usable = slot.usable && record != nullptr && record->endpoint == slot.endpoint;
   }
   std::vector<BaseHost> active;
   for (const HostSpec& host : service.hosts) {
     if (host.state == HostState::kActive) {
-      active.push_back(BaseHost{hostIdOf(id, host.name), kEqualWeight});
+      active.push_back(BaseHost{hostIdOf(id, host.name), kUniformWeight});
     }
   }
   local.table = BaseTable(std::move(active));
@@ -80,7 +80,7 @@
     return DropPacket{DropReason::kUnknownService};
   }
   const auto entry = flows_.touch(now, local->flowSlot, packet.hash, packet.phase);
-  if (entry && local->slots.at(entry->hostSlot).runs) {
+  if (entry && local->slots.at(entry->hostSlot).usable) {
     const HostSlot& slot = local->slots.at(entry->hostSlot);
     return ForwardToHost{slot.host, slot.endpoint};
   }
--- a/source/common/shard/replication_log.cc
+++ b/source/common/shard/replication_log.cc
@@ -6,7 +6,7 @@
 namespace umberhold {
 namespace {
 
-// Encoded sizes in MessagePack; the fixed part covers UDP and IP headers and the envelope, too.
+// Encoded sizes in MessagePack; the fixed part includes the UDP and IP headers and the envelope.
 constexpr size_t kFixedBytes = 115;
 constexpr size_t kHostBytes = 9;
 constexpr size_t kAddedBytes = 12;
@@ -18,8 +18,8 @@
   changes_.clear();
   first_ = 1;
   synchronised_ = false;
-  onTheWay_ = false;
-  resendAfter_ = kFirstResend;
+  inFlight_ = false;
+  resendAfter_ = kInitialResendInterval;
   lastSend_ = now;
 }
 
@@ -27,41 +27,41 @@
   first_ = nextSequence();
   changes_.clear();
   synchronised_ = false;
-  onTheWay_ = false;
+  inFlight_ = false;
   return first_;
 }
 
-void ReplicationLog::snapshotArrived(TimePoint now) {
+void ReplicationLog::onSnapshotDelivered(TimePoint now) {
   synchronised_ = true;
-  resendAfter_ = kFirstResend;
+  resendAfter_ = kInitialResendInterval;
   lastSend_ = now;
-  // The changes made during the transfer start to wait for their acknowledgement only now.
+  // The acknowledgement delay of changes made during the transfer counts from its end.
   for (Change& change : changes_) {
     change.when = now;
   }
 }
 
-void ReplicationLog::loseReplica() {
+void ReplicationLog::markReplicaLost() {
   synchronised_ = false;
-  onTheWay_ = false;
+  inFlight_ = false;
 }
 
 void ReplicationLog::append(const Change& change) {
   changes_.push_back(change);
-  if (changes_.size() > kMostChanges) {
+  if (changes_.size() > kMaxChanges) {
     startSnapshot();
   }
 }
 
-void ReplicationLog::added(TimePoint now, const PinnedFlow& pinned) {
+void ReplicationLog::appendAdded(TimePoint now, const PinnedFlow& pinned) {
   append(Change{Kind::kAdded, pinned.flow, pinned.host, now});
 }
 
-void ReplicationLog::removed(TimePoint now, FlowHash flow) {
+void ReplicationLog::appendRemoved(TimePoint now, FlowHash flow) {
   append(Change{Kind::kRemoved, flow, HostId{}, now});
 }
 
-void ReplicationLog::refused(TimePoint now, FlowHash flow) {
+void ReplicationLog::appendRefused(TimePoint now, FlowHash flow) {
   append(Change{Kind::kRefused, flow, HostId{}, now});
 }
 
@@ -71,8 +71,8 @@
   bytes = kFixedBytes;
   std::unordered_map<FlowHash, Kind> last;
   for (const Change& change : changes_) {
-    // The receiver applies added, removed, refused in this order. Changes of different flows may
-    // change places; a batch ends where those of one flow would.
+    // The receiver applies added, removed and refused flows in this order. Changes of different
+    // flows may be reordered; a batch ends where changes of the same flow would be.
     const auto seen = last.try_emplace(change.flow, change.kind).first;
     if (change.kind < seen->second || bytes > kBatchBytes) {
       break;
@@ -98,34 +98,35 @@
   return batch;
 }
 
-TimePoint ReplicationLog::waitsSince() const {
+TimePoint ReplicationLog::oldestUrgentChangeTime() const {
   const auto urgent = std::find_if(changes_.begin(), changes_.end(), [](const Change& change) {
     return change.kind != Kind::kRemoved;
   });
   return urgent == changes_.end() ? TimePoint::max() : urgent->when;
 }
 
-bool ReplicationLog::canWait(TimePoint now) const {
-  return now - changes_.front().when < kLongestRemovalWait && waitsSince() == TimePoint::max();
+bool ReplicationLog::canDelay(TimePoint now) const {
+  return now - changes_.front().when < kMaxRemovalDelay &&
+         oldestUrgentChangeTime() == TimePoint::max();
 }
 
 std::optional<ReplicaAppend> ReplicationLog::poll(TimePoint now, ByteBudget& budget,
                                                   const ShardId& shard, uint32_t epoch) {
-  if (!synchronised_ || changes_.empty() || (onTheWay_ && now - lastSend_ < resendAfter_)) {
+  if (!synchronised_ || changes_.empty() || (inFlight_ && now - lastSend_ < resendAfter_)) {
     return std::nullopt;
   }
-  if (canWait(now) || !budget.solvent(now)) {
+  if (canDelay(now) || !budget.hasTokens(now)) {
     return std::nullopt;
   }
   size_t bytes = 0;
   ReplicaAppend batch = makeBatch(shard, epoch, bytes);
-  budget.spend(now, static_cast<double>(bytes));
-  if (onTheWay_) {
-    resendAfter_ = std::min(resendAfter_ * 2, kLongestResend);
+  budget.consume(now, static_cast<double>(bytes));
+  if (inFlight_) {
+    resendAfter_ = std::min(resendAfter_ * 2, kMaxResendInterval);
   } else {
     firstSend_ = now;
   }
-  onTheWay_ = true;
+  inFlight_ = true;
   lastSend_ = now;
   return batch;
 }
@@ -137,15 +138,15 @@
   const uint32_t acknowledged = next - first_;
   changes_.erase(changes_.begin(), changes_.begin() + acknowledged);
   first_ = next;
-  onTheWay_ = false;
-  resendAfter_ = kFirstResend;
+  inFlight_ = false;
+  resendAfter_ = kInitialResendInterval;
   lastSend_ = now;
 }
 
 bool ReplicationLog::current(TimePoint now) const {
-  const bool silent = onTheWay_ && now - firstSend_ > kLongestSilence;
-  const bool lags = !changes_.empty() && now - changes_.front().when > kLongestLag;
-  return synchronised_ && !silent && !lags;
+  const bool unacknowledged = inFlight_ && now - firstSend_ > kMaxUnacknowledgedTime;
+  const bool lags = !changes_.empty() && now - changes_.front().when > kMaxLag;
+  return synchronised_ && !unacknowledged && !lags;
 }
 
 }  // namespace umberhold
--- a/source/common/shard/snapshot.cc
+++ b/source/common/shard/snapshot.cc
@@ -5,7 +5,7 @@
 namespace umberhold {
 namespace {
 
-// Encoded sizes in MessagePack: 9 bytes a 64-bit integer, 1 an array header, up to 5 a 32-bit
+// Encoded sizes in MessagePack: 9 bytes per 64-bit integer, 1 per array header, up to 5 per 32-bit
 // integer.
 constexpr size_t kFixedBytes = 80;
 constexpr size_t kHostBytes = 9;
@@ -14,17 +14,17 @@
 constexpr size_t kRefusedBytes = 9;
 constexpr size_t kPermitBytes = 21;
 constexpr size_t kOldFlowBytes = 5;
-/** A claim of more chunks than this is not believed. */
-constexpr uint32_t kMostChunks = 65536;
+/** Snapshots with more chunks are rejected. */
+constexpr uint32_t kMaxChunks = 65536;
 
 size_t bytesOf(const HostPermits& permits) {
   return kPermitBytes + kHostBytes * (permits.lent.size() + permits.borrowed.size());
 }
 
-/** Fills chunk after chunk. */
-class Cutter {
+/** Distributes the content over chunks. */
+class ChunkWriter {
  public:
-  Cutter(const SnapshotIdentity& identity, const ShardContent& content)
+  ChunkWriter(const SnapshotIdentity& identity, const ShardContent& content)
       : identity_(identity), content_(content) {
     startChunk();
   }
@@ -105,25 +105,25 @@
 
 }  // namespace
 
-std::vector<SnapshotChunk> cutSnapshot(const SnapshotIdentity& identity,
-                                       const ShardContent& content) {
-  Cutter cutter(identity, content);
+std::vector<SnapshotChunk> splitSnapshot(const SnapshotIdentity& identity,
+                                         const ShardContent& content) {
+  ChunkWriter writer(identity, content);
   for (const BaseHost& host : content.base) {
-    cutter.addBase(host);
+    writer.addBase(host);
   }
   for (const PinnedFlow& pinned : content.pinned) {
-    cutter.addPinned(pinned);
+    writer.addPinned(pinned);
   }
   for (const FlowHash& flow : content.refused) {
-    cutter.addRefused(flow);
+    writer.addRefused(flow);
   }
   for (const HostPermits& permits : content.permits) {
-    cutter.addPermits(permits);
+    writer.addPermits(permits);
   }
   for (const uint32_t fingerprint : content.oldFlows.value_or(std::vector<uint32_t>{})) {
-    cutter.addOldFlow(fingerprint);
+    writer.addOldFlow(fingerprint);
   }
-  return cutter.finish();
+  return writer.finish();
 }
 
 size_t estimatedBytes(const SnapshotChunk& chunk) {
@@ -137,19 +137,19 @@
 }
 
 void SnapshotAssembler::accept(const SnapshotChunk& chunk) {
-  if (total_ == 0 && chunk.chunks > 0 && chunk.chunks <= kMostChunks) {
+  if (total_ == 0 && chunk.chunks > 0 && chunk.chunks <= kMaxChunks) {
     total_ = chunk.chunks;
     epoch_ = chunk.epoch;
     chunks_.resize(total_);
-    arrived_.resize(total_, false);
+    received_.resize(total_, false);
   }
   const bool belongs = chunk.chunks == total_ && chunk.epoch == epoch_ && chunk.index < total_;
-  if (!belongs || arrived_[chunk.index]) {
+  if (!belongs || received_[chunk.index]) {
     return;
   }
-  arrived_[chunk.index] = true;
+  received_[chunk.index] = true;
   chunks_[chunk.index] = chunk;
-  while (next_ < total_ && arrived_[next_]) {
+  while (next_ < total_ && received_[next_]) {
     ++next_;
   }
 }
--- a/source/common/shard/snapshot_sender.cc
+++ b/source/common/shard/snapshot_sender.cc
@@ -16,12 +16,12 @@
   }
   if (nextToSend_ > acknowledged_ && now - lastSend_ >= resendAfter_) {
     nextToSend_ = acknowledged_;
-    resendAfter_ = std::min(resendAfter_ * 2, kLongestResend);
+    resendAfter_ = std::min(resendAfter_ * 2, kMaxResendInterval);
   }
   const auto end = std::min<size_t>(chunks_.size(), static_cast<size_t>(acknowledged_) + kWindow);
-  while (nextToSend_ < end && budget.solvent(now)) {
+  while (nextToSend_ < end && budget.hasTokens(now)) {
     const SnapshotChunk& chunk = chunks_[nextToSend_];
-    budget.spend(now, static_cast<double>(estimatedBytes(chunk)));
+    budget.consume(now, static_cast<double>(estimatedBytes(chunk)));
     send(chunk);
     lastSend_ = now;
     ++nextToSend_;
@@ -35,7 +35,7 @@
   acknowledged_ = next;
   nextToSend_ = std::max(nextToSend_, acknowledged_);
   lastProgress_ = now;
-  resendAfter_ = kFirstResend;
+  resendAfter_ = kInitialResendInterval;
 }
 
 }  // namespace umberhold
--- a/source/common/shard/takeover.cc
+++ b/source/common/shard/takeover.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-/** A candidate that asked for patience must repeat it within this time. */
-constexpr Duration kPatienceOfWaiting = std::chrono::seconds(1);
+/** A candidate's request to wait expires unless it is repeated within this time. */
+constexpr Duration kWaitRequestLifetime = std::chrono::seconds(1);
 
 HeldState heldBy(const TakeoverReply& reply) {
   return HeldState{reply.role, reply.epoch, reply.sequence};
@@ -22,10 +22,10 @@
   return found == candidates.end() ? nullptr : &*found;
 }
 
-/** @return whether the answer names a node that holds a newer state than the sender. */
-bool namesHolder(const TakeoverReply& reply) {
-  const bool passedOn = reply.role == HeldRole::kReleased || reply.role == HeldRole::kReplica;
-  return passedOn && reply.successor != NodeId{};
+/** @return whether the reply refers to a node that holds newer state than the sender. */
+bool reportsHolder(const TakeoverReply& reply) {
+  const bool isPassedOn = reply.role == HeldRole::kReleased || reply.role == HeldRole::kReplica;
+  return isPassedOn && reply.successor != NodeId{};
 }
 
 }  // namespace
@@ -35,7 +35,7 @@
       startedAt_(now),
       lastRequest_(now),
       highestEpoch_(start_.own.epoch),
-      waitingSince_(now) {
+      waitStartedAt_(now) {
   for (const NodeId& node : start_.candidates) {
     addCandidate(now, node);
   }
@@ -59,7 +59,7 @@
   Candidate candidate;
   candidate.node = node;
   candidates_.push_back(candidate);
-  waitingSince_ = now;
+  waitStartedAt_ = now;
 }
 
 void Takeover::addHolder(TimePoint now, NodeId node, uint32_t epoch) {
@@ -68,15 +68,15 @@
   }
   addCandidate(now, node);
   Candidate* holder = find(node);
-  if (holder->namedAt && epoch <= holder->namedEpoch) {
+  if (holder->reportedAt && epoch <= holder->reportedEpoch) {
     return;
   }
-  holder->namedAt = now;
-  holder->namedEpoch = epoch;
+  holder->reportedAt = now;
+  holder->reportedEpoch = epoch;
   if (holder->answered && holder->reply.epoch < epoch) {
     holder->answered = false;
     holder->reply = TakeoverReply{};
-    waitingSince_ = now;
+    waitStartedAt_ = now;
   }
 }
 
@@ -93,14 +93,14 @@
   candidate->reply = reply;
   highestEpoch_ = std::max(highestEpoch_, reply.epoch);
   if (reply.role == HeldRole::kStillOwner) {
-    server_ = sender;
+    servingNode_ = sender;
   }
-  if (namesHolder(reply)) {
+  if (reportsHolder(reply)) {
     addHolder(now, reply.successor, reply.epoch);
   }
 }
 
-void Takeover::onOwnerHeard(TimePoint now, NodeId owner, uint32_t epoch) {
+void Takeover::onOwnerAnnounced(TimePoint now, NodeId owner, uint32_t epoch) {
   addCandidate(now, owner);
   Candidate* candidate = find(owner);
   const bool releasedAlready = candidate == nullptr || releasedToSelf(*candidate);
@@ -122,7 +122,7 @@
   fetch_->assembler.accept(chunk);
   if (fetch_->assembler.next() != before) {
     fetch_->lastProgress = now;
-    fetch_->lastAsk = TimePoint{};
+    fetch_->lastAck = TimePoint{};
   }
 }
 
@@ -131,24 +131,24 @@
     return false;
   }
   if (!candidate.answered) {
-    return now - waitingSince_ < kTimeout;
+    return now - waitStartedAt_ < kTimeout;
   }
-  const bool asksForPatience =
+  const bool requestsWait =
       candidate.reply.role == HeldRole::kStillOwner ||
       (candidate.reply.acquiring &&
        (start_.view.outranksSelf(candidate.node) || isTakingOver(now, candidate.node)));
   if (hasNewerHolder(now, candidate)) {
     return true;
   }
-  return asksForPatience && now - candidate.lastAnswer < kPatienceOfWaiting;
+  return requestsWait && now - candidate.lastAnswer < kWaitRequestLifetime;
 }
 
 bool Takeover::isGone(TimePoint now, const Candidate& candidate) const {
   if (start_.view.isDead(candidate.node)) {
     return true;
   }
-  const bool named = candidate.namedAt && now - *candidate.namedAt < kFetchTimeout;
-  return !candidate.answered && !named && !start_.view.isReachable(candidate.node);
+  const bool reportedRecently = candidate.reportedAt && now - *candidate.reportedAt < kFetchTimeout;
+  return !candidate.answered && !reportedRecently && !start_.view.isReachable(candidate.node);
 }
 
 bool Takeover::isTakingOver(TimePoint now, NodeId node) const {
@@ -161,18 +161,18 @@
 
 bool Takeover::hasNewerHolder(TimePoint now, const Candidate& candidate) const {
   const NodeId holder = candidate.reply.successor;
-  const bool passedOn = namesHolder(candidate.reply) && holder != start_.self;
-  // The owner that a replica names may have died just now; a state that was released lives on.
+  const bool isPassedOn = reportsHolder(candidate.reply) && holder != start_.self;
+  // The owner that a replica refers to may have died just now; released state still exists.
   const bool copied = candidate.reply.role == HeldRole::kReplica;
-  const Duration patience = copied ? kTimeout : kFetchTimeout;
-  if (!passedOn || now - startedAt_ >= patience || start_.view.isDead(holder)) {
+  const Duration timeout = copied ? kTimeout : kFetchTimeout;
+  if (!isPassedOn || now - startedAt_ >= timeout || start_.view.isDead(holder)) {
     return false;
   }
-  const Candidate* asked = find(holder);
-  if (asked == nullptr || !asked->answered) {
-    return asked == nullptr || !start_.view.isReachable(holder);
+  const Candidate* queried = find(holder);
+  if (queried == nullptr || !queried->answered) {
+    return queried == nullptr || !start_.view.isReachable(holder);
   }
-  return asked->reply.role == HeldRole::kStillOwner && !asked->failed;
+  return queried->reply.role == HeldRole::kStillOwner && !queried->failed;
 }
 
 bool Takeover::isUsable(TimePoint now, const Candidate& candidate) const {
@@ -180,15 +180,16 @@
          candidate.reply.role != HeldRole::kStillOwner && !isGone(now, candidate);
 }
 
-const Takeover::Candidate* Takeover::best(TimePoint now) const {
-  const Candidate* best = nullptr;
+const Takeover::Candidate* Takeover::bestCandidate(TimePoint now) const {
+  const Candidate* bestCandidate = nullptr;
   for (const Candidate& candidate : candidates_) {
-    const bool better = best == nullptr || heldBy(best->reply) < heldBy(candidate.reply);
+    const bool better =
+        bestCandidate == nullptr || heldBy(bestCandidate->reply) < heldBy(candidate.reply);
     if (isUsable(now, candidate) && better) {
-      best = &candidate;
+      bestCandidate = &candidate;
     }
   }
-  return best;
+  return bestCandidate;
 }
 
 bool Takeover::releasedToSelf(const Candidate& candidate) const {
@@ -202,21 +203,21 @@
   if (successor == nullptr || !successor->answered || successor->failed) {
     return false;
   }
-  // It may keep a copy from before the release.
+  // It may hold a replica from before the release.
   const HeldRole role = successor->reply.role;
   const bool ownedNothing = role == HeldRole::kNothing || role == HeldRole::kReplica;
   return ownedNothing && !successor->reply.acquiring && candidate.reply.epoch >= highestEpoch_;
 }
 
-void Takeover::choose(TimePoint now) {
-  const Candidate* source = best(now);
+void Takeover::chooseSource(TimePoint now) {
+  const Candidate* source = bestCandidate(now);
   if (source == nullptr || heldBy(source->reply) < start_.own) {
     return;
   }
-  const bool sureAlready = releasedToSelf(*source) && source->reply.epoch >= highestEpoch_;
+  const bool isDecided = releasedToSelf(*source) && source->reply.epoch >= highestEpoch_;
   const bool waits = std::any_of(candidates_.begin(), candidates_.end(),
                                  [&](const auto& other) { return mustWaitFor(now, other); });
-  if (sureAlready || !waits) {
+  if (isDecided || !waits) {
     const bool direct = releasedToSelf(*source) || isUnclaimed(*source);
     fetch_.emplace(Fetch{source->node, source->reply.role, direct, now, TimePoint{}, {}});
   }
@@ -230,15 +231,15 @@
     fetch_.reset();
     return;
   }
-  if (now - fetch_->lastAsk >= kRepeat) {
-    fetch_->lastAsk = now;
+  if (now - fetch_->lastAck >= kRequestInterval) {
+    fetch_->lastAck = now;
     ack(fetch_->source, SnapshotAck{start_.shard, SnapshotPurpose::kTakeover, start_.attempt,
                                     fetch_->assembler.next()});
   }
 }
 
 void Takeover::sendRequests(TimePoint now, const SendRequest& request) {
-  if (requested_ && now - lastRequest_ < kRepeat) {
+  if (requested_ && now - lastRequest_ < kRequestInterval) {
     return;
   }
   requested_ = true;
@@ -273,7 +274,7 @@
 
 TakeoverOutcome Takeover::poll(TimePoint now, const SendRequest& request, const SendAck& ack) {
   if (!fetch_) {
-    choose(now);
+    chooseSource(now);
   }
   if (!fetch_) {
     sendRequests(now, request);
--- a/source/common/speed/known_speed.h
+++ b/source/common/speed/known_speed.h
@@ -1,4 +1,4 @@
-/** @file What a node was told of one host's speed. */
+/** @file The speed of one host as last received by a node. */
 #pragma once
 
 #include "common/base/time.h"
@@ -9,20 +9,24 @@
 /** Not thread safe. */
 class KnownSpeed {
  public:
-  void learn(TimePoint now, const HostSpeed& speed) {
+  void update(TimePoint now, const HostSpeed& speed) {
     speed_ = speed;
-    at_ = now;
+    updatedAt_ = now;
+  }
+  /** @return the last received speed; the usual speed if it has expired. */
+  HostSpeed value(TimePoint now) const {
+    return now - updatedAt_ <= kLifetime ? speed_ : HostSpeed{};
   }
-  /** @return the speed as it was told last; the usual one where that is too long ago. */
-  HostSpeed value(TimePoint now) const { return now - at_ <= kKept ? speed_ : HostSpeed{}; }
 
  private:
-  /** Longer than a reader's successor needs to learn, and than a burst of callers in which nothing
-   * can be learnt. */
-  static constexpr Duration kKept = std::chrono::seconds(60);
+  /**
+   * Exceeds both the time that a new reader node needs to estimate speeds and the duration of a
+   * burst, during which no speeds can be estimated.
+   */
+  static constexpr Duration kLifetime = std::chrono::seconds(60);
 
   HostSpeed speed_;
-  TimePoint at_{};
+  TimePoint updatedAt_{};
 };
 
 }  // namespace umberhold
--- a/source/common/token/opening_watch.cc
+++ b/source/common/token/opening_watch.cc
@@ -3,10 +3,12 @@
 namespace umberhold {
 namespace {
 
-/** Callers repeat an opening packet within this time. */
+/** Callers retransmit an opening packet within this time. */
 constexpr Duration kRepeatWindow = std::chrono::seconds(2);
-/** Several round trips, and less than the 200 ms after which callers repeat an opening. */
-constexpr Duration kFollowPatience = std::chrono::milliseconds(150);
+/**
+ * Several round trips, but less than the 200 ms after which callers retransmit an opening packet.
+ */
+constexpr Duration kFollowTimeout = std::chrono::milliseconds(150);
 
 }  // namespace
 
@@ -42,7 +44,7 @@
   return true;
 }
 
-void OpeningWatch::forgetHost(uint32_t token) {
+void OpeningWatch::discardHost(uint32_t token) {
   for (Entry& entry : entries_) {
     if (entry.token == token) {
       entry = {};
@@ -52,7 +54,7 @@
 
 std::vector<uint32_t> OpeningWatch::onCaughtUp(TimePoint now) {
   std::vector<uint32_t> unanswered;
-  while (!due_.empty() && now - due_.front().at >= kFollowPatience) {
+  while (!due_.empty() && now - due_.front().at >= kFollowTimeout) {
     const Due due = due_.front();
     due_.pop_front();
     Entry& entry = entryOf(due.flow);
--- a/source/common/token/recent_flows.cc
+++ b/source/common/token/recent_flows.cc
@@ -4,7 +4,7 @@
 
 namespace umberhold {
 
-void RecentFlows::forget(Entries::iterator entry) {
+void RecentFlows::remove(Entries::iterator entry) {
   byHash_.erase(entry->hash);
   entries_.erase(entry);
 }
@@ -15,7 +15,7 @@
     entries_.splice(entries_.end(), entries_, known->second);
   } else {
     if (entries_.size() >= kCapacity) {
-      forget(entries_.begin());
+      remove(entries_.begin());
     }
     entries_.push_back({packet.hash, {}, {}});
     byHash_[packet.hash] = std::prev(entries_.end());
@@ -23,11 +23,11 @@
   return entries_.back();
 }
 
-void RecentFlows::note(TimePoint now, const FlowPacket& packet) {
+void RecentFlows::record(TimePoint now, const FlowPacket& packet) {
   if (packet.phase != PacketPhase::kContinuing) {
     const auto known = byHash_.find(packet.hash);
     if (known != byHash_.end()) {
-      forget(known->second);
+      remove(known->second);
     }
     return;
   }
@@ -36,9 +36,9 @@
     entry.flow = {packet.key, packet.service, packet.token, packet.acknowledged, false};
   } else if (isAfter(packet.acknowledged, entry.flow.acknowledged)) {
     entry.flow.acknowledged = packet.acknowledged;
-    entry.flow.underWay = false;
+    entry.flow.requestInFlight = false;
   }
-  entry.flow.underWay = entry.flow.underWay || packet.dataBytes > 0;
+  entry.flow.requestInFlight = entry.flow.requestInFlight || packet.dataBytes > 0;
   entry.at = now;
 }
 
--- a/source/standins/platform/request_counters.h
+++ b/source/standins/platform/request_counters.h
@@ -1,4 +1,4 @@
-/** @file What the stand-in store was asked, for GET /control/stats. */
+/** @file Request counters of the stand-in store, for GET /control/stats. */
 #pragma once
 
 #include <atomic>
@@ -6,7 +6,7 @@
 
 namespace umberhold::standins {
 
-/** Requests by kind since the start, and watches that are open now. */
+/** Requests by kind since the start, and open watches. */
 struct RequestCounters {
   std::atomic<uint64_t> list{0};
   std::atomic<uint64_t> get{0};
@@ -16,16 +16,16 @@
   std::atomic<uint64_t> machines{0};
   std::atomic<uint64_t> conflicts{0};
   std::atomic<uint64_t> openWatches{0};
-  std::atomic<uint64_t> mostOpenWatches{0};
+  std::atomic<uint64_t> maximumOpenWatches{0};
 };
 
-/** Counts one open watch for as long as it lives. */
+/** Counts one open watch during its lifetime. */
 class OpenWatch {
  public:
   explicit OpenWatch(RequestCounters& counters) : counters_(counters) {
     const uint64_t open = ++counters_.openWatches;
-    uint64_t most = counters_.mostOpenWatches;
-    while (open > most && !counters_.mostOpenWatches.compare_exchange_weak(most, open)) {
+    uint64_t most = counters_.maximumOpenWatches;
+    while (open > most && !counters_.maximumOpenWatches.compare_exchange_weak(most, open)) {
     }
   }
   ~OpenWatch() { --counters_.openWatches; }
--- a/test/common/health/host_observations_test.cc
+++ b/test/common/health/host_observations_test.cc
@@ -1,4 +1,6 @@
-/** @file What nodes of a zone see of hosts, put together; and what is no good report. */
+/**
+ * @file Aggregation of the host observations of a zone's nodes, and rejection of invalid reports.
+ */
 #include "common/health/host_observations.h"
 
 #include <string>
@@ -32,185 +34,185 @@
   }
 };
 
-TEST(HostObservations, NamesAHostThatSeveralNodesSeeAnsweringLate) {
+TEST(HostObservations, ReturnsAHostThatSeveralNodesReportAsSlow) {
   for (uint64_t reporter = 1; reporter <= 4; ++reporter) {
     merge(reporter, kSlowHost, 450);
     merge(reporter, kUsualHost, 110);
   }
   now += milliseconds(300);
-  const auto standings = zone.standings(now);
-  LONGS_EQUAL(1, standings.size());
-  LONGS_EQUAL(kSlowHost, standings[0].token);
-  LONGS_EQUAL(310, standings[0].percentOfUsual);  // (2 + 3 x 4.5) / (2 + 3)
-  LONGS_EQUAL(300, standings[0].ageMilliseconds);
+  const auto slowHosts = zone.slowHosts(now);
+  LONGS_EQUAL(1, slowHosts.size());
+  LONGS_EQUAL(kSlowHost, slowHosts[0].token);
+  LONGS_EQUAL(310, slowHosts[0].percentOfUsual);  // (2 + 3 x 4.5) / (2 + 3)
+  LONGS_EQUAL(300, slowHosts[0].ageMilliseconds);
 }
 
-TEST(HostObservations, OneNodeAloneNamesNobodyHoweverOftenItReports) {
+TEST(HostObservations, SingleNodeEjectsNoHostHoweverOftenItReports) {
   for (int count = 0; count < 50; ++count) {
     merge(1, kSlowHost, 500);
     now += milliseconds(10);
   }
-  CHECK_TRUE(zone.standings(now).empty());
+  CHECK_TRUE(zone.slowHosts(now).empty());
 }
 
-TEST(HostObservations, OneWrongNodeAmongWellOnesNamesNobody) {
+TEST(HostObservations, SingleFaultyNodeEjectsNoHost) {
   for (uint64_t reporter = 1; reporter <= 6; ++reporter) {
     merge(reporter, kSlowHost, reporter == 1 ? 500 : 100);
   }
-  CHECK_TRUE(zone.standings(now).empty());
+  CHECK_TRUE(zone.slowHosts(now).empty());
 }
 
-TEST(HostObservations, ForgetsWhatIsOld) {
+TEST(HostObservations, DropsOldReports) {
   merge(1, kSlowHost, 500);
   merge(2, kSlowHost, 500);
-  LONGS_EQUAL(1, zone.standings(now).size());
+  LONGS_EQUAL(1, zone.slowHosts(now).size());
   now += seconds(4);
-  CHECK_TRUE(zone.standings(now).empty());
+  CHECK_TRUE(zone.slowHosts(now).empty());
 }
 
-TEST(HostObservations, TakesAReportOnceAndNoOlderOne) {
+TEST(HostObservations, AcceptsAReportOnceAndNoOlderOne) {
   const HostReport first = report(1, kSlowHost, 500);
   const HostReport second = report(1, kSlowHost, 100);
-  CHECK_TRUE(zone.merge(now, second) == ReportOutcome::kTaken);
+  CHECK_TRUE(zone.merge(now, second) == ReportOutcome::kAccepted);
   CHECK_TRUE(zone.merge(now, second) == ReportOutcome::kRepeated);
   CHECK_TRUE(zone.merge(now, first) == ReportOutcome::kRepeated);
-  now += seconds(4);  // A node that was replaced may count from an earlier number again.
-  CHECK_TRUE(zone.merge(now, first) == ReportOutcome::kTaken);
+  now += seconds(4);  // A replaced node may start again with a lower sequence number.
+  CHECK_TRUE(zone.merge(now, first) == ReportOutcome::kAccepted);
 }
 
-TEST(HostObservations, RefusesFiguresThatNoNodeCanHaveMeasured) {
+TEST(HostObservations, RejectsValuesOutOfRange) {
   CHECK_TRUE(zone.merge(now, {1, 1, {{kSlowHost, 1, 501}}, {}}) == ReportOutcome::kInvalid);
   CHECK_TRUE(zone.merge(now, {1, 2, {{kSlowHost, 0, 300}}, {}}) == ReportOutcome::kInvalid);
   HostReport tooLong{1, 3, {}, {}};
-  for (uint32_t token = 0; token <= kMostReportedHosts; ++token) {
+  for (uint32_t token = 0; token <= kMaxReportedHosts; ++token) {
     tooLong.hosts.push_back({token + 1, 1, 100});
   }
   CHECK_TRUE(zone.merge(now, tooLong) == ReportOutcome::kInvalid);
-  CHECK_TRUE(merge(1, kSlowHost, 500) == ReportOutcome::kTaken);
+  CHECK_TRUE(merge(1, kSlowHost, 500) == ReportOutcome::kAccepted);
 }
 
-TEST(HostObservations, NamesTheLatestFirstAndABoundedNumber) {
+TEST(HostObservations, ReturnsABoundedNumberSlowestFirst) {
   for (uint32_t token = 1; token <= 600; ++token) {
     for (uint64_t reporter = 1; reporter <= 2; ++reporter) {
       merge(reporter, token, token == 77 ? 500 : 400);
     }
   }
-  const auto standings = zone.standings(now);
-  LONGS_EQUAL(kMostStandings, standings.size());
-  LONGS_EQUAL(77, standings[0].token);
+  const auto slowHosts = zone.slowHosts(now);
+  LONGS_EQUAL(kMaxSlowHosts, slowHosts.size());
+  LONGS_EQUAL(77, slowHosts[0].token);
 }
 
-TEST(HostObservations, AReportHoldsTheMeansOfABoundedNumberOfHosts) {
-  SampleGatherer gatherer(5);
-  gatherer.add({{kSlowHost, 2.0}, {kSlowHost, 1000.0}, {kUsualHost, 1.0}});
-  const HostReport report = gatherer.takeReport(now);
+TEST(HostObservations, ReportContainsMeansOfABoundedNumberOfHosts) {
+  SampleCollector collector(5);
+  collector.add({{kSlowHost, 2.0}, {kSlowHost, 1000.0}, {kUsualHost, 1.0}});
+  const HostReport report = collector.takeReport(now);
   LONGS_EQUAL(5, report.reporter);
   LONGS_EQUAL(2, report.hosts.size());
   for (const HostObservation& seen : report.hosts) {
     LONGS_EQUAL(seen.token == kSlowHost ? 350 : 100, seen.percentOfUsual);
     LONGS_EQUAL(seen.token == kSlowHost ? 2 : 1, seen.requests);
   }
-  CHECK_TRUE(gatherer.takeReport(now).hosts.empty());
+  CHECK_TRUE(collector.takeReport(now).hosts.empty());
   std::vector<HostSample> many;
   for (uint32_t token = 1; token <= 1000; ++token) {
     many.push_back({token, 1.0});
   }
-  gatherer.add(many);
-  LONGS_EQUAL(kMostReportedHosts, gatherer.takeReport(now).hosts.size());
+  collector.add(many);
+  LONGS_EQUAL(kMaxReportedHosts, collector.takeReport(now).hosts.size());
 }
 
-TEST(HostObservations, AReportHoldsTheWorkOfRequestsThatDidNotWait) {
-  SampleGatherer gatherer(5);
-  gatherer.add({{kSlowHost, 2.0, 1.0}, {kSlowHost, 2.0, 4.0}, {kSlowHost, 9.0, std::nullopt}});
-  gatherer.add({{kUsualHost, 1.0, std::nullopt}});
-  for (const HostObservation& seen : gatherer.takeReport(now).hosts) {
+TEST(HostObservations, ReportContainsProcessingTimesOfUnqueuedRequests) {
+  SampleCollector collector(5);
+  collector.add({{kSlowHost, 2.0, 1.0}, {kSlowHost, 2.0, 4.0}, {kSlowHost, 9.0, std::nullopt}});
+  collector.add({{kUsualHost, 1.0, std::nullopt}});
+  for (const HostObservation& seen : collector.takeReport(now).hosts) {
     LONGS_EQUAL(seen.token == kSlowHost ? 200 : 0, seen.workPercent);
   }
   CHECK_TRUE(zone.merge(now, {1, 1, {{kSlowHost, 1, 100, 401}}, {}}) == ReportOutcome::kInvalid);
 }
 
-TEST(HostObservations, ANodeThatAsksHearsHowFastHostsAre) {
+TEST(HostObservations, QueryingNodeReceivesSpeeds) {
   ObservationExchange exchange("front-1");
   for (uint64_t reporter = 1; reporter <= 6; ++reporter) {
     const HostReport report{reporter, 1, {{kSlowHost, 2, 100, 200}}, {}};
     exchange.merge(now, valueOf(encodeHostReport(report)));
   }
-  const auto speeds = exchange.news(now).speeds;
+  const auto speeds = exchange.zoneUpdate(now).speeds;
   LONGS_EQUAL(1, speeds.size());
   LONGS_EQUAL(kSlowHost, speeds[0].token);
   CHECK_TRUE(speeds[0].percentOfUsual < 60);
 }
 
-TEST(HostObservations, SpeedsTakeTheBytesThatStandingsLeave) {
-  LONGS_EQUAL(kMostLearnedSpeeds, mostSpeedsBeside(0));
-  LONGS_EQUAL(12, mostSpeedsBeside(kMostStandings - 10));
-  LONGS_EQUAL(0, mostSpeedsBeside(kMostStandings));
-  const auto bytesOf = [](size_t standings, size_t speeds) {
+TEST(HostObservations, SpeedsFitIntoTheSpaceLeftBySlowHosts) {
+  LONGS_EQUAL(kMaxLearnedSpeeds, maxSpeedsBeside(0));
+  LONGS_EQUAL(12, maxSpeedsBeside(kMaxSlowHosts - 10));
+  LONGS_EQUAL(0, maxSpeedsBeside(kMaxSlowHosts));
+  const auto bytesOf = [](size_t slowHosts, size_t speeds) {
     PeerChanges changes;
-    uint64_t number = 0;  // Tokens that can't be compressed.
-    for (size_t index = 0; index < standings; ++index) {
-      changes.standings.push_back({flowTokenOf(++number), 500, 3000});
+    uint64_t number = 0;  // Tokens that cannot be compressed.
+    for (size_t index = 0; index < slowHosts; ++index) {
+      changes.slowHosts.push_back({flowTokenOf(++number), 500, 3000});
     }
     for (size_t index = 0; index < speeds; ++index) {
       changes.speeds.push_back({flowTokenOf(++number), 400, 127});
     }
     return valueOf(encodePeerChanges(changes)).size();
   };
-  constexpr size_t kStandingBytes = 12;
+  constexpr size_t kSlowHostBytes = 12;
   constexpr size_t kListHeads = 4;
-  const size_t most = bytesOf(0, 0) + kListHeads + kStandingBytes * kMostStandings;
-  for (size_t standings = 0; standings <= kMostStandings; ++standings) {
-    CHECK_TRUE(bytesOf(standings, mostSpeedsBeside(standings)) <= most);
+  const size_t most = bytesOf(0, 0) + kListHeads + kSlowHostBytes * kMaxSlowHosts;
+  for (size_t slowHosts = 0; slowHosts <= kMaxSlowHosts; ++slowHosts) {
+    CHECK_TRUE(bytesOf(slowHosts, maxSpeedsBeside(slowHosts)) <= most);
   }
 }
 
-TEST(HostObservations, ANodeThatIsAskedAddsWhatItSeesItself) {
+TEST(HostObservations, QueriedNodeAddsItsOwnSamples) {
   ObservationExchange exchange("front-1");
   const auto encoded = encodeHostReport({1, 1, {{kSlowHost, 1, 500}}, {}});
   exchange.merge(now, valueOf(encoded));
-  CHECK_TRUE(exchange.news(now).standings.empty());
+  CHECK_TRUE(exchange.zoneUpdate(now).slowHosts.empty());
   exchange.add(now, {{kSlowHost, 5.0}}, {});
-  const auto news = exchange.takeNews();
-  CHECK_TRUE(news.has_value());
-  LONGS_EQUAL(1, news->standings.size());
-  CHECK_FALSE(exchange.takeNews().has_value());
+  const auto update = exchange.takeUpdate();
+  CHECK_TRUE(update.has_value());
+  LONGS_EQUAL(1, update->slowHosts.size());
+  CHECK_FALSE(exchange.takeUpdate().has_value());
 }
 
-TEST(HostObservations, RefusesAReportWithTooManySigns) {
+TEST(HostObservations, RejectsAReportOnTheLivenessOfTooManyHosts) {
   HostReport tooLong{1, 1, {}, {}};
-  tooLong.signs.resize(kMostReportedSigns + 1);
+  tooLong.livenessReports.resize(kMaxLivenessReports + 1);
   CHECK_TRUE(zone.merge(now, tooLong) == ReportOutcome::kInvalid);
 }
 
-TEST(HostObservations, ANodeWhoseCallersGetNoAcknowledgementSaysSoAtOnce) {
+TEST(HostObservations, MissingAcknowledgementTriggersAnUrgentReport) {
   ObservationExchange exchange("front-1");
   int urgent = 0;
-  exchange.setUrgent([&] { ++urgent; });
+  exchange.setUrgentCallback([&] { ++urgent; });
   exchange.add(now, {}, {{kSlowHost, now, 0, {}, {}, {}}});
   LONGS_EQUAL(0, urgent);
   exchange.add(now, {}, {{kSlowHost, now, 1, {11}, now, now}});
   LONGS_EQUAL(1, urgent);
-  LONGS_EQUAL(1, exchange.takeReport(now).signs.size());
+  LONGS_EQUAL(1, exchange.takeReport(now).livenessReports.size());
 }
 
-TEST(HostObservations, ANodeThatIsAskedNamesHostsThatAreSilentToItAndAnother) {
+TEST(HostObservations, QueriedNodeReturnsHostsSilentToItAndAnother) {
   ObservationExchange exchange("front-1");
   const HostReport other{1, 1, {}, {{kSlowHost, kNeverAnswered, 2, {11}, 600}}};
   exchange.merge(now, valueOf(encodeHostReport(other)));
-  CHECK_TRUE(exchange.news(now).silentHosts.empty());
+  CHECK_TRUE(exchange.zoneUpdate(now).silentHosts.empty());
   exchange.add(now, {}, {{kSlowHost, std::nullopt, 1, {12}, now - milliseconds(300), now}});
-  const auto news = exchange.takeNews();
-  CHECK_TRUE(news.has_value());
-  LONGS_EQUAL(1, news->silentHosts.size());
-  LONGS_EQUAL(600, news->silentHosts[0].silentMilliseconds);
+  const auto update = exchange.takeUpdate();
+  CHECK_TRUE(update.has_value());
+  LONGS_EQUAL(1, update->silentHosts.size());
+  LONGS_EQUAL(600, update->silentHosts[0].silentMilliseconds);
 }
 
-TEST(HostObservations, WhatIsNoReportIsCountedAndChangesNothing) {
+TEST(HostObservations, MalformedReportIsCountedAndIgnored) {
   ObservationExchange exchange("front-1");
   exchange.merge(now, "no report");
   exchange.merge(now, std::string(3000, '\x91'));
   LONGS_EQUAL(2, exchange.counters()[static_cast<size_t>(ReportOutcome::kMalformed)]);
-  CHECK_TRUE(exchange.news(now).standings.empty());
+  CHECK_TRUE(exchange.zoneUpdate(now).slowHosts.empty());
 }
 
 }  // namespace umberhold
--- a/test/platform/store/object_store_adapter_test.cc
+++ b/test/platform/store/object_store_adapter_test.cc
@@ -1,4 +1,4 @@
-/** @file The adapter against the stand-in of the users' store, with the faults of that store. */
+/** @file Tests the adapter against the stand-in store and its simulated faults. */
 #include "platform/store/object_store_adapter.h"
 
 #include <memory>
@@ -9,7 +9,7 @@
 #include "common/platform/steady_now.h"
 #include "common/wire/codec.h"
 #include "common/wire/payload_compression.h"
-#include "platform/store/peer_question.h"
+#include "platform/store/peer_request.h"
 #include "platform/store/store_messages.h"
 #include "test/platform/store/standin_store.h"
 #include "test/support/without_leak_detection.h"
@@ -45,32 +45,32 @@
   std::unique_ptr<test::StandinStore> store = std::make_unique<test::StandinStore>(3);
   std::unique_ptr<ObjectStoreAdapter> adapter;
   uint64_t seen = 0;
-  /** No probe disturbs the counts of a test that isn't about them. */
+  /** Keeps probes from affecting the call counts of tests that are not about probes. */
   Duration livenessInterval = std::chrono::hours(1);
-  Duration longestWatch = seconds(2);
+  Duration maxWatchDuration = seconds(2);
   Duration answerLimit = milliseconds(500);
-  Duration gatherChanges = milliseconds(5);
+  Duration changeBatchDelay = milliseconds(5);
   std::map<std::string, HostPool> pools;
   std::map<std::string, Service> services;
 
-  /** Periods that are short enough for a test. */
+  /** Options with intervals that are short enough for a test. */
   ObjectStoreOptions options() {
     ObjectStoreOptions made;
     made.address = store->address();
     made.region = "addis";
-    made.follower.longestWatch = longestWatch;
-    made.follower.gatherChanges = gatherChanges;
+    made.follower.maxWatchDuration = maxWatchDuration;
+    made.follower.changeBatchDelay = changeBatchDelay;
     made.follower.retry = {milliseconds(10), milliseconds(50)};
     made.follower.retryBudget = {10, milliseconds(50)};
     made.limits.connect = milliseconds(500);
     made.limits.answer = answerLimit;
     made.presence.vanishedGrace = milliseconds(400);
     made.presence.outageGrace = milliseconds(400);
-    made.peerPatience = milliseconds(300);
+    made.peerTimeout = milliseconds(300);
     made.liveness.first = livenessInterval;
     made.liveness.interval = livenessInterval;
     made.liveness.intervalAfterMiss = milliseconds(20);
-    made.probePatience = milliseconds(200);
+    made.probeTimeout = milliseconds(200);
     return made;
   }
   void setHost(int index, const std::string& state = "ready") {
@@ -100,17 +100,20 @@
     for (const CatalogChange& change : news.changes) {
       if (const auto* pool = std::get_if<HostPool>(&change)) {
         pools[pool->name] = *pool;
-      } else if (const auto* gone = std::get_if<ObjectGone>(&change)) {
+      } else if (const auto* gone = std::get_if<DeletedObject>(&change)) {
         services.erase(gone->name);
       } else {
         services[std::get<Service>(change).name] = std::get<Service>(change);
       }
     }
   }
-  /** Follows the adapter until the condition holds; @return whether it does in time. */
+  /**
+   * Applies the adapter's changes until the condition holds.
+   * @return whether it holds in time.
+   */
   template <class Condition>
-  bool follow(const Condition& condition, Duration longest = seconds(10)) {
-    const TimePoint deadline = steadyNow() + longest;
+  bool follow(const Condition& condition, Duration timeout = seconds(10)) {
+    const TimePoint deadline = steadyNow() + timeout;
     while (!condition() && steadyNow() < deadline) {
       const auto batch = adapter->watch(seen, milliseconds(100));
       CHECK_TRUE(isOk(batch));
@@ -128,29 +131,32 @@
   bool followToActive(size_t count) {
     return follow([this, count] { return active() == count; });
   }
-  void setMood(test::StoreMood mood) {
+  void setResponseMode(test::StoreResponseMode mode) {
     test::StandinFaults faults;
-    faults.mood = mood;
+    faults.responseMode = mode;
     store->setFaults(faults);
   }
-  /** An outage that the adapter sees, of a store that forgets every host meanwhile. */
-  void outage(test::StoreMood mood) {
-    setMood(mood);
+  /** Simulates an outage that the adapter detects, after which the store has lost all hosts. */
+  void outage(test::StoreResponseMode mode) {
+    setResponseMode(mode);
     for (int index = 1; index <= 4; ++index) {
       store->objects().remove("servers", "i-" + std::to_string(index), 0);
     }
     CHECK_TRUE(follow([this] { return adapter->status().failing; }));
     LONGS_EQUAL(4, active());
-    setMood(test::StoreMood::kAnswering);
+    setResponseMode(test::StoreResponseMode::kAnswering);
   }
 
-  /** Starts while the store is silent for a time, on connections that never say anything again.
-   * @return the time from the end of the silence until everything is known. */
+  /**
+   * Starts while the store is unresponsive for a time, on connections that stay open without
+   * further data.
+   * @return the time from the end of the outage until everything is known.
+   */
   Duration timeToStartAfterSilence(Duration silence) {
     answerLimit = seconds(30);
     setUp(4);
     test::StandinFaults faults;
-    faults.mood = test::StoreMood::kSilent;
+    faults.responseMode = test::StoreResponseMode::kSilent;
     faults.staysSilent = true;
     store->setFaults(faults);
     adapter = std::make_unique<ObjectStoreAdapter>(options());
@@ -168,7 +174,7 @@
   }
 };
 
-TEST(ObjectStoreAdapter, ListsSeveralPagesAndWatchesOnOverTwoConnections) {
+TEST(ObjectStoreAdapter, ListsSeveralPagesAndThenWatchesOverTwoConnections) {
   setUp(8);
   start();
   LONGS_EQUAL(8, active());
@@ -182,68 +188,72 @@
   LONGS_EQUAL(2, store->calls().connections);
 }
 
-TEST(ObjectStoreAdapter, HostsThatRegisterAfterAStartOrAnOutageAreNotWaitedFor) {
-  gatherChanges = seconds(60);
+TEST(ObjectStoreAdapter, AppliesRegistrationsAfterAStartOrAnOutageWithoutBatchDelay) {
+  changeBatchDelay = seconds(60);
   setUp(4);
   start();
   setHost(5);
   CHECK_TRUE(followToActive(5));
   setHost(6);
   CHECK_TRUE(followToActive(6));
-  setMood(test::StoreMood::kReset);
+  setResponseMode(test::StoreResponseMode::kReset);
   CHECK_TRUE(follow([this] { return adapter->status().failing; }));
-  setMood(test::StoreMood::kAnswering);
+  setResponseMode(test::StoreResponseMode::kAnswering);
   setHost(7);
   CHECK_TRUE(followToActive(7));
   setHost(8);
   CHECK_TRUE(followToActive(8));
 }
 
-/** Found by a hunt: a watch that was asked while the store forgot its history heard nothing more,
- * and the watch of the other kind was told that the history is gone. */
-TEST(ObjectStoreAdapter, ALostHistoryEndsTheWatchesOfBothKinds) {
-  longestWatch = seconds(60);
+/**
+ * A watch issued while the store lost its history never received another event, while the watch of
+ * the other kind got the error that the history is gone.
+ */
+TEST(ObjectStoreAdapter, ALostHistoryRenewsTheWatchesOfBothKinds) {
+  maxWatchDuration = seconds(60);
   setUp(4);
   start();
   setHost(5);
   CHECK_TRUE(followToActive(5));
-  // Since an outage, the watch for configurations has had nothing to answer.
-  setMood(test::StoreMood::kReset);
+  // Since an outage, the watch for configurations has had no event to return.
+  setResponseMode(test::StoreResponseMode::kReset);
   CHECK_TRUE(follow([this] { return adapter->status().failures >= 2; }));
-  setMood(test::StoreMood::kAnswering);
+  setResponseMode(test::StoreResponseMode::kAnswering);
   setHost(6);
   CHECK_TRUE(followToActive(6));
   std::this_thread::sleep_for(milliseconds(300));
-  store->objects().muteWaiting("config");
+  store->objects().muteWatches("config");
   store->objects().set("config", "main", configuration(5, "s-one", 3));
   store->objects().forgetHistory();
   CHECK_TRUE(follow([this] { return services.size() == 3; }));
 }
 
-/** Found on a day with 295 nodes: the store cut both watches and then dropped its history. Watches
- * that were made in between were accepted and heard nothing more. */
-TEST(ObjectStoreAdapter, AWatchThatFollowsOneThatWasCutOffIsMadeOnceMore) {
-  longestWatch = seconds(60);
+/**
+ * The store closed both watches and then dropped its history. Watches issued in between were
+ * accepted and never received another event. This occurred in a day experiment with 295 nodes.
+ */
+TEST(ObjectStoreAdapter, RenewsAWatchThatFollowsAFailedOne) {
+  maxWatchDuration = seconds(60);
   setUp(4);
   start();
   setHost(5);
   CHECK_TRUE(followToActive(5));
-  std::this_thread::sleep_for(milliseconds(300));  // Both watches wait.
-  setMood(test::StoreMood::kReset);
-  store->objects().endWaiting();
+  std::this_thread::sleep_for(milliseconds(300));  // Both watches are pending.
+  setResponseMode(test::StoreResponseMode::kReset);
+  store->objects().endWatches();
   CHECK_TRUE(follow([this] { return adapter->status().failures >= 2; }));
-  setMood(test::StoreMood::kAnswering);
+  setResponseMode(test::StoreResponseMode::kAnswering);
   const uint64_t watches = store->calls().watches;
   CHECK_TRUE(follow([&] { return store->calls().watches >= watches + 2; }));
   std::this_thread::sleep_for(milliseconds(50));
-  store->objects().muteWaiting("config");
-  store->objects().muteWaiting("servers");
+  store->objects().muteWatches("config");
+  store->objects().muteWatches("servers");
   store->objects().set("config", "main", configuration(5, "s-one", 3));
   store->objects().forgetHistory();
   CHECK_TRUE(follow([this] { return services.size() == 3; }));
 }
 
-TEST(ObjectStoreAdapter, WakesAWaitingWatchForAConfigurationAlone) {
+TEST(ObjectStoreAdapter, AConfigurationAloneEndsAPendingWatch) {
   setUp(1);
   start();
   std::thread writer([this] {
@@ -255,21 +265,21 @@
   const auto batch = adapter->watch(seen, seconds(20));
   writer.join();
   CHECK_TRUE(isOk(batch));
-  // The host's pool would be here too if its change had been needed to wake the call.
+  // If the call had returned only because the host changed, the host's pool would be included.
   LONGS_EQUAL(1, valueOf(batch).changes.size());
   STRCMP_EQUAL("r-1", std::get<Service>(valueOf(batch).changes[0]).name.c_str());
 }
 
 TEST(ObjectStoreAdapter, IsUnavailableUntilThereIsAConfiguration) {
   ObjectStoreOptions impatient = options();
-  impatient.firstListPatience = milliseconds(50);
+  impatient.firstListTimeout = milliseconds(50);
   adapter = std::make_unique<ObjectStoreAdapter>(impatient);
   CHECK_TRUE(errorOf(adapter->list()).code == StoreErrorCode::kUnavailable);
   setUp(1);
   CHECK_TRUE(follow([this] { return isOk(adapter->list()); }));
 }
 
-TEST(ObjectStoreAdapter, CatchesUpFromAListThatLags) {
+TEST(ObjectStoreAdapter, CatchesUpFromAStaleList) {
   setUp(4);
   store->objects().freezeStaleReads();
   setHost(4, "draining");
@@ -278,62 +288,62 @@
   CHECK_TRUE(follow([this] { return services.size() == 3 && active() == 3; }));
 }
 
-TEST(ObjectStoreAdapter, TakesNothingBackWhenTheHistoryIsGone) {
+TEST(ObjectStoreAdapter, RevertsNothingWhenTheHistoryIsLost) {
   setUp(8);
   start();
   store->objects().freezeStaleReads();
-  setMood(test::StoreMood::kBusy);
+  setResponseMode(test::StoreResponseMode::kBusy);
   setHost(9);
   store->objects().remove("servers", "i-1", 0);
   store->objects().set("config", "main", configuration(7, "s-one", 2));
   store->objects().forgetHistory();
-  setMood(test::StoreMood::kAnswering);
+  setResponseMode(test::StoreResponseMode::kAnswering);
   CHECK_TRUE(follow([this] {
     return services.size() == 2 && active() == 8 && pools["s-one"].hosts.size() == 9;
   }));
   CHECK_TRUE(store->calls().lists > 0);
 }
 
-TEST(ObjectStoreAdapter, KeepsHostsActiveThatABusyStoreForgotUntilTheyRegisterAnew) {
+TEST(ObjectStoreAdapter, KeepsHostsLostByABusyStoreActiveUntilTheyRegisterAgain) {
   setUp(4);
   start();
-  outage(test::StoreMood::kBusy);
+  outage(test::StoreResponseMode::kBusy);
   for (int index = 1; index <= 4; ++index) {
     setHost(index);
   }
   CHECK_FALSE(follow([this] { return active() < 4; }, seconds(2)));
 }
 
-TEST(ObjectStoreAdapter, DrainsHostsThatStayAwayAfterTheStoreWasSilent) {
+TEST(ObjectStoreAdapter, DrainsHostsThatDoNotRegisterAgainAfterAnOutage) {
   setUp(4);
   start();
-  outage(test::StoreMood::kSilent);
+  outage(test::StoreResponseMode::kSilent);
   setHost(1);
   setHost(2);
   CHECK_TRUE(followToActive(2));
   LONGS_EQUAL(4, pools["s-one"].hosts.size());
 }
 
-TEST(ObjectStoreAdapter, OpensFreshConnectionsAfterResets) {
+TEST(ObjectStoreAdapter, OpensNewConnectionsAfterResets) {
   setUp(4);
   start();
   const uint64_t connections = store->calls().connections;
-  setMood(test::StoreMood::kReset);
+  setResponseMode(test::StoreResponseMode::kReset);
   setHost(5);
   CHECK_TRUE(follow([this] { return adapter->status().failures > 2; }));
-  setMood(test::StoreMood::kAnswering);
+  setResponseMode(test::StoreResponseMode::kAnswering);
   CHECK_TRUE(followToActive(5));
   CHECK_TRUE(store->calls().connections > connections);
 }
 
-/** Nothing tells the node but its probes: connections stay, and a watch waits for a minute. */
-TEST(ObjectStoreAdapter, MakesWatchesAnewThatASilentStoreNeverAnswers) {
+/** Only probes can detect this: connections stay open, and a watch has a timeout of one minute. */
+TEST(ObjectStoreAdapter, ReissuesWatchesThatAnUnresponsiveStoreNeverAnswers) {
   livenessInterval = milliseconds(50);
-  longestWatch = seconds(60);
+  maxWatchDuration = seconds(60);
   setUp(4);
   start();
   test::StandinFaults faults;
-  faults.mood = test::StoreMood::kSilent;
+  faults.responseMode = test::StoreResponseMode::kSilent;
   faults.staysSilent = true;
   store->setFaults(faults);
   setHost(4, "draining");
@@ -346,28 +356,36 @@
   LONGS_EQUAL(0, adapter->status().failures);
 }
 
-/** Its connection says nothing further: without a probe the list would wait for its whole limit. */
-TEST(ObjectStoreAdapter, MakesAFirstListAnewThatASilentStoreNeverAnswers) {
+/**
+ * The connection stays open without data: without a probe, the list would wait for its full
+ * timeout.
+ */
+TEST(ObjectStoreAdapter, ReissuesAFirstListThatAnUnresponsiveStoreNeverAnswers) {
   livenessInterval = milliseconds(50);
   CHECK_TRUE(timeToStartAfterSilence(milliseconds(700)) < seconds(2));
 }
 
-/** The probes before and after are answered: nothing but the wait shows that the list is lost. */
-TEST(ObjectStoreAdapter, MakesAFirstListAnewThatFallsIntoASilenceBetweenTwoProbes) {
+/**
+ * The probes before and after the outage are answered; only the waiting time shows that the list is
+ * lost.
+ */
+TEST(ObjectStoreAdapter, ReissuesAFirstListLostBetweenTwoAnsweredProbes) {
   livenessInterval = milliseconds(700);
   CHECK_TRUE(timeToStartAfterSilence(milliseconds(200)) < seconds(5));
 }
 
-/** The peer is another store with the same objects: nodes answer each other in the store's form. */
-TEST(ObjectStoreAdapter, TellsPeersWhatItHoldsOnceItKnowsBothKinds) {
-  setMood(test::StoreMood::kReset);
+/**
+ * The peer uses another store with the same objects: nodes answer each other in the store's form.
+ */
+TEST(ObjectStoreAdapter, AnswersPeersOnceItKnowsBothKinds) {
+  setResponseMode(test::StoreResponseMode::kReset);
   adapter = std::make_unique<ObjectStoreAdapter>(options());
   CHECK_FALSE(adapter->answerPeer(kPeerHeldPath)->available);
   CHECK_FALSE(adapter->answerPeer(kPeerConfigurationPath)->available);
-  CHECK_FALSE(adapter->answerPeer(pathOf(HostCopyQuestion{5, 0}))->available);
+  CHECK_FALSE(adapter->answerPeer(pathOf(HostCopyRequest{5, 0}))->available);
   CHECK_FALSE(adapter->answerPeer("/other").has_value());
   adapter.reset();
-  setMood(test::StoreMood::kAnswering);
+  setResponseMode(test::StoreResponseMode::kAnswering);
   setUp(3);
   setHost(2, "draining");
   start();
@@ -379,7 +397,7 @@
   }
   LONGS_EQUAL(1, held.copy.parts);
   const auto part =
-      decodeHostCopyPart(adapter->answerPeer(pathOf(HostCopyQuestion{held.copy.version, 0}))->body);
+      decodeHostCopyPart(adapter->answerPeer(pathOf(HostCopyRequest{held.copy.version, 0}))->body);
   LONGS_EQUAL(3, valueOf(part).hosts.size());
   const HostEvent& second = valueOf(part).hosts[1];
   STRCMP_EQUAL("i-2", second.host.name.c_str());
@@ -389,38 +407,38 @@
   STRCMP_EQUAL("bole", second.host.zone.c_str());
   LONGS_EQUAL(2, second.host.slots);
   CHECK_TRUE(second.host.state == HostState::kDraining);
-  const auto text = expandPayload(adapter->answerPeer(kPeerConfigurationPath)->body);
+  const auto text = decompressPayload(adapter->answerPeer(kPeerConfigurationPath)->body);
   const auto config = decodePage(StoreKind::kConfiguration, valueOf(text));
-  const auto& told = std::get<Configuration>(valueOf(config).objects.at(0).specification);
-  LONGS_EQUAL(3, told.version);
-  LONGS_EQUAL(1, told.routes.size());
-  LONGS_EQUAL(8000, told.routes[0].listen.port);
-  STRCMP_EQUAL("s-one", told.routes[0].parts.at(0).service.c_str());
-  LONGS_EQUAL(2000, told.connectionLimits.at("s-one"));
-  CHECK_TRUE(told.idleTimeout == seconds(15));
+  const auto& decoded = std::get<Configuration>(valueOf(config).objects.at(0).specification);
+  LONGS_EQUAL(3, decoded.version);
+  LONGS_EQUAL(1, decoded.routes.size());
+  LONGS_EQUAL(8000, decoded.routes[0].listen.port);
+  STRCMP_EQUAL("s-one", decoded.routes[0].parts.at(0).service.c_str());
+  LONGS_EQUAL(2000, decoded.connectionLimits.at("s-one"));
+  CHECK_TRUE(decoded.idleTimeout == seconds(15));
 }
 
-/** Pools are made of all hosts: at 10,000 of them each time costs 5 ms of a core. */
-TEST(ObjectStoreAdapter, AListIsNotTranslatedWithEachOfItsPages) {
+/** Pools are rebuilt from all hosts, which takes 5 ms of CPU time for 10,000 hosts. */
+TEST(ObjectStoreAdapter, TranslatesAListOnceAndNotPerPage) {
   constexpr int kHosts = 30;
   constexpr uint64_t kPages = 10;
   setUp(kHosts);
   start();
   CHECK_TRUE(followToActive(kHosts));
   const uint64_t before = seen;
-  setMood(test::StoreMood::kBusy);
+  setResponseMode(test::StoreResponseMode::kBusy);
   for (int index = 1; index <= kHosts; ++index) {
     setHost(index, "draining");
   }
   store->objects().forgetHistory();
-  setMood(test::StoreMood::kAnswering);
+  setResponseMode(test::StoreResponseMode::kAnswering);
   CHECK_TRUE(followToActive(0));
-  // Every page changes the pool: translated with each of them there would be a version for each.
+  // Each page changes the pool, so translating it per page would create a version for each page.
   CHECK_TRUE(seen - before < kPages / 2);
 }
 
-/** No call is within the rate at first, so that no second's boundary can let one pass. */
-TEST(ObjectStoreAdapter, WaitsAndAsksAgainBeyondTheRate) {
+/** The rate limit is 0 at first, so that no call can pass at the boundary of a second. */
+TEST(ObjectStoreAdapter, RetriesCallsBeyondTheRateLimit) {
   setUp(2);
   test::StandinFaults faults;
   faults.readsPerSecond = 0;
@@ -455,7 +473,7 @@
   CHECK_TRUE(follow([this] { return adapter->status().unreadable == 2; }));
 }
 
-TEST(ObjectStoreAdapter, EndsWaitingCallsWhenStopped) {
+TEST(ObjectStoreAdapter, EndsPendingCallsWhenStopped) {
   setUp(1);
   start();
   adapter->stop();
--- a/test/support/simulated_cluster.cc
+++ b/test/support/simulated_cluster.cc
@@ -19,7 +19,7 @@
   return std::move(valueOf(ring));
 }
 
-/** @return the node that an endpoint of the simulated network belongs to. */
+/** @return the node at an endpoint of the simulated network. */
 NodeId nodeAt(const Endpoint& endpoint) {
   return NodeId{endpoint.address - kFirstAddress};
 }
@@ -83,7 +83,7 @@
   const std::deque<Frame> waiting = std::move(running.waiting);
   running.waiting.clear();
   for (const Frame& frame : waiting) {
-    take(running, frame);
+    processFrame(running, frame);
   }
   deliver();
 }
@@ -155,7 +155,7 @@
 }
 
 void SimulatedCluster::packet(NodeId id, const std::string& bytes) {
-  handOver(Frame{Frame::Kind::kFabric, NodeId{}, id, bytes, {}});
+  deliverFrame(Frame{Frame::Kind::kFabric, NodeId{}, id, bytes, {}});
   deliver();
 }
 
@@ -172,7 +172,7 @@
 }
 
 void SimulatedCluster::datagram(NodeId to, const std::string& bytes) {
-  handOver(Frame{Frame::Kind::kMessage, NodeId{}, to, bytes, {}});
+  deliverFrame(Frame{Frame::Kind::kMessage, NodeId{}, to, bytes, {}});
   deliver();
 }
 
@@ -193,11 +193,11 @@
   while (!inFlight_.empty() && inFlight_.begin()->first <= now_) {
     Frame frame = std::move(inFlight_.begin()->second);
     inFlight_.erase(inFlight_.begin());
-    handOver(std::move(frame));
+    deliverFrame(std::move(frame));
   }
 }
 
-void SimulatedCluster::handOver(Frame frame) {
+void SimulatedCluster::deliverFrame(Frame frame) {
   const auto running = nodes_.find(frame.to);
   if (running == nodes_.end()) {
     return;
@@ -206,10 +206,10 @@
     running->second.waiting.push_back(std::move(frame));
     return;
   }
-  take(running->second, frame);
+  processFrame(running->second, frame);
 }
 
-void SimulatedCluster::take(Running& running, const Frame& frame) {
+void SimulatedCluster::processFrame(Running& running, const Frame& frame) {
   switch (frame.kind) {
     case Frame::Kind::kMessage: {
       const auto envelope = running.outputs->opener.open(frame.bytes);
@@ -246,18 +246,18 @@
   }
 }
 
-void SimulatedCluster::Outputs::toHost(const Endpoint& host, std::string_view packet) {
+void SimulatedCluster::Outputs::sendToHost(const Endpoint& host, std::string_view packet) {
   cluster.toHosts_.push_back(SentPacket{self, host, std::string(packet)});
   if (cluster.hostObserver_) {
     cluster.hostObserver_(cluster.toHosts_.back());
   }
 }
 
-void SimulatedCluster::Outputs::toNode(const Endpoint& relay, std::string_view packet) {
+void SimulatedCluster::Outputs::sendToNode(const Endpoint& relay, std::string_view packet) {
   cluster.transmit(Frame{Frame::Kind::kRelayed, self, nodeAt(relay), std::string(packet), {}});
 }
 
-void SimulatedCluster::Outputs::toCaller(const Endpoint& /*caller*/, std::string_view packet) {
+void SimulatedCluster::Outputs::sendToCaller(const Endpoint& /*caller*/, std::string_view packet) {
   cluster.toCallers_.emplace_back(packet);
   if (cluster.callerObserver_) {
     cluster.callerObserver_(cluster.toCallers_.back());
