--- a/test/bench/experiment/process_group_test.cc
+++ b/test/bench/experiment/process_group_test.cc
@@ -19,6 +19,9 @@
 constexpr size_t kDescriptorsOfParent = 300;
 constexpr uint64_t kDescriptorsOfChild = 50;
 constexpr int kStarts = 30;
+constexpr std::chrono::milliseconds kMinSampling(50);
+/** A loaded machine may take longer than kMinSampling until a process executes its program. */
+constexpr std::chrono::seconds kExecuteTimeout(20);
 
 }  // namespace
 
@@ -32,10 +35,11 @@
   ProcessGroup group("/tmp");
   uint64_t most = 0;
   for (int start = 0; start < kStarts; ++start) {
-    group.start("sleeper", "/bin/sleep", {"5"});
+    group.start("sleeper", "/bin/sleep", {"60"});
     std::optional<umberhold::experiment::ProcessUsage> usage;
-    const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(50);
-    while (std::chrono::steady_clock::now() < end) {
+    const auto startedAt = std::chrono::steady_clock::now();
+    const auto elapsed = [startedAt] { return std::chrono::steady_clock::now() - startedAt; };
+    while (elapsed() < kMinSampling || (!usage && elapsed() < kExecuteTimeout)) {
       usage = group.usage("sleeper");
       most = std::max(most, usage ? usage->descriptors : 0);
     }
