--- a/bench/placement_sim/placement_sim_main.cc
+++ b/bench/placement_sim/placement_sim_main.cc
@@ -1,5 +1,5 @@
-/** @file Compares ways of placing flows: imbalance, exceptions and bytes. See docs/MEASUREMENTS.md.
- */
+/** @file Compares placement strategies by imbalance, exceptions and bytes sent. Results:
+ * docs/MEASUREMENTS.md. */
 #include <tclap/CmdLine.h>
 
 #include <cstdio>
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** New flows a second at one node of the design size. */
+/** New flows per second that one node is designed for. */
 constexpr double kDesignRate = 88.0;
 
 struct Scenario {
@@ -23,13 +23,13 @@
   return {flows, 600.0, 1.0, 0.0, 1800.0, 1200.0, 1.0};
 }
 
-/** Every new flow of the three owners' nodes belongs to this service. */
+/** Three owners whose nodes receive new flows of this service only, at the design rate. */
 Workload designChurn(double flows) {
   const double life = flows / (3.0 * kDesignRate);
   return {flows, life, 1.0, 0.0, 10.0 * life + 100.0, 300.0, 0.1};
 }
 
-Workload rushHour(double flows) {
+Workload risingRate(double flows) {
   return {flows, 600.0, 3.0, 0.0, 1800.0, 1200.0, 1.0};
 }
 
@@ -37,15 +37,15 @@
   return {flows, 600.0, 1.0, 3000.0, 1800.0, 10.0, 0.1};
 }
 
-void printRow(const Strategy& strategy, const char* knowledge, const SimResult& result) {
+void printRow(const Strategy& strategy, const char* sharing, const SimResult& result) {
   std::printf("| %-19s | %-8s | %.3f | %.3f | %5.1f%% | %4.0f | %5.0f | %3.0f |\n",
-              strategy.name.c_str(), knowledge, result.meanImbalance, result.worstImbalance,
-              result.exceptionShare * 100.0, result.replicationBytes, result.worstReplicationBytes,
-              result.shareBytes);
+              strategy.name.c_str(), sharing, result.meanImbalance, result.maxImbalance,
+              result.exceptionFraction * 100.0, result.replicationBytes, result.maxReplicationBytes,
+              result.loadShareBytes);
 }
 
 void printScenario(const Scenario& scenario, SimOptions options, bool productOnly) {
-  std::printf("\n%s, %.0f flows, mean life %.0f s, share every %.1f s\n\n", scenario.name,
+  std::printf("\n%s, %.0f flows, mean life %.0f s, LoadShare every %.1f s\n\n", scenario.name,
               scenario.workload.flows, scenario.workload.meanLife, options.shareInterval);
   std::printf(
       "| strategy            | shared   | mean  | worst | except. | B/s  | worst | share |\n");
@@ -60,18 +60,18 @@
     strategy.aging = ShareAging::kIgnoreOthers;
     options.shareInterval = 0.0;
     printRow(strategy, "none", simulate(strategy, scenario.workload, options));
-    if (strategy.rule == Rule::kPlainRendezvous) {
+    if (strategy.rule == PlacementRule::kPlainRendezvous) {
       continue;
     }
     options.shareInterval = interval;
     strategy.aging = ShareAging::kNone;
-    printRow(strategy, "as said", simulate(strategy, scenario.workload, options));
+    printRow(strategy, "as sent", simulate(strategy, scenario.workload, options));
     strategy.aging = ShareAging::kMeanLife;
     printRow(strategy, "aged", simulate(strategy, scenario.workload, options));
   }
 }
 
-/** What knowledge of the other owners is worth to the product's strategy. */
+/** Prints the effect of load reports from other owners, by interval, on the production strategy. */
 void printIntervals(const Scenario& scenario, SimOptions options) {
   std::printf("\n%s, %.0f flows, mean life %.0f s, adaptive bound\n\n", scenario.name,
               scenario.workload.flows, scenario.workload.meanLife);
@@ -84,9 +84,9 @@
       options.shareInterval = interval;
       const SimResult result = simulate(strategy, scenario.workload, options);
       std::printf("| %9.0f s | %-7s | %.3f | %.3f | %6.1f%% | %4.0f | %5.0f |\n", interval,
-                  aging == ShareAging::kNone ? "as said" : "aged", result.meanImbalance,
-                  result.worstImbalance, result.exceptionShare * 100.0, result.replicationBytes,
-                  result.shareBytes);
+                  aging == ShareAging::kNone ? "as sent" : "aged", result.meanImbalance,
+                  result.maxImbalance, result.exceptionFraction * 100.0, result.replicationBytes,
+                  result.loadShareBytes);
     }
   }
 }
@@ -94,13 +94,13 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  TCLAP::CmdLine command("Compares ways of placing flows", ' ', "1");
+  TCLAP::CmdLine command("Compares placement strategies", ' ', "1");
   TCLAP::ValueArg<double> interval("", "share-interval", "seconds between LoadShares", false, 10.0,
                                    "seconds", command);
   TCLAP::ValueArg<uint64_t> seed("", "seed", "seed of every run", false, 1, "number", command);
-  TCLAP::ValueArg<uint64_t> runs("", "runs", "runs of every row, with following seeds", false, 3,
+  TCLAP::ValueArg<uint64_t> runs("", "runs", "runs of every row, with consecutive seeds", false, 3,
                                  "number", command);
-  TCLAP::SwitchArg product("", "product", "only the rows of the product's strategy", command);
+  TCLAP::SwitchArg product("", "product", "only the rows of the production strategy", command);
   command.parse(argc, argv);
   SimOptions options;
   options.shareInterval = interval.getValue();
@@ -114,7 +114,7 @@
     printScenario({"slow churn", slowChurn(flows)}, options, product.getValue());
     printScenario({"design rate (88 new flows/s an owner)", designChurn(flows)}, options,
                   product.getValue());
-    printScenario({"rush hour (rate x 3 over 1200 s)", rushHour(flows)}, options,
+    printScenario({"rush hour (rate x 3 over 1200 s)", risingRate(flows)}, options,
                   product.getValue());
   }
   printScenario({"burst of 3,000 new flows/s", burst(3000.0)}, options, product.getValue());
--- a/bench/placement_sim/simulation.cc
+++ b/bench/placement_sim/simulation.cc
@@ -14,13 +14,13 @@
 
 /** IP and UDP headers of a datagram. */
 constexpr double kHeaderBytes = 28.0;
-/** Room for exceptions in one datagram. */
+/** Maximum number of message bytes in one datagram. */
 constexpr double kDatagramPayload = 1200.0;
-/** The log is sent once a second, and acknowledged once a second. */
-constexpr double kBytesWindow = 1.0;
+/** Seconds between two messages of an owner's replication log, each of which is acknowledged. */
+constexpr double kAppendInterval = 1.0;
 
-/** @return bytes of the message on the wire: codec, envelope and headers of every datagram it
- * needs. */
+/** @return number of bytes on the wire: the encoded message plus envelope and headers of every
+ * datagram it needs. */
 double wireBytes(MessageBody body) {
   const auto encoded = encode(Message{std::move(body)});
   const auto payload = static_cast<double>(valueOf(encoded).size());
@@ -29,22 +29,22 @@
 }
 
 struct Departure {
-  double at = 0.0;
+  double time = 0.0;
   uint16_t owner = 0;
   size_t host = 0;
   FlowHash flow;
   bool isException = false;
 
-  bool operator>(const Departure& other) const { return at > other.at; }
+  bool operator>(const Departure& other) const { return time > other.time; }
 };
 
 TimePoint timeOf(double seconds) {
   return TimePoint{Duration{static_cast<int64_t>((seconds + 1.0) * 1e6)}};
 }
 
-class Run {
+class PlacementSimulation {
  public:
-  Run(const Strategy& strategy, const Workload& workload, const SimOptions& options)
+  PlacementSimulation(const Strategy& strategy, const Workload& workload, const SimOptions& options)
       : workload_(workload), options_(options), random_(options.seed), counts_(options.hosts) {
     for (size_t index = 0; index < options.hosts; ++index) {
       hosts_.push_back({HostId{mixHash(options.seed, index)}, 255});
@@ -62,20 +62,20 @@
     double nextFill = 0.0;
     for (double filled = 0; filled < workload_.flows; ++filled) {
       nextFill += fillTime / workload_.flows;
-      advance(nextFill);
+      advanceTo(nextFill);
       arrive(nextFill);
     }
     double now = fillTime;
-    while (now < end()) {
+    while (now < endTime()) {
       now += exponential(1.0 / rateAt(now));
-      advance(std::min(now, end()));
+      advanceTo(std::min(now, endTime()));
       arrive(now);
     }
     return finish();
   }
 
  private:
-  double end() const { return workload_.warmUp + workload_.measured; }
+  double endTime() const { return workload_.warmUp + workload_.measured; }
   double exponential(double mean) {
     return std::exponential_distribution<double>(1.0 / mean)(random_.engine());
   }
@@ -114,23 +114,24 @@
     }
   }
 
-  /** Runs departures, shares and samples up to the instant, in order. */
-  void advance(double until) {
+  /** Processes departures, load reports, log messages and samples before `until`, in order of time.
+   */
+  void advanceTo(double until) {
     while (true) {
-      const double departure = departures_.empty() ? until : departures_.top().at;
-      const double next = std::min({departure, nextSample_, nextWindow_, nextShareAt()});
-      if (next >= until) {
+      const double nextDeparture = departures_.empty() ? until : departures_.top().time;
+      const double nextTime = std::min({nextDeparture, nextSample_, nextAppend_, nextShareAt()});
+      if (nextTime >= until) {
         return;
       }
-      if (next == departure) {
+      if (nextTime == nextDeparture) {
         depart(departures_.top());
         departures_.pop();
-      } else if (next == nextSample_) {
+      } else if (nextTime == nextSample_) {
         sample();
-      } else if (next == nextWindow_) {
-        closeWindow();
+      } else if (nextTime == nextAppend_) {
+        sendLogs();
       } else {
-        shareLoads(next);
+        shareLoads(nextTime);
       }
     }
   }
@@ -167,21 +168,21 @@
     for (const double count : counts_) {
       total += count;
     }
-    const double busiest = *std::max_element(counts_.begin(), counts_.end());
-    const double imbalance = busiest / (total / static_cast<double>(counts_.size()));
+    const double maxCount = *std::max_element(counts_.begin(), counts_.end());
+    const double imbalance = maxCount / (total / static_cast<double>(counts_.size()));
     imbalanceSum_ += imbalance;
     ++samples_;
-    worst_ = std::max(worst_, imbalance);
+    maxImbalance_ = std::max(maxImbalance_, imbalance);
   }
 
-  void closeWindow() {
-    const double now = nextWindow_;
-    nextWindow_ += kBytesWindow;
+  void sendLogs() {
+    const double now = nextAppend_;
+    nextAppend_ += kAppendInterval;
     for (ReplicaAppend& log : logs_) {
       if (now >= workload_.warmUp && !(log.added.empty() && log.removed.empty())) {
         const double sent = wireBytes(log) + wireBytes(ReplicaAck{});
         replicationBytes_ += sent;
-        worstBytes_ = std::max(worstBytes_, sent);
+        maxReplicationBytes_ = std::max(maxReplicationBytes_, sent);
       }
       log.added.clear();
       log.removed.clear();
@@ -191,13 +192,13 @@
   SimResult finish() const {
     SimResult result;
     result.meanImbalance = imbalanceSum_ / static_cast<double>(samples_);
-    result.worstImbalance = worst_;
-    result.exceptionShare = static_cast<double>(exceptions_) / static_cast<double>(arrivals_);
+    result.maxImbalance = maxImbalance_;
+    result.exceptionFraction = static_cast<double>(exceptions_) / static_cast<double>(arrivals_);
     result.replicationBytes = replicationBytes_ / workload_.measured / options_.owners;
-    result.worstReplicationBytes = worstBytes_;
+    result.maxReplicationBytes = maxReplicationBytes_;
     if (options_.shareInterval > 0.0) {
       const double message = wireBytes(owners_.front().makeShare());
-      result.shareBytes = message * (options_.owners - 1) / options_.shareInterval;
+      result.loadShareBytes = message * (options_.owners - 1) / options_.shareInterval;
     }
     return result;
   }
@@ -212,32 +213,33 @@
   std::vector<double> nextShare_;
   std::vector<ReplicaAppend> logs_;
   double nextSample_ = 0.0;
-  double nextWindow_ = 0.0;
+  double nextAppend_ = 0.0;
   double imbalanceSum_ = 0.0;
   uint64_t samples_ = 0;
-  double worst_ = 0.0;
+  double maxImbalance_ = 0.0;
   uint64_t arrivals_ = 0;
   uint64_t exceptions_ = 0;
   double replicationBytes_ = 0.0;
-  double worstBytes_ = 0.0;
+  double maxReplicationBytes_ = 0.0;
 };
 
 }  // namespace
 
 SimResult simulate(const Strategy& strategy, const Workload& workload, SimOptions options) {
-  SimResult all;
+  SimResult combined;
   const uint64_t first = options.seed;
   const auto runs = static_cast<double>(options.runs);
   for (options.seed = first; options.seed < first + options.runs; ++options.seed) {
-    const SimResult one = Run(strategy, workload, options).run();
-    all.meanImbalance += one.meanImbalance / runs;
-    all.worstImbalance = std::max(all.worstImbalance, one.worstImbalance);
-    all.exceptionShare += one.exceptionShare / runs;
-    all.replicationBytes += one.replicationBytes / runs;
-    all.worstReplicationBytes = std::max(all.worstReplicationBytes, one.worstReplicationBytes);
-    all.shareBytes = one.shareBytes;
+    const SimResult single = PlacementSimulation(strategy, workload, options).run();
+    combined.meanImbalance += single.meanImbalance / runs;
+    combined.maxImbalance = std::max(combined.maxImbalance, single.maxImbalance);
+    combined.exceptionFraction += single.exceptionFraction / runs;
+    combined.replicationBytes += single.replicationBytes / runs;
+    combined.maxReplicationBytes =
+        std::max(combined.maxReplicationBytes, single.maxReplicationBytes);
+    combined.loadShareBytes = single.loadShareBytes;
   }
-  return all;
+  return combined;
 }
 
 }  // namespace umberhold::placement_sim
--- a/bench/placement_sim/simulation.h
+++ b/bench/placement_sim/simulation.h
@@ -1,4 +1,4 @@
-/** @file One run of the placement simulation: flows come and go, owners place them. */
+/** @file Simulation of owners that place flows, for comparing placement strategies. */
 #pragma once
 
 #include <cstdint>
@@ -7,46 +7,48 @@
 
 namespace umberhold::placement_sim {
 
-/** How flows come. Lives are exponentially distributed. */
+/** Arrival and life of flows. Times are in seconds; lives are exponentially distributed. */
 struct Workload {
   /** Flows in the steady state. */
   double flows = 3000;
-  /** Mean life of a flow in seconds. */
+  /** Mean life of a flow. */
   double meanLife = 600;
-  /** The arrival rate grows linearly to this factor over the measured time (1 for steady). */
+  /** The arrival rate grows linearly to this multiple during the measured time; 1: constant. */
   double rampFactor = 1.0;
-  /** Arrivals a second are at least this (a burst); 0 for flows / meanLife. */
+  /** Minimum arrival rate per second during the measured time, for bursts; 0: no minimum. */
   double burstRate = 0.0;
-  /** Seconds before measuring starts, and measured seconds. */
+  /** Time before the measurement starts, and measured time. */
   double warmUp = 1800;
   double measured = 1200;
   double sampleInterval = 1.0;
 };
 
-/** The system around the owners. */
+/** Parameters of the simulated system and number of runs. */
 struct SimOptions {
   size_t hosts = 15;
   uint16_t owners = 3;
-  /** Seconds between two LoadShare messages of an owner; 0 for none. */
+  /** Seconds between two LoadShare messages of an owner; 0: none are sent. */
   double shareInterval = 10.0;
   uint64_t seed = 1;
-  /** Runs with following seeds; means are averaged, worst values are the worst of all. */
+  /** Number of runs, with consecutive seeds; the result has averages of means and maxima of maxima.
+   */
   uint64_t runs = 1;
 };
 
-/** What a run measured. Imbalance is the busiest host's flows over the mean. */
+/** Measurements. Imbalance is the maximum over the mean of flows per host. */
 struct SimResult {
   double meanImbalance = 0.0;
-  double worstImbalance = 0.0;
-  /** Part of the new flows that were exceptions. */
-  double exceptionShare = 0.0;
+  double maxImbalance = 0.0;
+  /** Fraction of the new flows that were placed as exceptions. */
+  double exceptionFraction = 0.0;
   /**
-   * Bytes/s on the wire of one owner, encoded as the product does: replication with the replica's
-   * acknowledgements (mean, and most in one second), load sharing with the other owners.
+   * Bytes/s on the wire of one owner, with the production encoding: replication including the
+   * replica's acknowledgements (mean, and maximum in one second), and load reports to the other
+   * owners.
    */
   double replicationBytes = 0.0;
-  double worstReplicationBytes = 0.0;
-  double shareBytes = 0.0;
+  double maxReplicationBytes = 0.0;
+  double loadShareBytes = 0.0;
 };
 
 SimResult simulate(const Strategy& strategy, const Workload& workload, SimOptions options);
--- a/bench/placement_sim/strategy.cc
+++ b/bench/placement_sim/strategy.cc
@@ -8,7 +8,7 @@
 namespace {
 
 Strategy bounded(std::string name, LoadBoundOptions bound) {
-  return {std::move(name), Rule::kBounded, bound, ShareAging::kMeanLife, {}};
+  return {std::move(name), PlacementRule::kBounded, bound, ShareAging::kMeanLife, {}};
 }
 
 LoadBoundOptions fixedBound(double factor, OverflowRule overflow) {
@@ -31,12 +31,12 @@
       loads_(strategy.aging),
       budget_(strategy.budget),
       conditions_(hosts.size()) {
-  std::vector<HostId> ids;
-  ids.reserve(hosts.size());
+  std::vector<HostId> hostIds;
+  hostIds.reserve(hosts.size());
   for (const BaseHost& host : hosts) {
-    ids.push_back(host.host);
+    hostIds.push_back(host.host);
   }
-  loads_.setHosts(ids);
+  loads_.setHosts(hostIds);
   loads_.addOwnShard(shard, {});
 }
 
@@ -72,13 +72,13 @@
   }
   const size_t defaultHost = bestHost(hosts_, flow);
   switch (strategy_.rule) {
-    case Rule::kPlainRendezvous:
+    case PlacementRule::kPlainRendezvous:
       return {defaultHost, false};
-    case Rule::kLeastOfTwo:
+    case PlacementRule::kLeastOfTwo:
       return leastOfTwo(flow, defaultHost);
-    case Rule::kLeastConnections:
+    case PlacementRule::kLeastConnections:
       return leastConnections(defaultHost);
-    case Rule::kBounded:
+    case PlacementRule::kBounded:
       break;
   }
   const auto choice =
@@ -100,15 +100,15 @@
 
 std::vector<Strategy> allStrategies() {
   std::vector<Strategy> strategies;
-  strategies.push_back({"plain rendezvous", Rule::kPlainRendezvous, {}, {}, {}});
-  strategies.push_back({"least of two", Rule::kLeastOfTwo, {}, {}, {}});
-  strategies.push_back({"least connections", Rule::kLeastConnections, {}, {}, {}});
+  strategies.push_back({"plain rendezvous", PlacementRule::kPlainRendezvous, {}, {}, {}});
+  strategies.push_back({"least of two", PlacementRule::kLeastOfTwo, {}, {}, {}});
+  strategies.push_back({"least connections", PlacementRule::kLeastConnections, {}, {}, {}});
   for (const OverflowRule overflow : {OverflowRule::kNextRanked, OverflowRule::kLeastLoaded}) {
-    const std::string to = overflow == OverflowRule::kNextRanked ? ", next" : ", least";
-    strategies.push_back(bounded("bound 1.10" + to, fixedBound(1.10, overflow)));
-    strategies.push_back(bounded("bound 1.05" + to, fixedBound(1.05, overflow)));
-    strategies.push_back(bounded("bound 1.02" + to, fixedBound(1.02, overflow)));
-    strategies.push_back(bounded("adaptive" + to, adaptiveBound(overflow)));
+    const std::string suffix = overflow == OverflowRule::kNextRanked ? ", next" : ", least";
+    strategies.push_back(bounded("bound 1.10" + suffix, fixedBound(1.10, overflow)));
+    strategies.push_back(bounded("bound 1.05" + suffix, fixedBound(1.05, overflow)));
+    strategies.push_back(bounded("bound 1.02" + suffix, fixedBound(1.02, overflow)));
+    strategies.push_back(bounded("adaptive" + suffix, adaptiveBound(overflow)));
   }
   return strategies;
 }
--- a/bench/placement_sim/strategy.h
+++ b/bench/placement_sim/strategy.h
@@ -1,4 +1,4 @@
-/** @file Ways of choosing hosts that the placement simulation compares. */
+/** @file Placement strategies that the simulation compares. */
 #pragma once
 
 #include <memory>
@@ -11,25 +11,27 @@
 
 namespace umberhold::placement_sim {
 
-/** The rule by which an owner chooses. */
-enum class Rule { kPlainRendezvous, kBounded, kLeastOfTwo, kLeastConnections };
+/** How an owner selects the host of a new flow. */
+enum class PlacementRule { kPlainRendezvous, kBounded, kLeastOfTwo, kLeastConnections };
 
 /** One row of the table. */
 struct Strategy {
   std::string name;
-  Rule rule = Rule::kPlainRendezvous;
+  PlacementRule rule = PlacementRule::kPlainRendezvous;
   LoadBoundOptions bound;
   ShareAging aging = ShareAging::kMeanLife;
   ExceptionBudgetOptions budget;
 };
 
-/** What an owner chose. */
+/** Placement of a flow; the host is an index. */
 struct SimChoice {
   size_t host = 0;
   bool isException = false;
 };
 
-/** One owner of one shard with the product's load table and bound. */
+/** Owner of one shard, with the production load table and load bound. Borrows its strategy and
+ * hosts.
+ */
 class SimOwner {
  public:
   SimOwner(const Strategy& strategy, const std::vector<BaseHost>& hosts, uint16_t shard);
@@ -54,7 +56,7 @@
   std::vector<HostCondition> conditions_;
 };
 
-/** @return the strategies of the table. */
+/** @return the strategies in the order of the table; the production default is last. */
 std::vector<Strategy> allStrategies();
 
 }  // namespace umberhold::placement_sim
