--- a/bench/limit_sim/limit_sim_main.cc
+++ b/bench/limit_sim/limit_sim_main.cc
@@ -1,4 +1,4 @@
-/** @file Compares ways of holding connection limits. See docs/decisions/0005-connection-limits.md.
+/** @file Compares ways to enforce connection limits. See docs/decisions/0005-connection-limits.md.
  */
 #include <tclap/CmdLine.h>
 
@@ -23,13 +23,13 @@
   return "";
 }
 
-const char* nameOf(OwnerEvents events) {
-  switch (events) {
-    case OwnerEvents::kNone:
+const char* nameOf(OwnerChanges ownerChanges) {
+  switch (ownerChanges) {
+    case OwnerChanges::kNone:
       return "none";
-    case OwnerEvents::kPlannedMoves:
+    case OwnerChanges::kPlannedHandovers:
       return "moves";
-    case OwnerEvents::kDeaths:
+    case OwnerChanges::kFailures:
       return "deaths";
   }
   return "";
@@ -37,18 +37,19 @@
 
 void printRow(const LimitOptions& options) {
   const LimitResult result = simulate(options);
-  const double falseShare =
-      100.0 * static_cast<double>(result.falselyRefused) / static_cast<double>(result.arrivals);
+  const double refusedBelowLimitPercent =
+      100.0 * static_cast<double>(result.refusedBelowLimit) / static_cast<double>(result.arrivals);
   std::printf("| %-13s | %-6s | %4.2f | %4.2f | %8lu | %7.2f%% | %5u | %5.1f%% | %4.0f | %4.0f |\n",
-              nameOf(options.mode), nameOf(options.events), options.load, options.firstShare,
-              static_cast<unsigned long>(result.refused), falseShare, result.worstOvershoot,
-              100.0 * result.overshootTime, result.permitBytes, result.shareBytes);
+              nameOf(options.mode), nameOf(options.ownerChanges), options.load,
+              options.firstShardFraction, static_cast<unsigned long>(result.refused),
+              refusedBelowLimitPercent, result.maxOvershoot, 100.0 * result.overshootFraction,
+              result.permitBytes, result.loadShareBytes);
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  TCLAP::CmdLine command("Compares ways of holding connection limits", ' ', "1");
+  TCLAP::CmdLine command("Compares ways to enforce connection limits", ' ', "1");
   TCLAP::ValueArg<uint64_t> seed("", "seed", "seed of every run", false, 1, "number", command);
   TCLAP::ValueArg<uint32_t> limit("", "limit", "connection limit of a host", false, 2000, "flows",
                                   command);
@@ -59,18 +60,18 @@
   std::printf(
       "|---------------|--------|------|------|----------|----------|-------|--------|"
       "------|------|\n");
-  for (const OwnerEvents events :
-       {OwnerEvents::kNone, OwnerEvents::kPlannedMoves, OwnerEvents::kDeaths}) {
+  for (const OwnerChanges ownerChanges :
+       {OwnerChanges::kNone, OwnerChanges::kPlannedHandovers, OwnerChanges::kFailures}) {
     for (const double load : {0.90, 0.98, 1.10}) {
-      for (const double first : {1.0 / 3.0, 0.5}) {
+      for (const double firstShardFraction : {1.0 / 3.0, 0.5}) {
         for (const ConnectionLimitMode mode :
              {ConnectionLimitMode::kStaticShares, ConnectionLimitMode::kLentPermits,
               ConnectionLimitMode::kUncoordinated}) {
           LimitOptions options;
           options.mode = mode;
-          options.events = events;
+          options.ownerChanges = ownerChanges;
           options.load = load;
-          options.firstShare = first;
+          options.firstShardFraction = firstShardFraction;
           options.connectionLimit = limit.getValue();
           options.seed = seed.getValue();
           printRow(options);
--- a/bench/limit_sim/limit_simulation.h
+++ b/bench/limit_sim/limit_simulation.h
@@ -1,5 +1,5 @@
-/** @file One run of the connection limit simulation: owners with the product's placement near their
- * limits. */
+/** @file Simulation of connection limits: owners run the production placement with hosts close to
+ * their limits. */
 #pragma once
 
 #include <cstdint>
@@ -8,38 +8,42 @@
 
 namespace umberhold::limit_sim {
 
-/** What happens to the owners during a run. */
-enum class OwnerEvents { kNone, kPlannedMoves, kDeaths };
+/** Changes of owners during a run. */
+enum class OwnerChanges { kNone, kPlannedHandovers, kFailures };
 
+/** Parameters of a run. */
 struct LimitOptions {
   ConnectionLimitMode mode = ConnectionLimitMode::kLentPermits;
-  OwnerEvents events = OwnerEvents::kNone;
-  /** Offered flows over the limits of all hosts together. */
+  OwnerChanges ownerChanges = OwnerChanges::kNone;
+  /** Offered flows as a fraction of the sum of the hosts' limits. */
   double load = 0.95;
-  /** Part of the new flows that come to shard 0; the other shards share the rest. */
-  double firstShare = 1.0 / 3.0;
+  /** Fraction of the new flows that belong to shard 0; the rest is divided equally among the other
+   * shards. */
+  double firstShardFraction = 1.0 / 3.0;
   size_t hosts = 15;
   uint32_t connectionLimit = 2000;
   uint16_t shards = 3;
-  /** Mean life of a flow and length of the run, in seconds. */
+  /** Mean life of a flow and duration of the run, in seconds. */
   double meanLife = 120.0;
   double duration = 600.0;
-  /** Part of the messages that are lost. */
+  /** Fraction of the messages that are lost. */
   double loss = 0.01;
   uint64_t seed = 1;
 };
 
+/** Measurements of a run. */
 struct LimitResult {
   uint64_t arrivals = 0;
   uint64_t refused = 0;
-  /** Refused although some host was under its limit over all owners. */
-  uint64_t falselyRefused = 0;
-  /** Most flows of a host above its limit, and the part of the time with any host above. */
-  uint32_t worstOvershoot = 0;
-  double overshootTime = 0.0;
-  /** Bytes/s of one owner for permits, and for load sharing with owners and replicas. */
+  /** Refused although the flows of all owners left some host below its limit. */
+  uint64_t refusedBelowLimit = 0;
+  /** Maximum number of flows of a host in excess of its limit, and fraction of the time during
+   * which any host exceeded its limit. */
+  uint32_t maxOvershoot = 0;
+  double overshootFraction = 0.0;
+  /** Bytes/s of one owner for permits, and for load reports to owners and replicas. */
   double permitBytes = 0.0;
-  double shareBytes = 0.0;
+  double loadShareBytes = 0.0;
 };
 
 LimitResult simulate(const LimitOptions& options);
