--- a/bench/load_model/load_day.h
+++ b/bench/load_model/load_day.h
@@ -110,8 +110,7 @@
 /** Results of a run. */
 struct LoadResult {
   OutcomeCounts all;
-  /** Requests issued during an event, by zone of the caller; in the order of LoadScenario::zones.
-   */
+  /** Requests issued during an event, by the caller's zone; in the order of LoadScenario::zones. */
   std::vector<OutcomeCounts> zones;
   /** Requests issued during an event, by kind; in the order of LoadScenario::kinds. */
   std::vector<OutcomeCounts> kinds;
--- a/bench/placement_sim/simulation.cc
+++ b/bench/placement_sim/simulation.cc
@@ -114,8 +114,7 @@
     }
   }
 
-  /** Processes departures, load reports, log messages and samples before `until`, in order of time.
-   */
+  /** Processes departures, load reports, log messages and samples before `until` in time order. */
   void advanceTo(double until) {
     while (true) {
       const double nextDeparture = departures_.empty() ? until : departures_.top().time;
--- a/bench/placement_sim/simulation.h
+++ b/bench/placement_sim/simulation.h
@@ -30,8 +30,7 @@
   /** Seconds between two LoadShare messages of an owner; 0: none are sent. */
   double shareInterval = 10.0;
   uint64_t seed = 1;
-  /** Number of runs, with consecutive seeds; the result has averages of means and maxima of maxima.
-   */
+  /** Number of runs, with consecutive seeds. Means are averaged; maxima are those of all runs. */
   uint64_t runs = 1;
 };
 
--- a/bench/placement_sim/strategy.h
+++ b/bench/placement_sim/strategy.h
@@ -29,8 +29,7 @@
   bool isException = false;
 };
 
-/** Owner of one shard, with the production load table and load bound. Borrows its strategy and
- * hosts.
+/** Owner of one shard, with the production load table and load bound. Borrows strategy and hosts.
  */
 class SimOwner {
  public:
