--- a/bench/flow_sim/flow_sim_main.cc
+++ b/bench/flow_sim/flow_sim_main.cc
@@ -1,5 +1,5 @@
-/** @file Broken flows and imbalance under planned and unplanned changes, product against baselines.
- */
+/** @file Measures broken flows and imbalance under planned and unplanned changes, for the
+ * production strategy and for baselines. */
 #include <tclap/CmdLine.h>
 
 #include <algorithm>
@@ -18,19 +18,20 @@
 constexpr uint32_t kZones = 3;
 constexpr uint32_t kHosts = 15;
 
-/** A UDP flow has no end but silence; far longer than the gaps between its packets. */
+/** UDP flows end only by this timeout; it is much longer than the gaps between their packets. */
 constexpr uint32_t kUdpIdleTimeoutSeconds = 60;
-/** A change must be effective everywhere within this time; then the drain counts. */
-constexpr Duration kInForce = std::chrono::seconds(1);
+/** Maximum time until a configuration change is effective on all nodes. A drain starts then, for
+ * the oracle. */
+constexpr Duration kMaxChangeDelay = std::chrono::seconds(1);
 
-/** What callers do and what for. */
-struct LoadShape {
+/** Traffic of the callers. */
+struct CallerWorkload {
   TransportProtocol protocol = TransportProtocol::kTcp;
   double flowsPerSecond = 100.0;
   Duration meanLife = std::chrono::seconds(60);
 };
 
-Service fleet(TransportProtocol protocol) {
+Service makeService(TransportProtocol protocol) {
   Service service;
   service.protocol = protocol;
   if (protocol == TransportProtocol::kUdp) {
@@ -53,13 +54,13 @@
   return node % kZones + 1;
 }
 
-/** One cell of the table. */
+/** One scenario of the table; every strategy has a row for it. */
 struct Scenario {
   std::string name;
   std::function<void(SimulatedRegion&)> run;
 };
 
-/** @return the node that owns shard `index`. */
+/** @return the node that owns shard `index`, or the first running node if there is no owner. */
 uint32_t ownerOf(const SimulatedRegion& region, uint16_t index) {
   for (const uint32_t id : region.runningNodes()) {
     for (const ShardStats& stats : region.director(id)
@@ -94,24 +95,28 @@
   killOwner(region);
 }
 
-/** The owner and its replica, 5 s apart: less than the replica's replacement may take. */
+/** Kills the replica of shard 0, and its owner 5 s later: replacing the replica may take longer. */
 void killReplicaThenOwner(SimulatedRegion& region) {
   const uint32_t owner = ownerOf(region, 0);
-  const auto named = region.director(owner)
-                         ? region.director(owner)->shardMap().lookup(ShardId{region.serviceId(), 0})
-                         : std::nullopt;
-  region.killNode(named && named->replica ? named->replica->value : owner % kNodes + 1);
+  const auto assignment =
+      region.director(owner)
+          ? region.director(owner)->shardMap().lookup(ShardId{region.serviceId(), 0})
+          : std::nullopt;
+  region.killNode(assignment && assignment->replica ? assignment->replica->value
+                                                    : owner % kNodes + 1);
   region.runFor(std::chrono::seconds(5));
   region.killNode(owner);
   region.runFor(std::chrono::seconds(20));
 }
 
-void killBothAtOnce(SimulatedRegion& region) {
+void killOwnerAndReplica(SimulatedRegion& region) {
   const uint32_t owner = ownerOf(region, 0);
-  const auto named = region.director(owner)
-                         ? region.director(owner)->shardMap().lookup(ShardId{region.serviceId(), 0})
-                         : std::nullopt;
-  region.killNode(named && named->replica ? named->replica->value : owner % kNodes + 1);
+  const auto assignment =
+      region.director(owner)
+          ? region.director(owner)->shardMap().lookup(ShardId{region.serviceId(), 0})
+          : std::nullopt;
+  region.killNode(assignment && assignment->replica ? assignment->replica->value
+                                                    : owner % kNodes + 1);
   region.killNode(owner);
   region.runFor(std::chrono::seconds(20));
 }
@@ -128,18 +133,18 @@
   region.runFor(std::chrono::seconds(30));
 }
 
-/** Drains the first hosts of the service. */
-void drain(SimulatedRegion& region, uint32_t hosts) {
+/** Starts to drain the first `hostCount` hosts of the service. */
+void drainHosts(SimulatedRegion& region, uint32_t hostCount) {
   Service service = region.service();
-  for (uint32_t index = 0; index < hosts; ++index) {
+  for (uint32_t index = 0; index < hostCount; ++index) {
     service.hosts[index].state = HostState::kDraining;
-    region.oracle().setDraining(service.hosts[index].endpoint, region.now() + kInForce);
+    region.oracle().setDraining(service.hosts[index].endpoint, region.now() + kMaxChangeDelay);
   }
   region.configure(service);
 }
 
-void replaceHosts(SimulatedRegion& region) {
-  drain(region, 3);
+void drainAndReplaceHosts(SimulatedRegion& region) {
+  drainHosts(region, 3);
   region.runFor(std::chrono::seconds(15));
   Service service = region.service();
   for (uint32_t index = 0; index < 3; ++index) {
@@ -152,30 +157,34 @@
   region.runFor(std::chrono::seconds(15));
 }
 
-void releaseWithDrain(SimulatedRegion& region) {
-  drain(region, 1);
+void restartWhileDraining(SimulatedRegion& region) {
+  drainHosts(region, 1);
   region.runFor(std::chrono::milliseconds(500));
   rollingRestart(region);
 }
 
-struct Figures {
+/** Measurements of a run. Bytes are per second and node on average unless stated otherwise. */
+struct ScenarioResult {
   uint64_t established = 0;
   uint64_t broken = 0;
-  /** New flows on a host that has drained for more than 3 s. */
+  /** New flows on a host whose drain started more than 3 s before; see Violation::Kind. */
   uint64_t newOnDraining = 0;
   double imbalance = 0.0;
-  double bytes = 0.0;
-  uint64_t peakBytes = 0;
-  /** Acknowledgements of the log, a node a second. */
+  /** Replication log. */
+  double replicationBytes = 0.0;
+  /** Maximum that one node sent in any second. */
+  uint64_t peakReplicationBytes = 0;
+  /** Acknowledgements of the replication log. */
   double acknowledgementBytes = 0.0;
-  /** The log alone, of the node that sent most of it, a second. */
-  double busiestBytes = 0.0;
+  /** Replication log without acknowledgements, bytes per second of the node that sent the most. */
+  double maxReplicationBytes = 0.0;
+  /** Takeovers and snapshots. */
   double snapshotBytes = 0.0;
   double loadBytes = 0.0;
 };
 
-Figures measure(const Scenario& scenario, FlowStrategy strategy, uint64_t seed,
-                const LoadShape& shape) {
+ScenarioResult measure(const Scenario& scenario, FlowStrategy strategy, uint64_t seed,
+                       const CallerWorkload& workload) {
   RegionOptions options;
   options.seed = seed;
   options.strategy = strategy;
@@ -184,76 +193,80 @@
     region.startNode(id, zoneOf(id));
   }
   region.runFor(std::chrono::seconds(2));
-  region.configure(fleet(shape.protocol));
+  region.configure(makeService(workload.protocol));
   region.runFor(std::chrono::seconds(3));
-  CallerLoadOptions load;
-  load.protocol = shape.protocol;
-  load.flowsPerSecond = shape.flowsPerSecond;
-  load.meanLife = shape.meanLife;
-  CallerLoad callers(region, load);
+  CallerLoadOptions loadOptions;
+  loadOptions.protocol = workload.protocol;
+  loadOptions.flowsPerSecond = workload.flowsPerSecond;
+  loadOptions.meanLife = workload.meanLife;
+  CallerLoad callers(region, loadOptions);
   callers.start();
   const TimePoint start = region.now();
-  region.runFor(shape.meanLife);
+  region.runFor(workload.meanLife);
   scenario.run(region);
-  Figures figures;
-  figures.imbalance = region.oracle().imbalance();
+  ScenarioResult result;
+  result.imbalance = region.oracle().imbalance();
   region.runFor(std::chrono::seconds(10));
   const double seconds = std::chrono::duration<double>(region.now() - start).count();
-  figures.established = region.oracle().established();
-  figures.broken = region.oracle().broken();
+  result.established = region.oracle().established();
+  result.broken = region.oracle().broken();
   const auto& violations = region.oracle().violations();
-  figures.newOnDraining = static_cast<uint64_t>(
+  result.newOnDraining = static_cast<uint64_t>(
       std::count_if(violations.begin(), violations.end(), [](const Violation& violation) {
         return violation.kind == Violation::Kind::kNewOnDraining;
       }));
-  figures.bytes = static_cast<double>(region.traffic().replicationBytes()) / seconds / kNodes;
-  figures.snapshotBytes = static_cast<double>(region.traffic().snapshotBytes()) / seconds / kNodes;
-  figures.acknowledgementBytes =
+  result.replicationBytes =
+      static_cast<double>(region.traffic().replicationBytes()) / seconds / kNodes;
+  result.snapshotBytes = static_cast<double>(region.traffic().snapshotBytes()) / seconds / kNodes;
+  result.acknowledgementBytes =
       static_cast<double>(region.traffic().acknowledgementBytes()) / seconds / kNodes;
-  figures.busiestBytes = static_cast<double>(region.traffic().busiestReplicationBytes()) / seconds;
-  figures.loadBytes = static_cast<double>(region.traffic().loadBytes()) / seconds / kNodes;
-  figures.peakBytes = region.traffic().peakReplicationBytes();
-  return figures;
+  result.maxReplicationBytes =
+      static_cast<double>(region.traffic().busiestReplicationBytes()) / seconds;
+  result.loadBytes = static_cast<double>(region.traffic().loadBytes()) / seconds / kNodes;
+  result.peakReplicationBytes = region.traffic().peakReplicationBytes();
+  return result;
 }
 
-void printRow(const char* scenario, const char* strategy, const Figures& figures) {
+void printRow(const char* scenario, const char* strategy, const ScenarioResult& result) {
   std::printf(
       "%-23s %-12s %8llu %7llu %8.3f%% %9llu %9.3f %10.0f %10llu %10.0f %10.0f %10.0f %10.0f\n",
-      scenario, strategy, static_cast<unsigned long long>(figures.established),
-      static_cast<unsigned long long>(figures.broken),
-      100.0 * static_cast<double>(figures.broken) /
-          static_cast<double>(std::max<uint64_t>(figures.established, 1)),
-      static_cast<unsigned long long>(figures.newOnDraining), figures.imbalance, figures.bytes,
-      static_cast<unsigned long long>(figures.peakBytes), figures.busiestBytes,
-      figures.acknowledgementBytes, figures.snapshotBytes, figures.loadBytes);
+      scenario, strategy, static_cast<unsigned long long>(result.established),
+      static_cast<unsigned long long>(result.broken),
+      100.0 * static_cast<double>(result.broken) /
+          static_cast<double>(std::max<uint64_t>(result.established, 1)),
+      static_cast<unsigned long long>(result.newOnDraining), result.imbalance,
+      result.replicationBytes, static_cast<unsigned long long>(result.peakReplicationBytes),
+      result.maxReplicationBytes, result.acknowledgementBytes, result.snapshotBytes,
+      result.loadBytes);
   std::fflush(stdout);
 }
 
 int run(int argc, char** argv) {
-  TCLAP::CmdLine command("Broken flows under change, simulated", ' ', "0.1");
+  TCLAP::CmdLine command("Simulates broken flows under change", ' ', "0.1");
   TCLAP::ValueArg<uint64_t> seed("", "seed", "seed of the run", false, 20261202, "number", command);
-  TCLAP::ValueArg<double> rate("", "rate", "new flows a second", false, 100.0, "number", command);
-  TCLAP::ValueArg<int> life("", "life", "mean life of a flow, seconds", false, 60, "number",
+  TCLAP::ValueArg<double> rate("", "rate", "new flows per second", false, 100.0, "number", command);
+  TCLAP::ValueArg<int> life("", "life", "mean life of a flow in seconds", false, 60, "number",
                             command);
   std::vector<std::string> protocolNames = {"tcp", "udp"};
   TCLAP::ValuesConstraint<std::string> protocols(protocolNames);
   TCLAP::ValueArg<std::string> protocol("", "protocol", "protocol of the flows", false, "tcp",
                                         &protocols, command);
-  TCLAP::ValueArg<std::string> only("", "only", "run one scenario", false, "", "name", command);
+  TCLAP::ValueArg<std::string> only("", "only", "run only this scenario", false, "", "name",
+                                    command);
   command.parse(argc, argv);
 
-  const LoadShape shape{
+  const CallerWorkload workload{
       protocol.getValue() == "udp" ? TransportProtocol::kUdp : TransportProtocol::kTcp,
       rate.getValue(), std::chrono::seconds(life.getValue())};
   const std::vector<Scenario> scenarios = {
       {"steady", [](SimulatedRegion& region) { region.runFor(std::chrono::seconds(20)); }},
       {"rolling-restart", rollingRestart},
-      {"drain-and-replace", replaceHosts},
-      {"restart-while-draining", releaseWithDrain},
+      {"drain-and-replace", drainAndReplaceHosts},
+      {"restart-while-draining", restartWhileDraining},
       {"kill-owner", killOwner},
       {"kill-two-in-a-row", killOwnerTwice},
       {"kill-replica-then-owner", killReplicaThenOwner},
-      {"kill-both-at-once", killBothAtOnce},
+      {"kill-both-at-once", killOwnerAndReplica},
       {"pause-owner-8s", pauseOwner},
       {"cut-zone-30s", cutZone},
   };
@@ -272,7 +285,7 @@
         {"plain-hash", FlowStrategy::kPlainHash},
         {"local-table", FlowStrategy::kLocalTable}};
     for (const auto& [name, strategy] : strategies) {
-      printRow(scenario.name.c_str(), name, measure(scenario, strategy, seed.getValue(), shape));
+      printRow(scenario.name.c_str(), name, measure(scenario, strategy, seed.getValue(), workload));
     }
   }
   return 0;
--- a/bench/placement_benchmark.cc
+++ b/bench/placement_benchmark.cc
@@ -1,4 +1,5 @@
-/** @file Speed of rendezvous hashing, of the base table and of a whole choice. */
+/** @file Benchmarks of rendezvous hashing, the base table and a complete placement decision, by
+ * number of hosts. */
 #include <benchmark/benchmark.h>
 
 #include <string>
