--- a/bench/load_model/load_model.cc
+++ b/bench/load_model/load_model.cc
@@ -123,7 +123,7 @@
       now_ = event.time;
       event.callback();
     }
-    computeTotals();
+    computeHostTotals();
     return result_;
   }
 
@@ -175,7 +175,7 @@
     }
     for (const LoadZone& zone : scenario_.zones) {
       auto& nodes = nodes_.emplace_back();
-      ackStates_.emplace_back(zone.nodes);
+      ackStateCollectors_.emplace_back(zone.nodes);
       zoneSilence_.emplace_back();
       for (uint32_t index = 0; index < zone.nodes; ++index) {
         TokenOptions options;
@@ -347,7 +347,7 @@
   void exchangeSilentHosts() {
     for (size_t zone = 0; scenario_.sharesSilentHosts && zone < nodes_.size(); ++zone) {
       for (size_t index = 0; index < nodes_[zone].size(); ++index) {
-        AckStateCollector& collector = ackStates_[zone][index];
+        AckStateCollector& collector = ackStateCollectors_[zone][index];
         collector.add(nodes_[zone][index]->takeAckStates());
         zoneSilence_[zone].merge(now(), index, collector.take(now()));
         nodes_[zone][index]->applySilentHosts(now(), zoneSilence_[zone].silentHosts(now()));
@@ -601,20 +601,21 @@
     const size_t caller = request.caller;
     scheduleAt(now_ + pause, [this, caller] { issueRequest(caller); });
   }
-  void computeTotals() {
+  void computeHostTotals() {
     uint64_t maxArrivals = 0;
     uint64_t totalArrivals = 0;
-    uint64_t count = 0;
+    uint64_t activeHosts = 0;
     for (const Host& host : hosts_) {
       if (!host.leaving && !host.dead) {
         maxArrivals = std::max(maxArrivals, host.arrivals);
         totalArrivals += host.arrivals;
-        ++count;
+        ++activeHosts;
       }
     }
-    result_.maxToMeanArrivals = totalArrivals == 0 ? 1.0
-                                                   : static_cast<double>(maxArrivals * count) /
-                                                         static_cast<double>(totalArrivals);
+    result_.maxToMeanArrivals =
+        totalArrivals == 0
+            ? 1.0
+            : static_cast<double>(maxArrivals * activeHosts) / static_cast<double>(totalArrivals);
     result_.otherZoneFraction = openedFlows_ == 0 ? 0.0
                                                   : static_cast<double>(otherZoneFlows_) /
                                                         static_cast<double>(openedFlows_);
@@ -632,7 +633,7 @@
   std::vector<Host> hosts_;
   std::unordered_map<uint32_t, size_t> hostByToken_;
   std::vector<std::vector<std::unique_ptr<TokenDirector>>> nodes_;
-  std::vector<std::vector<AckStateCollector>> ackStates_;
+  std::vector<std::vector<AckStateCollector>> ackStateCollectors_;
   std::vector<ZoneSilence> zoneSilence_;
   std::deque<Caller> callers_;
   std::deque<Request> requests_;
