--- a/test/integration/umberholdctl_test.cc
+++ b/test/integration/umberholdctl_test.cc
@@ -1,6 +1,6 @@
 /**
- * @file The program umberholdctl against the admin API over HTTP, with the stand-in store behind
- * it. What the node knows is faked; everything else is the product's.
+ * @file Tests the program umberholdctl against the admin API over HTTP, backed by the stand-in
+ * store. The node status is a fake; all other parts are production code.
  */
 #include <Poco/Pipe.h>
 #include <Poco/PipeStream.h>
@@ -37,9 +37,10 @@
   return folder != nullptr ? folder : "source";
 }
 
-/** What a run of the program gave. */
-struct Run {
+/** Result of a finished run of the program. */
+struct ProgramResult {
   ExitStatus status = ExitStatus::kOk;
+  /** Standard output and standard error. */
   std::string output;
 };
 
@@ -54,7 +55,7 @@
   LuaPolicyEngine policies;
   AdminApi api{"secret", store, changes, node, policies, clock};
   std::unique_ptr<HttpServer> server;
-  std::string example = binaryFolder() + "/../../examples/services/dispatch.toml";
+  std::string exampleFile = binaryFolder() + "/../../examples/services/dispatch.toml";
 
   static CallLimits callLimits() {
     CallLimits limits;
@@ -76,47 +77,48 @@
     server = std::move(valueOf(started));
   }
 
-  Run run(std::vector<std::string> words, const std::string& token = "umberholdctl_test.token") {
-    const std::vector<std::string> common = {"--server",     toString(server->local()),
-                                             "--timeout",    "3",
-                                             "--author",     "tester",
-                                             "--token-file", token};
-    words.insert(words.end(), common.begin(), common.end());
-    Poco::Pipe output;
-    const Poco::ProcessHandle handle =
-        Poco::Process::launch(binaryFolder() + "/umberholdctl", words, nullptr, &output, &output);
-    Poco::PipeInputStream stream(output);
-    Run result;
+  ProgramResult run(std::vector<std::string> arguments,
+                    const std::string& tokenFile = "umberholdctl_test.token") {
+    const std::vector<std::string> commonArguments = {"--server",     toString(server->local()),
+                                                      "--timeout",    "3",
+                                                      "--author",     "tester",
+                                                      "--token-file", tokenFile};
+    arguments.insert(arguments.end(), commonArguments.begin(), commonArguments.end());
+    Poco::Pipe outputPipe;
+    const Poco::ProcessHandle handle = Poco::Process::launch(
+        binaryFolder() + "/umberholdctl", arguments, nullptr, &outputPipe, &outputPipe);
+    Poco::PipeInputStream stream(outputPipe);
+    ProgramResult result;
     Poco::StreamCopier::copyToString(stream, result.output);
     result.status = static_cast<ExitStatus>(handle.wait());
     return result;
   }
-  /** Writes the document with another value of one key. */
+  /** Writes the document to umberholdctl_test.json with another idle timeout. */
   void writeWithIdleTimeout(std::string document, const std::string& seconds) {
-    const std::string before = "\"idle_timeout_seconds\": 86400";
-    const size_t place = document.find(before);
-    CHECK_TRUE(place != std::string::npos);
-    document.replace(place, before.size(), "\"idle_timeout_seconds\": " + seconds);
+    const std::string oldEntry = "\"idle_timeout_seconds\": 86400";
+    const size_t position = document.find(oldEntry);
+    CHECK_TRUE(position != std::string::npos);
+    document.replace(position, oldEntry.size(), "\"idle_timeout_seconds\": " + seconds);
     std::ofstream("umberholdctl_test.json") << document;
   }
-  void expect(ExitStatus status, const std::string& part, const Run& result) {
+  void expect(ExitStatus status, const std::string& outputPart, const ProgramResult& result) {
     CHECK_EQUAL(static_cast<int>(status), static_cast<int>(result.status));
-    STRCMP_CONTAINS(part.c_str(), result.output.c_str());
+    STRCMP_CONTAINS(outputPart.c_str(), result.output.c_str());
   }
 };
 
-TEST(UmberholdCtl, AppliesTheExampleAndShowsItAndItsHistory) {
-  expect(ExitStatus::kOk, "service/dispatch: new", run({"apply", "-f", example, "--dry-run"}));
-  const Run applied = run({"apply", "-f", example});
+TEST(UmberholdCtl, AppliesExampleAndShowsItWithHistory) {
+  expect(ExitStatus::kOk, "service/dispatch: new", run({"apply", "-f", exampleFile, "--dry-run"}));
+  const ProgramResult applied = run({"apply", "-f", exampleFile});
   expect(ExitStatus::kOk, "policy/spread-by-load: accepted", applied);
   expect(ExitStatus::kOk, "service/dispatch: accepted", applied);
-  expect(ExitStatus::kOk, "service/dispatch: unchanged", run({"apply", "-f", example}));
+  expect(ExitStatus::kOk, "service/dispatch: unchanged", run({"apply", "-f", exampleFile}));
   expect(ExitStatus::kOk, "10.1.2.10:6080", run({"describe", "service", "dispatch"}));
   expect(ExitStatus::kOk, "tester", run({"history", "service", "dispatch"}));
 }
 
-TEST(UmberholdCtl, WhatGetPrintsCanBeEditedAndAppliedOnce) {
-  run({"apply", "-f", example});
+TEST(UmberholdCtl, GetOutputCanBeEditedAndAppliedOnlyOnce) {
+  run({"apply", "-f", exampleFile});
   const std::string printed = run({"get", "service", "dispatch"}).output;
   writeWithIdleTimeout(printed, "3600");
   expect(ExitStatus::kOk, "idle_timeout_seconds: 86400 -> 3600",
@@ -126,7 +128,7 @@
          run({"apply", "-f", "umberholdctl_test.json"}));
 }
 
-TEST(UmberholdCtl, TellsFailuresApartByItsExitStatus) {
+TEST(UmberholdCtl, ExitStatusDistinguishesFailures) {
   expect(ExitStatus::kUsage, "unknown command", run({"frobnicate"}));
   expect(ExitStatus::kUsage, "token", run({"status"}, "no-such-file"));
   expect(ExitStatus::kNotFound, "not_found", run({"get", "service", "nobody"}));
@@ -136,24 +138,24 @@
   expect(ExitStatus::kNotAuthorized, "unauthorized", run({"status"}, "umberholdctl_test.other"));
 }
 
-TEST(UmberholdCtl, ALostAnswerOfTheStoreIsResolved) {
+TEST(UmberholdCtl, ApplySucceedsAfterLostStoreResponses) {
   standins::FaultSettings faults;
   faults.loseAnswersNext = 2;
   platform.setFaults(faults);
-  expect(ExitStatus::kOk, "service/dispatch: accepted", run({"apply", "-f", example}));
+  expect(ExitStatus::kOk, "service/dispatch: accepted", run({"apply", "-f", exampleFile}));
 }
 
-TEST(UmberholdCtl, AStoreThatIsDownIsUnavailableAndNothingIsRun) {
+TEST(UmberholdCtl, ApplyToUnavailableStoreChangesNothing) {
   standins::FaultSettings faults;
   faults.outage = standins::Outage::kRefused;
   platform.setFaults(faults);
-  expect(ExitStatus::kUnavailable, "unavailable", run({"apply", "-f", example}));
+  expect(ExitStatus::kUnavailable, "unavailable", run({"apply", "-f", exampleFile}));
   platform.setFaults({});
-  expect(ExitStatus::kOk, "accepted", run({"apply", "-f", example}));
+  expect(ExitStatus::kOk, "accepted", run({"apply", "-f", exampleFile}));
 }
 
-TEST(UmberholdCtl, DrainsAHostAndRemovesItOnlyAfterItsDeadline) {
-  run({"apply", "-f", example});
+TEST(UmberholdCtl, RejectsDeleteWhileHostDrainsUnlessForced) {
+  run({"apply", "-f", exampleFile});
   expect(ExitStatus::kOk, "accepted",
          run({"drain", "dispatch", "dispatch-1", "--deadline", "3600"}));
   expect(ExitStatus::kOk, "draining", run({"describe", "service", "dispatch"}));
