--- a/bench/control_sim/byte_account.h
+++ b/bench/control_sim/byte_account.h
@@ -1,4 +1,4 @@
-/** @file Bytes on the wire per node: by class, in total and in the busiest window. */
+/** @file Counts the bytes on the wire of one node, by purpose, in total and per time window. */
 #pragma once
 
 #include <array>
@@ -9,13 +9,12 @@
 
 namespace umberhold {
 
-/** Envelope (wire/envelope.h) plus IP and UDP headers of one datagram. */
+/** Bytes of the envelope (wire/envelope.h) plus the IP and UDP headers of one datagram. */
 constexpr uint64_t kDatagramOverhead = 50 + 28;
 
-/** Purposes that are distinguished in the tables. */
+/** Purpose of a message, as printed in the tables. */
 enum class ByteClass : uint8_t { kMembership, kSpread, kCoverage, kCount };
 
-/** @return the purpose of a message. */
 inline ByteClass byteClassOf(const Message& message) {
   constexpr size_t kFirstMembership = 0;
   constexpr size_t kLastMembership = 4;
@@ -30,45 +29,48 @@
       std::holds_alternative<MemberQuery>(message.body)) {
     return ByteClass::kMembership;
   }
-  const bool coverage = std::holds_alternative<CoverageReport>(message.body) ||
-                        std::holds_alternative<CoverageQuery>(message.body) ||
-                        std::holds_alternative<CoverageSummary>(message.body);
-  return coverage ? ByteClass::kCoverage : ByteClass::kSpread;
+  const bool isCoverage = std::holds_alternative<CoverageReport>(message.body) ||
+                          std::holds_alternative<CoverageQuery>(message.body) ||
+                          std::holds_alternative<CoverageSummary>(message.body);
+  return isCoverage ? ByteClass::kCoverage : ByteClass::kSpread;
 }
 
-/** @return the bytes of the message as one datagram. */
+/** @return the size of the message on the wire if it is sent as one datagram, bytes. */
 inline uint64_t datagramBytes(const Message& message) {
   const auto encoded = encode(message);
   return (isOk(encoded) ? valueOf(encoded).size() : 0) + kDatagramOverhead;
 }
 
-/** What one node has sent and received. */
+/** Bytes that one node sent and received. */
 struct ByteAccount {
   std::array<uint64_t, static_cast<size_t>(ByteClass::kCount)> sent{};
   uint64_t received = 0;
-  /** Sent and received in the window that runs now, and in the busiest one so far. */
-  uint64_t window = 0;
-  uint64_t busiestWindow = 0;
-  uint64_t busiestSent = 0;
+  /** Sent and received in the current window. */
+  uint64_t windowTotal = 0;
+  /** Maximum of windowTotal over the counted windows. */
+  uint64_t maxWindowTotal = 0;
+  /** Maximum of windowSent over the counted windows. */
+  uint64_t maxWindowSent = 0;
+  /** Sent in the current window. */
   uint64_t windowSent = 0;
 
   uint64_t totalSent() const { return sent[0] + sent[1] + sent[2]; }
   void addSent(ByteClass byteClass, uint64_t bytes) {
     sent[static_cast<size_t>(byteClass)] += bytes;
-    window += bytes;
+    windowTotal += bytes;
     windowSent += bytes;
   }
   void addReceived(uint64_t bytes) {
     received += bytes;
-    window += bytes;
+    windowTotal += bytes;
   }
-  /** @param counts whether the node is past its start, so that the window counts. */
-  void closeWindow(bool counts) {
-    if (counts) {
-      busiestWindow = std::max(busiestWindow, window);
-      busiestSent = std::max(busiestSent, windowSent);
+  /** Begins a new window. @param isCounted whether the maxima include the ended one. */
+  void closeWindow(bool isCounted) {
+    if (isCounted) {
+      maxWindowTotal = std::max(maxWindowTotal, windowTotal);
+      maxWindowSent = std::max(maxWindowSent, windowSent);
     }
-    window = 0;
+    windowTotal = 0;
     windowSent = 0;
   }
 };
--- a/bench/control_sim/region_simulation.cc
+++ b/bench/control_sim/region_simulation.cc
@@ -11,22 +11,27 @@
 
 constexpr Duration kTick = std::chrono::milliseconds(10);
 constexpr Duration kWindow = std::chrono::seconds(10);
+/** Windows that begin within this time after a node's start are not counted in its maxima. */
 constexpr Duration kStartTime = std::chrono::seconds(30);
+/** Time that a stopped node takes until it starts again. */
 constexpr Duration kRestartTime = std::chrono::seconds(5);
+/** Time from the announcement of a planned stop until the node stops. */
 constexpr Duration kLeaveTime = std::chrono::seconds(3);
 constexpr Duration kCrashSpacing = std::chrono::seconds(20);
 constexpr double kChangesPerSecond = 0.22;
-/** 24,000 restarts a day over 17,000 nodes. */
-constexpr double kRestartsPerNodeSecond = 24000.0 / 86400.0 / 17000.0;
+/** 24,000 restarts a day among 17,000 nodes. */
+constexpr double kRestartsPerNodeAndSecond = 24000.0 / 86400.0 / 17000.0;
 constexpr uint32_t kZones = 3;
-constexpr uint32_t kSeeds = 3;
+constexpr uint32_t kSeedNodes = 3;
+/** Id of the node that publishes records. */
 constexpr uint32_t kReader = 1;
 
 double secondsOf(Duration span) {
   return std::chrono::duration<double>(span).count();
 }
 
-double cpuNow() {
+/** @return the CPU time that this process has used, s. */
+double cpuSecondsOfProcess() {
   timespec now{};
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &now);
   return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) * 1e-9;
@@ -47,19 +52,19 @@
 
 }  // namespace
 
-double Times::mean() const {
+double Durations::mean() const {
   return seconds.empty() ? 0
                          : std::accumulate(seconds.begin(), seconds.end(), 0.0) /
                                static_cast<double>(seconds.size());
 }
 
-double Times::worst() const {
+double Durations::maximum() const {
   return seconds.empty() ? 0 : *std::max_element(seconds.begin(), seconds.end());
 }
 
-/** A simulated process and its observers. */
+/** A simulated process; observes its own member list and record store. */
 struct RegionSimulation::Node : MembershipObserver, RecordObserver {
-  explicit Node(RegionSimulation& owner) : simulation(owner) {}
+  explicit Node(RegionSimulation& parent) : simulation(parent) {}
 
   void onMemberChanged(const Member& member) override {
     if (member.state != MemberState::kDead || !simulation.measuring_) {
@@ -71,7 +76,7 @@
     }
   }
   void onRecordApplied(const ConfigRecord& record) override {
-    for (Change& change : simulation.changes_) {
+    for (PublishedChange& change : simulation.changes_) {
       if (change.version == record.version && change.missing.erase(id) > 0) {
         simulation.report_.applied.seconds.push_back(
             secondsOf(simulation.network_.now() - change.publishedAt));
@@ -100,13 +105,13 @@
   if (!measuring_) {
     return;
   }
-  const double began = cpuNow();
+  const double startCpuSeconds = cpuSecondsOfProcess();
   const uint64_t bytes = datagramBytes(message);
   nodes_.at(from.value)->bytes.addSent(byteClassOf(message), bytes);
   if (const auto receiver = nodes_.find(to.value); receiver != nodes_.end()) {
     receiver->second->bytes.addReceived(bytes);
   }
-  cpuSeconds_ -= cpuNow() - began;
+  cpuSeconds_ -= cpuSecondsOfProcess() - startCpuSeconds;
 }
 
 void RegionSimulation::start(uint32_t id, uint64_t incarnation, MemberState state) {
@@ -120,18 +125,18 @@
   const Member self = memberOf(id, incarnation, state);
   MessageSink& sink =
       network_.attach(self.id, self.controlEndpoint(),
-                      [this, owner = node.get()](TimePoint now, const Endpoint& from, NodeId sender,
-                                                 const Message& message) {
-                        const double began = cpuNow();
-                        owner->control->onMessage(now, from, sender, message);
-                        cpuSeconds_ += cpuNow() - began;
+                      [this, receiver = node.get()](TimePoint now, const Endpoint& from,
+                                                    NodeId sender, const Message& message) {
+                        const double startCpuSeconds = cpuSecondsOfProcess();
+                        receiver->control->onMessage(now, from, sender, message);
+                        cpuSeconds_ += cpuSecondsOfProcess() - startCpuSeconds;
                       });
   node->control =
       std::make_unique<ControlNode>(self, random_.below(UINT64_MAX), sink, options_.spread);
   node->control->detector.addObserver(node.get());
   node->control->store.addObserver(node.get());
   std::vector<Endpoint> seeds;
-  for (uint32_t seed = 1; seed <= kSeeds; ++seed) {
+  for (uint32_t seed = 1; seed <= kSeedNodes; ++seed) {
     seeds.push_back(memberOf(seed, 1).controlEndpoint());
   }
   node->control->detector.start(network_.now(), seeds);
@@ -140,24 +145,24 @@
 void RegionSimulation::stop(Node& node) {
   node.running = false;
   network_.detach(memberOf(node.id, 1).controlEndpoint());
-  for (Change& change : changes_) {
+  for (PublishedChange& change : changes_) {
     change.missing.erase(node.id);
   }
 }
 
 void RegionSimulation::step() {
   network_.advanceTo(network_.now() + kTick);
-  const double began = cpuNow();
+  const double startCpuSeconds = cpuSecondsOfProcess();
   for (auto& [id, node] : nodes_) {
     if (node->running) {
       node->control->tick(network_.now());
     }
   }
-  cpuSeconds_ += cpuNow() - began;
-  bringBack();
+  cpuSeconds_ += cpuSecondsOfProcess() - startCpuSeconds;
+  restartDueNodes();
   checkChanges();
-  if (network_.now() >= nextWindow_) {
-    nextWindow_ += kWindow;
+  if (network_.now() >= windowEnd_) {
+    windowEnd_ += kWindow;
     closeWindows();
   }
 }
@@ -171,23 +176,24 @@
 
 void RegionSimulation::closeWindows() {
   for (auto& [id, node] : nodes_) {
-    const bool counts = node->running && network_.now() - node->startedAt >= kStartTime + kWindow;
-    node->bytes.closeWindow(measuring_ && counts);
+    const bool isCounted =
+        node->running && network_.now() - node->startedAt >= kStartTime + kWindow;
+    node->bytes.closeWindow(measuring_ && isCounted);
   }
 }
 
 /**
- * The region begins settled: every node is given the members and records that it would have
- * fetched. Nodes that restart later fetch them by themselves.
+ * Starts the region in a converged state: every node receives the members and records that it would
+ * have fetched. Nodes that restart later fetch them over the network.
  */
-void RegionSimulation::startAll() {
+void RegionSimulation::startRegion() {
   JoinReply members;
   for (uint32_t id = 1; id <= options_.nodes; ++id) {
     members.members.push_back(memberOf(id, 1, MemberState::kAlive));
   }
   std::vector<ConfigRecord> records;
   for (uint32_t index = 0; index < options_.records; ++index) {
-    records.push_back(recordOf(index));
+    records.push_back(nextVersionOf(index));
   }
   for (uint32_t id = 1; id <= options_.nodes; ++id) {
     start(id, 1, MemberState::kAlive);
@@ -199,7 +205,7 @@
   runFor(kStartTime + kWindow);
 }
 
-ConfigRecord RegionSimulation::recordOf(uint64_t index) {
+ConfigRecord RegionSimulation::nextVersionOf(uint64_t index) {
   return {{ObjectKind::kService, "service-" + std::to_string(index)},
           ++lastVersion_,
           false,
@@ -207,8 +213,8 @@
 }
 
 void RegionSimulation::publish() {
-  ConfigRecord record = recordOf(random_.below(options_.records));
-  Change change{record.version, network_.now(), {}, false};
+  ConfigRecord record = nextVersionOf(random_.below(options_.records));
+  PublishedChange change{record.version, network_.now(), {}, false};
   for (const auto& [id, node] : nodes_) {
     if (node->running && node->control->spread.caughtUp()) {
       change.missing.insert(id);
@@ -219,13 +225,13 @@
 }
 
 void RegionSimulation::checkChanges() {
-  std::erase_if(changes_, [&](Change& change) {
+  std::erase_if(changes_, [&](PublishedChange& change) {
     const double waited = secondsOf(network_.now() - change.publishedAt);
-    if (change.missing.empty() && !change.applied) {
-      change.applied = true;
+    if (change.missing.empty() && !change.appliedEverywhere) {
+      change.appliedEverywhere = true;
       report_.appliedEverywhere.seconds.push_back(waited);
     }
-    if (!change.applied) {
+    if (!change.appliedEverywhere) {
       return false;
     }
     for (const auto& [id, node] : nodes_) {
@@ -234,46 +240,48 @@
         return false;
       }
     }
-    report_.provenEverywhere.seconds.push_back(waited);
+    report_.effectiveEverywhere.seconds.push_back(waited);
     return true;
   });
 }
 
-RegionSimulation::Node& RegionSimulation::randomOther() {
+RegionSimulation::Node& RegionSimulation::randomNonSeedNode() {
   while (true) {
     const auto id = static_cast<uint32_t>(1 + random_.below(options_.nodes));
     Node& node = *nodes_.at(id);
-    if (id > kSeeds && node.running &&
+    if (id > kSeedNodes && node.running &&
         node.control->detector.selfMember().state == MemberState::kAlive) {
       return node;
     }
   }
 }
 
-/** Half of the restarts are planned, half are crashes. */
-void RegionSimulation::restartSomeNode() {
-  Node& node = randomOther();
+/** Stops a random node and schedules its restart. Half of the stops are planned, half are crashes.
+ */
+void RegionSimulation::stopRandomNode() {
+  Node& node = randomNonSeedNode();
   ++report_.restarts;
   if (random_.below(2) == 0) {
     node.control->detector.announceLeaving(network_.now());
-    returning_.emplace(network_.now() + kLeaveTime, node.id);
+    pendingRestarts_.emplace(network_.now() + kLeaveTime, node.id);
   } else {
     stop(node);
-    returning_.emplace(network_.now() + kRestartTime, node.id);
+    pendingRestarts_.emplace(network_.now() + kRestartTime, node.id);
   }
 }
 
-void RegionSimulation::bringBack() {
-  while (!returning_.empty() && returning_.begin()->first <= network_.now()) {
-    const uint32_t id = returning_.begin()->second;
-    returning_.erase(returning_.begin());
+void RegionSimulation::restartDueNodes() {
+  while (!pendingRestarts_.empty() && pendingRestarts_.begin()->first <= network_.now()) {
+    const uint32_t id = pendingRestarts_.begin()->second;
+    pendingRestarts_.erase(pendingRestarts_.begin());
     Node& node = *nodes_.at(id);
     if (node.running) {
-      // Its own word that it has left is no false death: it counts as stopped before.
+      // Counts as stopped before it announces that it has left, so that its own announcement is
+      // not counted as a false death.
       node.running = false;
       node.control->detector.announceLeft(network_.now());
       stop(node);
-      returning_.emplace(network_.now() + kRestartTime, id);
+      pendingRestarts_.emplace(network_.now() + kRestartTime, id);
       continue;
     }
     start(id, node.control->detector.selfMember().incarnation + 1000, MemberState::kJoining);
@@ -286,13 +294,13 @@
   for (auto& [id, node] : nodes_) {
     node->bytes = ByteAccount{};
   }
-  nextWindow_ = network_.now() + kWindow;
+  windowEnd_ = network_.now() + kWindow;
   cpuSeconds_ = 0;
   measuring_ = true;
 }
 
 void RegionSimulation::runSteady() {
-  const double restartsPerSecond = kRestartsPerNodeSecond * options_.nodes;
+  const double restartsPerSecond = kRestartsPerNodeAndSecond * options_.nodes;
   const double seconds = options_.steadySeconds;
   const TimePoint end = network_.now() + std::chrono::seconds(options_.steadySeconds);
   while (network_.now() < end) {
@@ -301,7 +309,7 @@
       publish();
     }
     if (random_.unit() < restartsPerSecond * secondsOf(kTick)) {
-      restartSomeNode();
+      stopRandomNode();
     }
   }
   report_.cpuMicroseconds = cpuSeconds_ * 1e6 / (seconds * options_.nodes);
@@ -313,57 +321,59 @@
 }
 
 void RegionSimulation::measureBytes(double seconds) {
-  const double share = 1.0 / (seconds * options_.nodes);
-  const auto classShare = [&](const ByteAccount& bytes, ByteClass byteClass) {
-    return static_cast<double>(bytes.sent[static_cast<size_t>(byteClass)]) * share;
+  const double perNodeSecond = 1.0 / (seconds * options_.nodes);
+  const auto meanSent = [&](const ByteAccount& bytes, ByteClass byteClass) {
+    return static_cast<double>(bytes.sent[static_cast<size_t>(byteClass)]) * perNodeSecond;
   };
   for (const auto& [id, node] : nodes_) {
     const ByteAccount& bytes = node->bytes;
-    report_.membershipBytes += classShare(bytes, ByteClass::kMembership);
-    report_.spreadBytes += classShare(bytes, ByteClass::kSpread);
-    report_.coverageBytes += classShare(bytes, ByteClass::kCoverage);
-    report_.sentBytes += static_cast<double>(bytes.totalSent()) * share;
-    report_.sentAndReceivedBytes += static_cast<double>(bytes.totalSent() + bytes.received) * share;
-    report_.highestSentBytes = std::max(
-        report_.highestSentBytes, static_cast<double>(bytes.busiestSent) / secondsOf(kWindow));
-    report_.highestBytes = std::max(report_.highestBytes,
-                                    static_cast<double>(bytes.busiestWindow) / secondsOf(kWindow));
+    report_.membershipBytes += meanSent(bytes, ByteClass::kMembership);
+    report_.spreadBytes += meanSent(bytes, ByteClass::kSpread);
+    report_.coverageBytes += meanSent(bytes, ByteClass::kCoverage);
+    report_.sentBytes += static_cast<double>(bytes.totalSent()) * perNodeSecond;
+    report_.sentAndReceivedBytes +=
+        static_cast<double>(bytes.totalSent() + bytes.received) * perNodeSecond;
+    report_.maxSentBytes = std::max(report_.maxSentBytes,
+                                    static_cast<double>(bytes.maxWindowSent) / secondsOf(kWindow));
+    report_.maxSentAndReceivedBytes =
+        std::max(report_.maxSentAndReceivedBytes,
+                 static_cast<double>(bytes.maxWindowTotal) / secondsOf(kWindow));
   }
 }
 
 void RegionSimulation::runCrashes() {
   for (uint32_t crash = 0; crash < options_.crashes; ++crash) {
-    Node& node = randomOther();
-    const NodeId victim{node.id};
+    Node& node = randomNonSeedNode();
+    const NodeId crashedId{node.id};
     stop(node);
-    const TimePoint at = network_.now();
-    bool first = false;
-    bool last = false;
-    while (network_.now() < at + kCrashSpacing) {
+    const TimePoint crashedAt = network_.now();
+    bool detectedByOne = false;
+    bool detectedByAll = false;
+    while (network_.now() < crashedAt + kCrashSpacing) {
       step();
-      size_t dead = 0;
+      size_t detecting = 0;
       size_t running = 0;
       for (const auto& [id, other] : nodes_) {
-        const Member* member = other->running ? other->control->detector.find(victim) : nullptr;
+        const Member* member = other->running ? other->control->detector.find(crashedId) : nullptr;
         running += other->running ? 1 : 0;
-        dead +=
+        detecting +=
             other->running && (member == nullptr || member->state == MemberState::kDead) ? 1 : 0;
       }
-      if (!first && dead > 0) {
-        first = true;
-        report_.firstDetection.seconds.push_back(secondsOf(network_.now() - at));
+      if (!detectedByOne && detecting > 0) {
+        detectedByOne = true;
+        report_.firstDetection.seconds.push_back(secondsOf(network_.now() - crashedAt));
       }
-      if (!last && dead == running) {
-        last = true;
-        report_.lastDetection.seconds.push_back(secondsOf(network_.now() - at));
+      if (!detectedByAll && detecting == running) {
+        detectedByAll = true;
+        report_.lastDetection.seconds.push_back(secondsOf(network_.now() - crashedAt));
       }
     }
-    report_.undetected += last ? 0 : 1;
+    report_.undetected += detectedByAll ? 0 : 1;
   }
 }
 
 SimulationReport RegionSimulation::run() {
-  startAll();
+  startRegion();
   network_.faults.loss = options_.loss;
   network_.faults.longestDelay = network_.faults.shortestDelay + std::chrono::microseconds(500);
   runFor(kWindow);
--- a/bench/control_sim/region_simulation.h
+++ b/bench/control_sim/region_simulation.h
@@ -1,4 +1,4 @@
-/** @file A region of control nodes under load in simulated time, with what is measured of it. */
+/** @file Simulates and measures the control traffic of one region under load, in simulated time. */
 #pragma once
 
 #include <cstdint>
@@ -13,55 +13,64 @@
 
 namespace umberhold {
 
-/** One run. */
+/** Parameters of one run. */
 struct SimulationOptions {
   uint32_t nodes = 100;
+  /** Fraction of datagrams that are lost. */
   double loss = 0;
   uint64_t seed = 1;
   uint32_t records = 200;
+  /** Payload of one record. */
   size_t recordBytes = 500;
   SpreadOptions spread;
-  /** Simulated seconds at the design rates of changes and restarts. */
+  /** Simulated seconds with the rates of changes and restarts that the system is designed for. */
   uint32_t steadySeconds = 300;
-  /** Crashes, one every 20 s, after the steady time. */
+  /** Number of crashes after the steady time, one every 20 s. */
   uint32_t crashes = 10;
 };
 
-/** Times of one kind of event. */
-struct Times {
+/** Durations of one kind of event. */
+struct Durations {
   std::vector<double> seconds;
+  /** 0 if there are none. */
   double mean() const;
-  double worst() const;
+  /** 0 if there are none. */
+  double maximum() const;
 };
 
-/** What a run has shown; bytes are per node and second. */
+/** Result of a run; bytes are means per node and second unless stated otherwise. */
 struct SimulationReport {
   double membershipBytes = 0;
   double spreadBytes = 0;
   double coverageBytes = 0;
   double sentBytes = 0;
   double sentAndReceivedBytes = 0;
-  /** Highest of any node in any 10 s, from its 30th second on. */
-  double highestSentBytes = 0;
-  double highestBytes = 0;
+  /** Maximum over all nodes and 10 s windows of the bytes sent per second, and of the bytes sent
+   * and received per second. Only windows that begin 30 s after the node's start or later count. */
+  double maxSentBytes = 0;
+  double maxSentAndReceivedBytes = 0;
   double falseDeathsPerNodeHour = 0;
+  /** Incarnations of running nodes that some node considered dead. */
   uint64_t falseDeaths = 0;
   uint64_t restarts = 0;
-  /** From a crash until the first, and the last, living node holds the node for dead. */
-  Times firstDetection;
-  Times lastDetection;
+  /** Time from a crash until the first, and the last, running node considers the node dead. */
+  Durations firstDetection;
+  Durations lastDetection;
+  /** Crashes that not all running nodes detected within the 20 s. */
   uint32_t undetected = 0;
-  /** From the publication until a node holds the record, over all nodes; and until the last one
-   * does. */
-  Times applied;
-  Times appliedEverywhere;
-  /** Until every node can state that the version is effective. */
-  Times provenEverywhere;
-  /** Processor time of ticks and handlers per node and second, codec and sockets left out. */
+  /** Time from the publication of a record until a node has applied it, one entry per node; and
+   * until the last one has. */
+  Durations applied;
+  Durations appliedEverywhere;
+  /** Time from the publication until the version is effective on every node, see
+   * ConfigSpread::effectiveVersion(). */
+  Durations effectiveEverywhere;
+  /** CPU time of ticks and message handlers per node and simulated second, without codec and
+   * sockets. */
   double cpuMicroseconds = 0;
 };
 
-/** Runs one region. */
+/** Runs one simulation. */
 class RegionSimulation {
  public:
   explicit RegionSimulation(const SimulationOptions& options);
@@ -70,42 +79,48 @@
 
  private:
   struct Node;
-  struct Change {
+  /** A published record whose distribution is measured. */
+  struct PublishedChange {
     uint64_t version = 0;
     TimePoint publishedAt;
+    /** Ids of the running nodes that have not applied it yet. */
     std::set<uint32_t> missing;
-    bool applied = false;
+    bool appliedEverywhere = false;
   };
 
   void start(uint32_t id, uint64_t incarnation, MemberState state);
-  ConfigRecord recordOf(uint64_t index);
+  /** @return a new version of the record with this index. */
+  ConfigRecord nextVersionOf(uint64_t index);
   void stop(Node& node);
-  void startAll();
+  void startRegion();
   void step();
   void runFor(Duration span);
   void countSent(NodeId from, NodeId to, const Message& message);
   void closeWindows();
   void publish();
-  void restartSomeNode();
-  void bringBack();
+  void stopRandomNode();
+  void restartDueNodes();
   void checkChanges();
   void resetMeasurement();
   void runSteady();
   void runCrashes();
   void measureBytes(double seconds);
-  Node& randomOther();
+  /** @return a random alive node other than the seeds. */
+  Node& randomNonSeedNode();
 
   SimulationOptions options_;
   SimulationReport report_;
   MessageNetwork network_;
   RandomSource random_;
   std::map<uint32_t, std::unique_ptr<Node>> nodes_;
-  /** Nodes that come back, by time. */
-  std::multimap<TimePoint, uint32_t> returning_;
-  std::vector<Change> changes_;
+  /** Ids of nodes by the time of their next action: a running node (planned stop) stops, a stopped
+   * one starts. */
+  std::multimap<TimePoint, uint32_t> pendingRestarts_;
+  std::vector<PublishedChange> changes_;
+  /** By node id and incarnation. */
   std::set<std::pair<uint32_t, uint64_t>> falseDeaths_;
   uint64_t lastVersion_ = 0;
-  TimePoint nextWindow_;
+  TimePoint windowEnd_;
   double cpuSeconds_ = 0;
   bool measuring_ = false;
 };
--- a/bench/control_sim/transfer_measurement.h
+++ b/bench/control_sim/transfer_measurement.h
@@ -1,4 +1,4 @@
-/** @file What it costs a starting node to fetch every record, and a node to hold them. */
+/** @file Measures the cost of fetching all records at a node's start, and of storing them. */
 #pragma once
 
 #include <cstddef>
@@ -6,39 +6,47 @@
 
 namespace umberhold {
 
-/** What one start has shown. */
+/** Result of the start of one node. */
 struct TransferReport {
-  /** Heap of one store with all records. */
+  /** Heap size of one record store with all records. */
   size_t storeBytes = 0;
-  /** From the start until the node counts as caught up. */
+  /** Time from the start until the node has caught up, see ConfigSpread::caughtUp(). */
   double caughtUpSeconds = 0;
-  /** Bytes on the wire of the starting node, and of the peer that sent most. */
+  /** Bytes on the wire of the starting node. */
   uint64_t receivedBytes = 0;
   uint64_t sentBytes = 0;
-  uint64_t busiestPeerBytes = 0;
+  /** Bytes on the wire sent by the peer that sent most. */
+  uint64_t maxPeerSentBytes = 0;
 };
 
-/** Starts one node next to `peers` settled ones that hold `records` records of `recordBytes`. */
+/**
+ * Starts one node in a region of `peers` running nodes that have all records.
+ * @param recordBytes payload of one record.
+ * @param loss fraction of datagrams that are lost.
+ */
 TransferReport measureTransfer(uint32_t peers, uint32_t records, size_t recordBytes, double loss);
 
-/** What the return of many nodes at once has shown. */
-struct ReturnReport {
-  /** From the start until half, and all, of the returning nodes count as caught up. */
+/** Result of the simultaneous restart of many nodes. */
+struct RestartReport {
+  /** Time from the first start until half, and all, of the returning nodes have caught up. */
   double halfSeconds = 0;
   double allSeconds = 0;
-  /** Nodes that did not catch up in time. */
+  /** Number of nodes that did not catch up within the timeout of 300 s. */
   uint32_t late = 0;
-  /** Most bytes that one node sent a second in any 10 s: a settled one, and a returning one outside
-   * its first 30 s. */
-  double highestSettled = 0;
-  double highestReturning = 0;
-  /** The same of a returning node within its first 30 s, mean and highest. */
-  double meanStarting = 0;
-  double highestStarting = 0;
+  /** Maximum over all 10 s windows and nodes of bytes sent per second: by nodes that were running
+   * before, and by returning nodes outside their first 30 s. */
+  double maxRunningRate = 0;
+  double maxReturningRate = 0;
+  /** Mean and maximum of the same for returning nodes within their first 30 s. */
+  double meanStartingRate = 0;
+  double maxStartingRate = 0;
 };
 
-/** Starts `returning` nodes within 5 s next to `settled` ones that hold the records. */
-ReturnReport measureReturn(uint32_t settled, uint32_t returning, uint32_t records,
-                           size_t recordBytes);
+/**
+ * Starts `returning` nodes within 5 s in a region of `running` nodes that have all records.
+ * @param recordBytes payload of one record.
+ */
+RestartReport measureSimultaneousRestart(uint32_t running, uint32_t returning, uint32_t records,
+                                         size_t recordBytes);
 
 }  // namespace umberhold
