--- a/bench/day_check/day_check_main.cc
+++ b/bench/day_check/day_check_main.cc
@@ -1,5 +1,5 @@
-/** @file day_check FILE...: says what is wrong with files of days; exits with 1 where something is.
- */
+/** @file day_check FILE...: validates files of days (day_file.h) and prints the first error of
+ * each. Exits with 1 if a file is invalid or none is given. */
 #include <filesystem>
 #include <fstream>
 #include <iostream>
@@ -9,7 +9,7 @@
 #include "bench/day_check/day_file.h"
 
 int main(int argc, char** argv) {
-  bool sound = argc > 1;
+  bool allValid = argc > 1;
   for (int index = 1; index < argc; ++index) {
     const std::filesystem::path path(argv[index]);
     std::ifstream file(path);
@@ -19,8 +19,8 @@
     if (!umberhold::isOk(checked)) {
       const auto& error = umberhold::errorOf(checked);
       std::cerr << path.string() << ":" << error.line << ": " << error.reason << "\n";
-      sound = false;
+      allValid = false;
     }
   }
-  return sound ? 0 : 1;
+  return allValid ? 0 : 1;
 }
--- a/bench/day_check/day_file.cc
+++ b/bench/day_check/day_file.cc
@@ -8,7 +8,7 @@
 namespace umberhold::day_check {
 namespace {
 
-using Fault = std::optional<DayError>;
+using OptionalError = std::optional<DayError>;
 
 uint32_t lineOf(const toml::node& node) {
   return node.source().begin.line;
@@ -18,63 +18,65 @@
   return "'" + std::string(key) + "'";
 }
 
-bool holdsText(const toml::table& table, std::string_view key) {
+/** @return whether the key has a non-empty string value. */
+bool hasText(const toml::table& table, std::string_view key) {
   return !table[key].value_or(std::string()).empty();
 }
 
-Fault checkEntry(const toml::node& node, std::string_view list) {
+OptionalError checkEntry(const toml::node& node, std::string_view arrayKey) {
   const toml::table* entry = node.as_table();
   if (entry == nullptr) {
-    return DayError{lineOf(node), "an entry of " + quoted(list) + " is not a table"};
+    return DayError{lineOf(node), "an entry of " + quoted(arrayKey) + " is not a table"};
   }
   const auto at = (*entry)["at"].value<double>();
   if (!at || *at < 0) {
-    return DayError{lineOf(node), "an entry of " + quoted(list) + " has no 'at' of 0 s or more"};
+    return DayError{lineOf(node), "an entry of " + quoted(arrayKey) + " has no non-negative 'at'"};
   }
-  if (!holdsText(*entry, "kind")) {
-    return DayError{lineOf(node), "an entry of " + quoted(list) + " has no 'kind'"};
+  if (!hasText(*entry, "kind")) {
+    return DayError{lineOf(node), "an entry of " + quoted(arrayKey) + " has no 'kind'"};
   }
   return std::nullopt;
 }
 
-Fault checkList(const toml::table& day, std::string_view list) {
-  const toml::array* entries = day[list].as_array();
+OptionalError checkArray(const toml::table& day, std::string_view arrayKey) {
+  const toml::array* entries = day[arrayKey].as_array();
   if (entries == nullptr) {
-    return DayError{0, quoted(list) + " is no list or is missing"};
+    return DayError{0, quoted(arrayKey) + " is missing or not an array"};
   }
   for (const toml::node& entry : *entries) {
-    if (Fault fault = checkEntry(entry, list)) {
-      return fault;
+    if (OptionalError error = checkEntry(entry, arrayKey)) {
+      return error;
     }
   }
   return std::nullopt;
 }
 
-Fault checkHead(const toml::table& day, std::string_view name) {
+OptionalError checkHeader(const toml::table& day, std::string_view name) {
   if (day["name"].value_or(std::string()) != name) {
-    return DayError{0, "'name' is not the file's name"};
+    return DayError{0, "'name' differs from the file name"};
   }
-  if (!holdsText(day, "slot")) {
-    return DayError{0, "'slot' is no text or is missing"};
+  if (!hasText(day, "slot")) {
+    return DayError{0, "'slot' is missing, empty or not a string"};
   }
   if (!day["seed"].is_integer()) {
-    return DayError{0, "'seed' is no whole number or is missing"};
+    return DayError{0, "'seed' is missing or not an integer"};
   }
   return std::nullopt;
 }
 
-Fault checkClosing(const toml::table& day) {
+OptionalError checkClosing(const toml::table& day) {
   const toml::node* closing = day.get("closing");
-  const bool wrong =
-      closing != nullptr && (!closing->is_table() || !holdsText(*closing->as_table(), "kind"));
-  return wrong ? Fault(DayError{lineOf(*closing), "'closing' has no 'kind'"}) : std::nullopt;
+  const bool isInvalid =
+      closing != nullptr && (!closing->is_table() || !hasText(*closing->as_table(), "kind"));
+  return isInvalid ? OptionalError(DayError{lineOf(*closing), "'closing' has no 'kind'"})
+                   : std::nullopt;
 }
 
 }  // namespace
 
 Result<Ok, DayError> checkDay(std::string_view text, std::string_view name) {
   if (text.substr(0, 2) != "# ") {
-    return DayError{1, "no comment says what the day is for"};
+    return DayError{1, "the first line is not a comment that describes the day"};
   }
   toml::table day;
   try {
@@ -82,10 +84,10 @@
   } catch (const toml::parse_error& error) {
     return DayError{error.source().begin.line, std::string(error.description())};
   }
-  for (const Fault& fault : {checkHead(day, name), checkList(day, "plan"), checkList(day, "faults"),
-                             checkClosing(day)}) {
-    if (fault) {
-      return *fault;
+  for (const OptionalError& error : {checkHeader(day, name), checkArray(day, "plan"),
+                                     checkArray(day, "faults"), checkClosing(day)}) {
+    if (error) {
+      return *error;
     }
   }
   return Ok{};
--- a/bench/day_check/day_file.h
+++ b/bench/day_check/day_file.h
@@ -1,4 +1,7 @@
-/** @file What a file with a day of faults under deploy/days/ must hold to be played. */
+/**
+ * @file Validation of the files under deploy/days/. Each describes a day: a scenario of planned
+ * changes and faults that is run against a test deployment.
+ */
 #pragma once
 
 #include <cstdint>
@@ -9,19 +12,19 @@
 
 namespace umberhold::day_check {
 
-/** Why a day can't be played. */
+/** Reason for which a file of a day is invalid. */
 struct DayError {
-  /** Counts from 1; 0: no line of the file is to blame. */
+  /** Line number, from 1; 0: the error does not belong to a line. */
   uint32_t line = 0;
   std::string reason;
 };
 
 /**
- * Checks the text of a day: a comment on its first line says what the day is for; `name` is the
- * file's name, `slot` a text, `seed` a whole number; `plan` and `faults` are lists, and each
- * of their entries has `at`, in seconds from the start, and `kind`; so has `closing`, where it is
- * there, `kind`.
- * @param name the file's name without its suffix.
+ * Validates the text of a day's file. The first line must be a comment that describes the day.
+ * Required keys: `name` (the file name), `slot` (non-empty string), `seed` (integer), and the
+ * arrays `plan` and `faults`, whose entries need `at` (seconds from the start) and `kind`.
+ * `closing` is optional and needs `kind`.
+ * @param name the file name without its suffix.
  */
 Result<Ok, DayError> checkDay(std::string_view text, std::string_view name);
 
