--- a/bench/probe_cost/probe_cost_main.cc
+++ b/bench/probe_cost/probe_cost_main.cc
@@ -1,7 +1,8 @@
 /**
- * @file Probes one host many times with the product's client and prints what a probe puts on the
- * wire, both ways, by the counters of the loopback interface. To be run where nothing else uses
- * that interface: unshare -rn.
+ * @file Measures the bytes and packets of one health probe on the wire, in both directions: probes
+ * a host many times with the production client and reads the counters of the loopback interface.
+ * Must run where nothing else uses that interface, for example in a network namespace (unshare
+ * -rn).
  */
 #include <tclap/CmdLine.h>
 
@@ -16,13 +17,14 @@
 
 using namespace umberhold;
 
-/** Bytes and packets that the loopback interface has sent; columns 9 and 10 of /proc/net/dev. */
-struct Sent {
+/** Bytes and packets that the loopback interface has sent: columns 9 and 10 of /proc/net/dev. */
+struct SentCounters {
   double bytes = 0;
   double packets = 0;
 };
 
-Sent sentOnLoopback() {
+/** @return zeros if the interface is missing. */
+SentCounters sentOnLoopback() {
   constexpr int kReceiveColumns = 8;
   std::ifstream file("/proc/net/dev");
   std::string line;
@@ -32,13 +34,13 @@
       continue;
     }
     std::istringstream fields(line.substr(colon + 3));
-    double skipped = 0;
+    double ignored = 0;
     for (int column = 0; column < kReceiveColumns; ++column) {
-      fields >> skipped;
+      fields >> ignored;
     }
-    Sent sent;
-    fields >> sent.bytes >> sent.packets;
-    return sent;
+    SentCounters counters;
+    fields >> counters.bytes >> counters.packets;
+    return counters;
   }
   return {};
 }
@@ -47,24 +49,24 @@
 
 int main(int argc, char** argv) {
   constexpr uint32_t kProbes = 200;
-  TCLAP::CmdLine command("Measures the bytes of one probe", ' ', "0.1");
+  TCLAP::CmdLine command("Measures the bytes and packets of one probe", ' ', "0.1");
   TCLAP::ValueArg<std::string> host("", "host", "probe endpoint of a host", true, "", "ip:port",
                                     command);
   command.parse(argc, argv);
   const auto endpoint = parseEndpoint(host.getValue());
   if (!endpoint) {
-    std::cerr << "--host is no endpoint\n";
+    std::cerr << "--host is not of the form ip:port\n";
     return 2;
   }
   ProbeClient client{std::chrono::seconds(1)};
-  // The first probe opens the connection, which is kept.
+  // The first probe is not measured, because it opens the connection that the others reuse.
   const bool reachable = client.probe(*endpoint).healthy;
-  const Sent before = sentOnLoopback();
+  const SentCounters before = sentOnLoopback();
   uint32_t healthy = 0;
   for (uint32_t probe = 0; probe < kProbes; ++probe) {
     healthy += client.probe(*endpoint).healthy ? 1 : 0;
   }
-  const Sent after = sentOnLoopback();
+  const SentCounters after = sentOnLoopback();
   std::cout << "{\"reachable\":" << (reachable ? "true" : "false") << ",\"healthy\":" << healthy
             << ",\"bytes_both_ways\":" << (after.bytes - before.bytes) / kProbes
             << ",\"packets\":" << (after.packets - before.packets) / kProbes << "}\n";
--- a/bench/reader_list/reader_list_main.cc
+++ b/bench/reader_list/reader_list_main.cc
@@ -1,7 +1,7 @@
 /**
- * @file What a whole list of the store costs a reader: fills a running stand-in platform with
- * services, then lists them page by page into records, and prints time, processor time, peak memory
- * and records.
+ * @file Measures the cost of a complete list of the store for a reader: fills a running stand-in
+ * platform with services, lists them page by page and converts them into records. Prints elapsed
+ * time, CPU time, peak memory, and the number and size of the records.
  */
 #include <sys/resource.h>
 #include <tclap/CmdLine.h>
@@ -40,7 +40,9 @@
   return service;
 }
 
-bool fill(PlatformStore& store, uint32_t services, uint32_t hosts) {
+/** Stores the services; those that exist already are left unchanged. @return false after an error,
+ * which is printed. */
+bool fillStore(PlatformStore& store, uint32_t services, uint32_t hosts) {
   for (uint32_t index = 0; index < services; ++index) {
     const Service service = makeService(index, hosts);
     StoredObject object;
@@ -56,22 +58,24 @@
   return true;
 }
 
-struct Usage {
-  double processorSeconds = 0;
+/** Resources that this process has used so far. */
+struct ResourceUsage {
+  double cpuSeconds = 0;
   int64_t peakKilobytes = 0;
 };
 
-Usage usage() {
-  rusage used{};
-  getrusage(RUSAGE_SELF, &used);
+ResourceUsage currentUsage() {
+  rusage usage{};
+  getrusage(RUSAGE_SELF, &usage);
   const auto seconds = [](const timeval& time) {
     return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) / 1e6;
   };
-  return {seconds(used.ru_utime) + seconds(used.ru_stime), used.ru_maxrss};
+  return {seconds(usage.ru_utime) + seconds(usage.ru_stime), usage.ru_maxrss};
 }
 
-int list(PlatformStore& store, size_t pageSize) {
-  const Usage before = usage();
+/** Lists the store and prints the cost. @return the exit status. */
+int listStore(PlatformStore& store, size_t pageSize) {
+  const ResourceUsage before = currentUsage();
   const auto start = std::chrono::steady_clock::now();
   StoreLister lister(store, pageSize);
   size_t records = 0;
@@ -91,11 +95,11 @@
     }
   }
   const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start;
-  const Usage after = usage();
+  const ResourceUsage after = currentUsage();
   std::cout << "page records payload_bytes seconds cpu_seconds peak_kb_before peak_kb_after\n"
             << pageSize << " " << records << " " << payloadBytes << " " << elapsed.count() << " "
-            << after.processorSeconds - before.processorSeconds << " " << before.peakKilobytes
-            << " " << after.peakKilobytes << "\n";
+            << after.cpuSeconds - before.cpuSeconds << " " << before.peakKilobytes << " "
+            << after.peakKilobytes << "\n";
   return 0;
 }
 
@@ -103,25 +107,25 @@
 
 int main(int argc, char** argv) {
   try {
-    TCLAP::CmdLine commandLine("Cost of a whole list of the store", ' ');
-    TCLAP::ValueArg<std::string> platform("", "platform", "Stand-in's API", true, "", "ip:port",
-                                          commandLine);
-    TCLAP::ValueArg<uint32_t> services("", "services", "Services", false, 21000, "count",
+    TCLAP::CmdLine commandLine("Cost of a complete list of the store", ' ');
+    TCLAP::ValueArg<std::string> platform("", "platform", "API endpoint of the stand-in platform",
+                                          true, "", "ip:port", commandLine);
+    TCLAP::ValueArg<uint32_t> services("", "services", "Number of services", false, 21000, "count",
                                        commandLine);
-    TCLAP::ValueArg<uint32_t> hosts("", "hosts", "Hosts of a service", false, 8, "count",
+    TCLAP::ValueArg<uint32_t> hosts("", "hosts", "Hosts per service", false, 8, "count",
                                     commandLine);
-    TCLAP::ValueArg<size_t> page("", "page", "Objects of a page", false, 100, "count", commandLine);
+    TCLAP::ValueArg<size_t> page("", "page", "Objects per page", false, 100, "count", commandLine);
     commandLine.parse(argc, argv);
     const auto endpoint = parseEndpoint(platform.getValue());
     if (!endpoint) {
-      std::cerr << "--platform is no ip:port\n";
+      std::cerr << "--platform is not of the form ip:port\n";
       return kUsageError;
     }
     HttpPlatformStore store(*endpoint);
-    if (!fill(store, services.getValue(), hosts.getValue())) {
+    if (!fillStore(store, services.getValue(), hosts.getValue())) {
       return kFailure;
     }
-    return list(store, page.getValue());
+    return listStore(store, page.getValue());
   } catch (const TCLAP::ArgException& error) {
     std::cerr << error.error() << " " << error.argId() << "\n";
     return kUsageError;
--- a/bench/reader_load/reader_load_main.cc
+++ b/bench/reader_load/reader_load_main.cc
@@ -1,8 +1,9 @@
 /**
- * @file What the reader election costs the store at the size of the whole system, and how soon a
- * reader that dies is replaced. Simulated time; the election's decision logic is the product's.
+ * @file Measures the load of the reader election on the store at the size of the whole system, and
+ * how soon a dead reader is replaced. Simulated time; the election's decision logic is production
+ * code.
  *
- * Prints a table; flags: regions, members of a region, simulated hours, seed.
+ * Prints a table. Flags: number of regions, members per region, simulated hours, seed.
  */
 #include <tclap/CmdLine.h>
 
@@ -23,12 +24,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+/** Time between two steps of the simulation. */
 constexpr Duration kStep = milliseconds(100);
 constexpr Duration kWarmUp = std::chrono::minutes(2);
-constexpr Duration kDeathEvery = std::chrono::minutes(5);
+constexpr Duration kDeathInterval = std::chrono::minutes(5);
 constexpr uint32_t kZones = 3;
 
-/** A region whose members are all alive, seen from one of them. */
+/** Membership of one region as seen by one of its members. Members are alive unless killed. */
 class RegionView : public MembershipView {
  public:
   RegionView(uint32_t firstId, uint32_t count) {
@@ -60,7 +62,7 @@
   std::vector<Member> members_;
 };
 
-/** The lease objects, counting what is asked of them. */
+/** The lease objects in the store; counts reads and writes. */
 struct CountingStore {
   std::array<std::optional<ObservedLease>, kReaderSlots> slots;
   uint64_t version = 0;
@@ -77,7 +79,7 @@
   ReaderElection election;
 };
 
-/** All regions; only nodes that are candidates take part. */
+/** Simulates all regions; only nodes that are candidates for a slot take part. */
 class Simulation {
  public:
   Simulation(uint32_t regions, uint32_t members, uint64_t seed) : seed_(seed) {
@@ -90,11 +92,11 @@
   void step() {
     now_ += kStep;
     for (auto& [id, node] : nodes_) {
-      act(*node);
+      runElection(*node);
     }
   }
 
-  /** Kills the holder of the slot; its region learns of it at once. */
+  /** Kills the holder of the slot; the membership of its region is updated immediately. */
   void killHolder(uint8_t slot) {
     for (auto& [id, node] : nodes_) {
       if (node->election.heldSlot(now_) == slot) {
@@ -117,6 +119,7 @@
   CountingStore store;
 
  private:
+  /** Updates the ranks of the candidates of a region and adds new candidates. */
   void refreshCandidates(size_t region) {
     RegionView& view = views_[region];
     for (const Member& member : view.members()) {
@@ -124,19 +127,20 @@
       const ReaderRanks ranks = readerRanks(view);
       const bool isCandidate = std::any_of(ranks.begin(), ranks.end(),
                                            [](const auto& rank) { return rank.has_value(); });
-      auto place = nodes_.find(member.id);
-      if (place == nodes_.end() && !isCandidate) {
+      auto entry = nodes_.find(member.id);
+      if (entry == nodes_.end() && !isCandidate) {
         continue;
       }
-      if (place == nodes_.end()) {
+      if (entry == nodes_.end()) {
         auto node = std::make_unique<SimulatedNode>(member.id, region, seed_ + member.id.value);
-        place = nodes_.emplace(member.id, std::move(node)).first;
+        entry = nodes_.emplace(member.id, std::move(node)).first;
       }
-      place->second->election.setRanks(ranks, now_);
+      entry->second->election.setRanks(ranks, now_);
     }
   }
 
-  void act(SimulatedNode& node) {
+  /** Executes the actions that the election of a node requests at this time. */
+  void runElection(SimulatedNode& node) {
     for (ElectionAction action = node.election.next(now_);
          !std::holds_alternative<WaitUntil>(action); action = node.election.next(now_)) {
       if (const auto* read = std::get_if<ReadLease>(&action)) {
@@ -162,46 +166,47 @@
   std::map<NodeId, std::unique_ptr<SimulatedNode>> nodes_;
 };
 
-double perSecond(uint64_t count, Duration time) {
-  return static_cast<double>(count) / (static_cast<double>(time.count()) / 1e6);
+double perSecond(uint64_t count, Duration duration) {
+  return static_cast<double>(count) / (static_cast<double>(duration.count()) / 1e6);
 }
 
-void measure(uint32_t regions, uint32_t members, Duration length, uint64_t seed) {
+void measure(uint32_t regions, uint32_t members, Duration duration, uint64_t seed) {
   Simulation simulation(regions, members, seed);
-  Duration at{0};
-  for (; at < kWarmUp; at += kStep) {
+  Duration elapsed{0};
+  for (; elapsed < kWarmUp; elapsed += kStep) {
     simulation.step();
   }
   simulation.store.reads = 0;
   simulation.store.writes = 0;
-  for (at = Duration{0}; at < length; at += kStep) {
+  for (elapsed = Duration{0}; elapsed < duration; elapsed += kStep) {
     simulation.step();
   }
-  const double reads = perSecond(simulation.store.reads, length);
-  const double writes = perSecond(simulation.store.writes, length);
+  const double reads = perSecond(simulation.store.reads, duration);
+  const double writes = perSecond(simulation.store.writes, duration);
 
-  double total = 0;
-  double worst = 0;
+  double totalVacantSeconds = 0;
+  double maxVacantSeconds = 0;
   uint32_t deaths = 0;
-  // Not more deaths than leave every region its candidates.
-  const uint32_t mostDeaths = std::max(1U, regions * members / 4);
-  for (at = Duration{0}; at < length && deaths < mostDeaths; at += kDeathEvery) {
+  // Limited so that every region keeps candidates.
+  const uint32_t maxDeaths = std::max(1U, regions * members / 4);
+  for (elapsed = Duration{0}; elapsed < duration && deaths < maxDeaths; elapsed += kDeathInterval) {
     const auto slot = static_cast<uint8_t>(deaths % kReaderSlots);
     simulation.killHolder(slot);
     Duration vacant{0};
-    for (Duration waited{0}; waited < kDeathEvery; waited += kStep) {
+    for (Duration waited{0}; waited < kDeathInterval; waited += kStep) {
       simulation.step();
       vacant += simulation.isHeld(slot) ? Duration{0} : kStep;
     }
     const double vacantSeconds = static_cast<double>(vacant.count()) / 1e6;
-    total += vacantSeconds;
-    worst = std::max(worst, vacantSeconds);
+    totalVacantSeconds += vacantSeconds;
+    maxVacantSeconds = std::max(maxVacantSeconds, vacantSeconds);
     ++deaths;
   }
   std::cout << "nodes candidates lease_reads_per_s lease_writes_per_s deaths vacant_mean_s "
                "vacant_worst_s seed\n"
             << regions * members << " " << simulation.candidates() << " " << reads << " " << writes
-            << " " << deaths << " " << total / deaths << " " << worst << " " << seed << "\n";
+            << " " << deaths << " " << totalVacantSeconds / deaths << " " << maxVacantSeconds << " "
+            << seed << "\n";
 }
 
 }  // namespace
@@ -209,8 +214,9 @@
 int main(int argc, char** argv) {
   try {
     TCLAP::CmdLine commandLine("Load of the reader election on the store", ' ');
-    TCLAP::ValueArg<uint32_t> regions("", "regions", "Regions", false, 9, "count", commandLine);
-    TCLAP::ValueArg<uint32_t> members("", "members", "Members of a region", false, 1900, "count",
+    TCLAP::ValueArg<uint32_t> regions("", "regions", "Number of regions", false, 9, "count",
+                                      commandLine);
+    TCLAP::ValueArg<uint32_t> members("", "members", "Members per region", false, 1900, "count",
                                       commandLine);
     TCLAP::ValueArg<uint32_t> hours("", "hours", "Simulated hours", false, 2, "hours", commandLine);
     TCLAP::ValueArg<uint64_t> seed("", "seed", "Seed", false, 20261202, "number", commandLine);
