--- a/test/fuzz/fuzz_check.h
+++ b/test/fuzz/fuzz_check.h
@@ -1,14 +1,13 @@
-/** @file Checks of the fuzzers: a promise that doesn't hold ends the process, so that libFuzzer
- * notes it. */
+/** @file Assertion for fuzzers: a violated property aborts the process, which libFuzzer reports. */
 #pragma once
 
 #include <cstdlib>
 #include <iostream>
 
-#define FUZZ_CHECK(condition)                                                         \
-  do {                                                                                \
-    if (!(condition)) {                                                               \
-      std::cerr << __FILE__ << ":" << __LINE__ << ": broken: " << #condition << "\n"; \
-      std::abort();                                                                   \
-    }                                                                                 \
+#define FUZZ_CHECK(condition)                                                               \
+  do {                                                                                      \
+    if (!(condition)) {                                                                     \
+      std::cerr << __FILE__ << ":" << __LINE__ << ": check failed: " << #condition << "\n"; \
+      std::abort();                                                                         \
+    }                                                                                       \
   } while (false)
--- a/test/fuzz/message_fuzzer.cc
+++ b/test/fuzz/message_fuzzer.cc
@@ -1,8 +1,9 @@
 /**
  * @file Fuzzes the message codec and the envelope.
  *
- * Promises: nothing crashes, what decodes has one stable encoding, no unsealed datagram is taken, a
- * sealed one is taken once, and not at all where a byte was changed.
+ * Checked properties: no input causes a crash; a value that was decoded has one stable encoding; a
+ * datagram that was not sealed, or was changed after sealing, is refused; a sealed datagram is
+ * accepted exactly once.
  */
 #include <cstdint>
 #include <string>
@@ -18,24 +19,25 @@
 
 namespace {
 
-KeyRing makeRing() {
-  auto ring = KeyRing::create({AuthenticationKey{1, std::string(kMinSecretBytes, 'k')}}, 1);
-  FUZZ_CHECK(isOk(ring));
-  return std::move(valueOf(ring));
+KeyRing makeKeyRing() {
+  auto keyRing = KeyRing::create({AuthenticationKey{1, std::string(kMinSecretBytes, 'k')}}, 1);
+  FUZZ_CHECK(isOk(keyRing));
+  return std::move(valueOf(keyRing));
 }
 
-/** Decodes; a value that decodes is encoded, and the encoding has to decode to itself. */
-template <class Decode, class Encode>
-void checkStable(std::string_view bytes, Decode decodeValue, Encode encodeValue) {
-  const auto value = decodeValue(bytes);
+/** Checks that a decoded value can be encoded, and that decoding and encoding the result again
+ * yields the same bytes. */
+template <class Decoder, class Encoder>
+void checkStable(std::string_view bytes, Decoder decoder, Encoder encoder) {
+  const auto value = decoder(bytes);
   if (!isOk(value)) {
     return;
   }
-  const auto encoded = encodeValue(valueOf(value));
+  const auto encoded = encoder(valueOf(value));
   FUZZ_CHECK(isOk(encoded));
-  const auto again = decodeValue(valueOf(encoded));
-  FUZZ_CHECK(isOk(again));
-  const auto encodedAgain = encodeValue(valueOf(again));
+  const auto decodedAgain = decoder(valueOf(encoded));
+  FUZZ_CHECK(isOk(decodedAgain));
+  const auto encodedAgain = encoder(valueOf(decodedAgain));
   FUZZ_CHECK(isOk(encodedAgain) && valueOf(encodedAgain) == valueOf(encoded));
 }
 
@@ -50,19 +52,19 @@
 }
 
 void checkEnvelope(std::string_view body) {
-  static KeyRing sealingKeys = makeRing();
-  static KeyRing openingKeys = makeRing();
+  static KeyRing sealingKeys = makeKeyRing();
+  static KeyRing openingKeys = makeKeyRing();
   static EnvelopeSealer sealer(sealingKeys, NodeId{7}, 1);
   static EnvelopeOpener opener(openingKeys);
   FUZZ_CHECK(!isOk(opener.open(body)));
   const std::string datagram = sealer.seal(body);
-  std::string changed = datagram;
-  changed[body.size() % changed.size()] ^= 1;
-  FUZZ_CHECK(!isOk(opener.open(changed)));
+  std::string tampered = datagram;
+  tampered[body.size() % tampered.size()] ^= 1;
+  FUZZ_CHECK(!isOk(opener.open(tampered)));
   const auto opened = opener.open(datagram);
   FUZZ_CHECK(isOk(opened) && valueOf(opened).body == body && valueOf(opened).sender == NodeId{7});
-  const auto repeated = opener.open(datagram);
-  FUZZ_CHECK(!isOk(repeated) && errorOf(repeated) == OpenError::kReplayed);
+  const auto replayed = opener.open(datagram);
+  FUZZ_CHECK(!isOk(replayed) && errorOf(replayed) == OpenError::kReplayed);
 }
 
 }  // namespace
--- a/test/fuzz/packet_fuzzer.cc
+++ b/test/fuzz/packet_fuzzer.cc
@@ -1,9 +1,9 @@
 /**
  * @file Fuzzes the packet path with a flow table behind it.
  *
- * The first byte chooses what the director does, the others are the packet. Promises: nothing
- * crashes, every packet has exactly one outcome, what leaves is the packet itself or a well-formed
- * answer.
+ * The first input byte selects the decision of the director, the others are the packet. Checked
+ * properties: no input causes a crash; each packet has exactly one outcome; the output is either
+ * the packet itself or a well-formed reply.
  */
 #include <algorithm>
 #include <cstdint>
@@ -20,6 +20,7 @@
 
 namespace {
 
+/** Resolves every address to a service. */
 class AnyService : public ServiceLookup {
  public:
   std::optional<ServiceMatch> find(uint32_t address, uint16_t, TransportProtocol) const override {
@@ -27,7 +28,7 @@
   }
 };
 
-/** Follows the flow in a small table and answers what the input asks for. */
+/** Tracks flows in a small table and returns the decision that the input selects. */
 class TableDirector : public FlowDirector {
  public:
   TableDirector() : table_(options()), shard_(table_.addShard(kIdleTimeoutSeconds)) {}
@@ -65,6 +66,7 @@
   uint32_t shard_;
 };
 
+/** Checks the packets that leave the packet path. */
 class CheckingOutput : public PacketOutput {
  public:
   void sendToHost(const Endpoint&, std::string_view packet) override {
@@ -79,22 +81,23 @@
     FUZZ_CHECK(valueOf(after).key == valueOf(before).key);
   }
   void sendToCaller(const Endpoint& /*caller*/, std::string_view packet) override {
-    const auto asked = parsePacket(input);
-    const auto answer = parsePacket(packet);
-    if (valueOf(asked).key.protocol == TransportProtocol::kUdp) {
-      FUZZ_CHECK(!isOk(answer) && errorOf(answer) == DropReason::kUnsupportedProtocol);
+    const auto request = parsePacket(input);
+    const auto reply = parsePacket(packet);
+    if (valueOf(request).key.protocol == TransportProtocol::kUdp) {
+      FUZZ_CHECK(!isOk(reply) && errorOf(reply) == DropReason::kUnsupportedProtocol);
       return;
     }
-    FUZZ_CHECK(isOk(answer) && valueOf(answer).phase == PacketPhase::kReset);
-    FUZZ_CHECK(valueOf(asked).phase != PacketPhase::kReset);
-    FUZZ_CHECK(valueOf(answer).key.caller == valueOf(asked).key.service);
-    FUZZ_CHECK(valueOf(answer).key.service == valueOf(asked).key.caller);
+    FUZZ_CHECK(isOk(reply) && valueOf(reply).phase == PacketPhase::kReset);
+    FUZZ_CHECK(valueOf(request).phase != PacketPhase::kReset);
+    FUZZ_CHECK(valueOf(reply).key.caller == valueOf(request).key.service);
+    FUZZ_CHECK(valueOf(reply).key.service == valueOf(request).key.caller);
   }
+  /** The packet that is being processed. */
   std::string_view input;
 };
 
-FlowDecision decisionOf(uint8_t choice) {
-  switch (choice % 5) {
+FlowDecision decisionOf(uint8_t selector) {
+  switch (selector % 5) {
     case 0:
       return ForwardToHost{};
     case 1:
@@ -108,7 +111,8 @@
   }
 }
 
-uint64_t outcomes(const PacketCounters& counters) {
+/** @return the number of packets with an outcome. */
+uint64_t outcomeCount(const PacketCounters& counters) {
   const uint64_t dropped =
       std::accumulate(counters.dropped.begin(), counters.dropped.end(), uint64_t{0});
   return counters.forwarded + counters.relayed + counters.refused + counters.held + dropped;
@@ -129,8 +133,8 @@
   now += std::chrono::seconds(1);
   director.decision = decisionOf(data[0]);
   output.input = std::string_view(reinterpret_cast<const char*>(data) + 1, size - 1);
-  const uint64_t before = outcomes(path.counters());
+  const uint64_t before = outcomeCount(path.counters());
   path.onPacket(now, PacketSource::kFabric, output.input);
-  FUZZ_CHECK(outcomes(path.counters()) == before + 1);
+  FUZZ_CHECK(outcomeCount(path.counters()) == before + 1);
   return 0;
 }
--- a/test/fuzz/run_fuzzers.sh
+++ b/test/fuzz/run_fuzzers.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
 # usage: test/fuzz/run_fuzzers.sh [--seconds N] [--seed N]
-# Builds the fuzzers and runs each for N seconds (default 30) from a fixed seed and fresh corpora. An input
-# that breaks a promise is left in build-fuzz/artifacts. Then runs the properties of whole cores for N
-# seconds, 100 sequences a seed, on rising seeds; a failure prints seed, shrunk steps and RC_PARAMS.
+# Builds the fuzzers and runs each for N seconds (default 30) with a fixed seed and fresh corpora. An input
+# that violates a checked property is stored in build-fuzz/artifacts. Then runs the property tests of
+# simulated clusters (ClusterFuzzing) for N seconds, 100 sequences per seed, with ascending seeds; a failure
+# prints the seed, the shrunk steps and RC_PARAMS.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 
--- a/test/fuzz/store_fuzzer.cc
+++ b/test/fuzz/store_fuzzer.cc
@@ -1,8 +1,8 @@
 /**
- * @file Fuzzes the decoder of the store's answers: lists and events of every kind.
+ * @file Fuzzes the decoder of the store's responses: lists and events of every kind of object.
  *
- * Promises: nothing crashes, what is read has a name, and a page that was read has an encoding that
- * is read again with the same objects.
+ * Checked properties: no input causes a crash; a decoded host is not a deleted object and has the
+ * name of its object; a decoded page can be encoded and decoded again with the same objects.
  */
 #include <cstdint>
 #include <string>
@@ -16,7 +16,7 @@
 
 namespace {
 
-void check(StoreKind kind, const std::string& body) {
+void checkResponse(StoreKind kind, const std::string& body) {
   const auto changes = decodeChanges(kind, body);
   if (isOk(changes) && kind == StoreKind::kHosts) {
     for (const StoreObject& object : valueOf(changes).events) {
@@ -30,16 +30,16 @@
   if (!isOk(page)) {
     return;
   }
-  const auto again = decodePage(kind, encodePage(valueOf(page)));
-  FUZZ_CHECK(isOk(again));
-  FUZZ_CHECK(valueOf(again).malformed.count == 0);
-  FUZZ_CHECK(valueOf(again).objects.size() == valueOf(page).objects.size());
+  const auto decodedAgain = decodePage(kind, encodePage(valueOf(page)));
+  FUZZ_CHECK(isOk(decodedAgain));
+  FUZZ_CHECK(valueOf(decodedAgain).malformed.count == 0);
+  FUZZ_CHECK(valueOf(decodedAgain).objects.size() == valueOf(page).objects.size());
   for (size_t index = 0; index < valueOf(page).objects.size(); ++index) {
-    const StoreObject& first = valueOf(page).objects[index];
-    const StoreObject& second = valueOf(again).objects[index];
-    FUZZ_CHECK(first.name == second.name);
-    if (const auto* host = std::get_if<RegisteredHost>(&first.specification)) {
-      FUZZ_CHECK(*host == std::get<RegisteredHost>(second.specification));
+    const StoreObject& original = valueOf(page).objects[index];
+    const StoreObject& repeated = valueOf(decodedAgain).objects[index];
+    FUZZ_CHECK(original.name == repeated.name);
+    if (const auto* host = std::get_if<RegisteredHost>(&original.specification)) {
+      FUZZ_CHECK(*host == std::get<RegisteredHost>(repeated.specification));
     }
   }
 }
@@ -50,7 +50,7 @@
   const std::string body(reinterpret_cast<const char*>(data), size);
   for (const StoreKind kind :
        {StoreKind::kConfiguration, StoreKind::kHosts, StoreKind::kEvacuations, StoreKind::kNodes}) {
-    check(kind, body);
+    checkResponse(kind, body);
   }
   return 0;
 }
