--- a/bench/codec_benchmark.cc
+++ b/bench/codec_benchmark.cc
@@ -1,4 +1,4 @@
-/** @file Cost of encoding and decoding messages. */
+/** @file Time to encode and decode messages. */
 #include <benchmark/benchmark.h>
 
 #include "common/wire/codec.h"
@@ -7,13 +7,13 @@
 
 namespace {
 
-Message pingWithUpdates() {
+Message pingMessage() {
   Ping ping;
   ping.sequence = 4711;
   return Message{ping};
 }
 
-Message snapshotOfHundredFlows() {
+Message snapshotOf100Flows() {
   SnapshotChunk chunk;
   for (uint64_t flow = 0; flow < 100; ++flow) {
     chunk.exceptions.push_back({FlowHash{flow * 0x9E3779B97F4A7C15ULL}, 3});
@@ -36,9 +36,9 @@
 
 }  // namespace
 
-BENCHMARK_CAPTURE(encodeOne, ping, pingWithUpdates());
-BENCHMARK_CAPTURE(decodeOne, ping, pingWithUpdates());
-BENCHMARK_CAPTURE(encodeOne, snapshot_100_flows, snapshotOfHundredFlows());
-BENCHMARK_CAPTURE(decodeOne, snapshot_100_flows, snapshotOfHundredFlows());
+BENCHMARK_CAPTURE(encodeOne, ping, pingMessage());
+BENCHMARK_CAPTURE(decodeOne, ping, pingMessage());
+BENCHMARK_CAPTURE(encodeOne, snapshot_100_flows, snapshotOf100Flows());
+BENCHMARK_CAPTURE(decodeOne, snapshot_100_flows, snapshotOf100Flows());
 
 BENCHMARK_MAIN();
--- a/bench/envelope_benchmark.cc
+++ b/bench/envelope_benchmark.cc
@@ -1,4 +1,4 @@
-/** @file Cost of sealing and opening datagrams. */
+/** @file Time to seal and open datagrams, by body size. */
 #include <benchmark/benchmark.h>
 
 #include <string>
@@ -10,13 +10,13 @@
 
 namespace {
 
-KeyRing benchmarkKeys() {
+KeyRing makeKeyRing() {
   return valueOf(KeyRing::create({{1, std::string(32, 'k')}}, 1));
 }
 
 void seal(benchmark::State& state) {
-  KeyRing keys = benchmarkKeys();
-  EnvelopeSealer sealer(keys, NodeId{1}, 1'700'000'000'000);
+  KeyRing keyRing = makeKeyRing();
+  EnvelopeSealer sealer(keyRing, NodeId{1}, 1'700'000'000'000);
   const std::string body(static_cast<size_t>(state.range(0)), 'b');
   for (auto _ : state) {
     benchmark::DoNotOptimize(sealer.seal(body));
@@ -24,9 +24,9 @@
 }
 
 void sealAndOpen(benchmark::State& state) {
-  KeyRing keys = benchmarkKeys();
-  EnvelopeSealer sealer(keys, NodeId{1}, 1'700'000'000'000);
-  EnvelopeOpener opener(keys);
+  KeyRing keyRing = makeKeyRing();
+  EnvelopeSealer sealer(keyRing, NodeId{1}, 1'700'000'000'000);
+  EnvelopeOpener opener(keyRing);
   const std::string body(static_cast<size_t>(state.range(0)), 'b');
   for (auto _ : state) {
     const std::string datagram = sealer.seal(body);
--- a/bench/flow_table_benchmark.cc
+++ b/bench/flow_table_benchmark.cc
@@ -1,4 +1,4 @@
-/** @file Speed and memory of the flow table. */
+/** @file Speed and memory use of the flow table. */
 #include <malloc.h>
 
 #include <unordered_map>
@@ -13,7 +13,7 @@
 namespace {
 
 const TimePoint kNow{std::chrono::seconds(1)};
-constexpr uint32_t kIdleTimeout = 86400;
+constexpr uint32_t kIdleTimeoutSeconds = 86400;
 constexpr uint32_t kShards = 11;
 
 FlowTableOptions tableOptions() {
@@ -22,32 +22,32 @@
   return options;
 }
 
-/** Bytes that the allocator has handed out. */
+/** @return the number of allocated heap bytes. */
 size_t heapBytes() {
   const auto info = mallinfo2();
   return info.uordblks + info.hblkhd;
 }
 
-FlowHash flowNumber(uint64_t number) {
+FlowHash flowHashOf(uint64_t number) {
   return FlowHash{mixHash(1, number)};
 }
 
-/** Enters established flows, spread over kShards shards. */
+/** Inserts established flows, distributed over kShards shards. */
 void fill(FlowTable& table, uint64_t flows) {
   for (uint32_t shard = 0; shard < kShards; ++shard) {
-    table.addShard(kIdleTimeout);
+    table.addShard(kIdleTimeoutSeconds);
   }
   for (uint64_t number = 0; number < flows; ++number) {
     NewFlow flow;
     flow.shardSlot = static_cast<uint32_t>(number % kShards);
-    flow.flow = flowNumber(number);
+    flow.flow = flowHashOf(number);
     flow.hostSlot = static_cast<uint16_t>(number % 15);
     flow.phase = PacketPhase::kContinuing;
     table.insert(kNow, flow);
   }
 }
 
-/** Bytes a flow: of the slots, and of everything that the allocator handed out. */
+/** Also reports bytes per flow: of the slots, and of all heap allocations. */
 void insertFlows(benchmark::State& state) {
   const auto flows = static_cast<uint64_t>(state.range(0));
   for (auto _ : state) {
@@ -68,7 +68,7 @@
     ->Arg(500000)
     ->Unit(benchmark::kMillisecond);
 
-/** For comparison: the same contents in the standard library's hash table. */
+/** For comparison: the same entries in std::unordered_map. */
 void insertIntoStandardMap(benchmark::State& state) {
   struct Value {
     uint32_t lastSeen;
@@ -80,7 +80,7 @@
     const size_t before = heapBytes();
     std::unordered_map<FlowHash, Value> table;
     for (uint64_t number = 0; number < flows; ++number) {
-      table.emplace(flowNumber(number), Value{});
+      table.emplace(flowHashOf(number), Value{});
     }
     state.counters["heap_bytes_per_flow"] =
         static_cast<double>(heapBytes() - before) / static_cast<double>(flows);
@@ -88,7 +88,7 @@
 }
 BENCHMARK(insertIntoStandardMap)->Arg(500000)->Unit(benchmark::kMillisecond);
 
-/** A packet of a known flow. */
+/** Handles a packet of a known flow. */
 void touchFlow(benchmark::State& state) {
   constexpr uint64_t kFlows = 500000;
   FlowTable table(tableOptions());
@@ -97,12 +97,12 @@
   for (auto _ : state) {
     number = (number + 7919) % kFlows;
     benchmark::DoNotOptimize(table.touch(kNow, static_cast<uint32_t>(number % kShards),
-                                         flowNumber(number), PacketPhase::kContinuing));
+                                         flowHashOf(number), PacketPhase::kContinuing));
   }
 }
 BENCHMARK(touchFlow);
 
-/** A packet of a flow that the table doesn't have. */
+/** Looks up a flow that is not in the table. */
 void missFlow(benchmark::State& state) {
   constexpr uint64_t kFlows = 500000;
   FlowTable table(tableOptions());
@@ -111,12 +111,12 @@
   for (auto _ : state) {
     ++number;
     benchmark::DoNotOptimize(
-        table.find(kNow, static_cast<uint32_t>(number % kShards), flowNumber(number)));
+        table.find(kNow, static_cast<uint32_t>(number % kShards), flowHashOf(number)));
   }
 }
 BENCHMARK(missFlow);
 
-/** A flood of first packets from many sources into a full table. */
+/** Inserts new flows from many sources into a full table, as in a flood. */
 void insertUnderPressure(benchmark::State& state) {
   constexpr uint64_t kEstablished = 400000;
   FlowTable table(tableOptions());
@@ -126,7 +126,7 @@
     ++number;
     NewFlow flow;
     flow.shardSlot = static_cast<uint32_t>(number % kShards);
-    flow.flow = flowNumber(number);
+    flow.flow = flowHashOf(number);
     flow.callerAddress = static_cast<uint32_t>(flow.flow.value);
     return table.insert(kNow, flow);
   };
@@ -141,7 +141,7 @@
 }
 BENCHMARK(insertUnderPressure);
 
-/** The worst that one tick can cost. */
+/** Worst case of one tick: a full table. */
 void sweepTick(benchmark::State& state) {
   constexpr uint64_t kFlows = 500000;
   FlowTable table(tableOptions());
@@ -152,7 +152,7 @@
 }
 BENCHMARK(sweepTick);
 
-/** Listing a shard of about 45,000 flows, as a hand-over does. */
+/** Lists a shard of about 45,000 flows, as its hand-over to another node does. */
 void listShard(benchmark::State& state) {
   constexpr uint64_t kFlows = 500000;
   FlowTable table(tableOptions());
--- a/bench/host_state_benchmark.cc
+++ b/bench/host_state_benchmark.cc
@@ -1,6 +1,6 @@
 /**
- * @file What a node's state of hosts costs: one change of one host, and a start from a reader's
- * copy, at the sizes of a deployment, of twice that, and of the whole system.
+ * @file Cost of the host state of a node: one change of one host, and a start from the copy that a
+ * reader provides. Sizes: one deployment, twice that, and the whole system.
  */
 #include <benchmark/benchmark.h>
 
@@ -21,7 +21,7 @@
 constexpr uint64_t kZones = 5;
 constexpr const char* kPool = "dispatch";
 
-HostEvent hostOf(uint64_t number, uint64_t version) {
+HostEvent makeHost(uint64_t number, uint64_t version) {
   HostEvent event;
   event.pool = kPool;
   event.host.name = "i-" + std::to_string(0x5F0C3E9A00 + number);
@@ -35,10 +35,10 @@
   return event;
 }
 
-std::vector<HostEvent> hostsOf(uint64_t count) {
+std::vector<HostEvent> makeHosts(uint64_t count) {
   std::vector<HostEvent> hosts;
   for (uint64_t number = 1; number <= count; ++number) {
-    hosts.push_back(hostOf(number, number));
+    hosts.push_back(makeHost(number, number));
   }
   return hosts;
 }
@@ -49,22 +49,23 @@
   }
 }
 
-/** One host drains or is back: from the store's news to the pool as the catalogue gets it. */
+/** One host starts draining or becomes active again: from the store event to the updated pool for
+ * the catalogue. */
 void changeOfPresence(benchmark::State& state) {
   const auto count = static_cast<uint64_t>(state.range(0));
   HostPresence presence;
-  fill(presence, hostsOf(count));
+  fill(presence, makeHosts(count));
   presence.settle(kStart);
   uint64_t version = count;
   for (auto _ : state) {
-    HostEvent event = hostOf(1 + version % count, ++version);
+    HostEvent event = makeHost(1 + version % count, ++version);
     event.host.state = version % 2 == 0 ? HostState::kActive : HostState::kDraining;
     presence.onRegistered({event.pool, event.host, event.version, event.madeAt});
     benchmark::DoNotOptimize(presence.settle(kStart));
   }
 }
 
-/** The same from the catalogue to placement. */
+/** The same change, from the catalogue to the placement. */
 void changeOfDirector(benchmark::State& state) {
   const auto count = static_cast<uint64_t>(state.range(0));
   RandomSource random(1);
@@ -72,7 +73,7 @@
   options.zone = "zone-1";
   TokenDirector director(options, random);
   HostPool pool{kPool, {}};
-  for (const HostEvent& event : hostsOf(count)) {
+  for (const HostEvent& event : makeHosts(count)) {
     pool.hosts.push_back(event.host);
   }
   uint64_t version = 0;
@@ -84,9 +85,9 @@
   }
 }
 
-/** What a reader does once for all its followers. */
+/** Work of a reader: encodes one copy for all its followers. */
 void makeCopy(benchmark::State& state) {
-  const auto hosts = hostsOf(static_cast<uint64_t>(state.range(0)));
+  const auto hosts = makeHosts(static_cast<uint64_t>(state.range(0)));
   size_t bytes = 0;
   for (auto _ : state) {
     const auto copy = makeHostCopy(1, hosts);
@@ -98,9 +99,9 @@
   state.counters["bytes"] = static_cast<double>(bytes);
 }
 
-/** What each follower does: the parts are decoded, taken over and settled. */
+/** Work of each follower: decodes the parts, applies the hosts and settles. */
 void takeCopy(benchmark::State& state) {
-  const auto copy = makeHostCopy(1, hostsOf(static_cast<uint64_t>(state.range(0))));
+  const auto copy = makeHostCopy(1, makeHosts(static_cast<uint64_t>(state.range(0))));
   for (auto _ : state) {
     HostPresence presence;
     for (const std::string& part : valueOf(copy).parts) {
@@ -111,10 +112,10 @@
   }
 }
 
-/** The rest of a follower's start: the first pools. */
+/** Remaining part of a follower's start: the director receives its first pool. */
 void firstPoolOfDirector(benchmark::State& state) {
   HostPool pool{kPool, {}};
-  for (const HostEvent& event : hostsOf(static_cast<uint64_t>(state.range(0)))) {
+  for (const HostEvent& event : makeHosts(static_cast<uint64_t>(state.range(0)))) {
     pool.hosts.push_back(event.host);
   }
   for (auto _ : state) {
@@ -124,16 +125,16 @@
   }
 }
 
-void sizes(benchmark::internal::Benchmark* benchmark) {
+void setSizes(benchmark::internal::Benchmark* benchmark) {
   benchmark->Arg(10000)->Arg(20000)->Arg(160000)->Unit(benchmark::kMillisecond);
 }
 
 }  // namespace
 
-BENCHMARK(changeOfPresence)->Apply(sizes);
-BENCHMARK(changeOfDirector)->Apply(sizes);
-BENCHMARK(makeCopy)->Apply(sizes);
-BENCHMARK(takeCopy)->Apply(sizes);
-BENCHMARK(firstPoolOfDirector)->Apply(sizes);
+BENCHMARK(changeOfPresence)->Apply(setSizes);
+BENCHMARK(changeOfDirector)->Apply(setSizes);
+BENCHMARK(makeCopy)->Apply(setSizes);
+BENCHMARK(takeCopy)->Apply(setSizes);
+BENCHMARK(firstPoolOfDirector)->Apply(setSizes);
 
 BENCHMARK_MAIN();
--- a/bench/packet_benchmark.cc
+++ b/bench/packet_benchmark.cc
@@ -1,4 +1,4 @@
-/** @file Time that the packet path spends on a packet, without the decision and the sockets. */
+/** @file Time that the packet path spends per packet, excluding flow decision and socket I/O. */
 #include <benchmark/benchmark.h>
 #include <tins/ip.h>
 #include <tins/rawpdu.h>
@@ -17,7 +17,8 @@
 constexpr uint16_t kServicePort = 443;
 constexpr uint16_t kCallerPort = 40000;
 
-std::string packetOf(size_t dataLength) {
+/** @return a TCP packet with this much payload, bytes. */
+std::string makePacket(size_t dataLength) {
   Tins::IP ip("198.51.100.1", "10.1.2.3");
   Tins::TCP tcp(kServicePort, kCallerPort);
   tcp.flags(Tins::TCP::ACK);
@@ -29,6 +30,7 @@
   return {bytes.begin(), bytes.end()};
 }
 
+/** Resolves every address to the same service. */
 class AnyService : public ServiceLookup {
  public:
   std::optional<ServiceMatch> find(uint32_t, uint16_t, TransportProtocol) const override {
@@ -36,6 +38,7 @@
   }
 };
 
+/** Returns the same decision for every packet. */
 class FixedDirector : public FlowDirector {
  public:
   explicit FixedDirector(FlowDecision decision) : decision_(decision) {}
@@ -45,6 +48,7 @@
   FlowDecision decision_;
 };
 
+/** Counts the bytes that are sent. */
 class CountingOutput : public PacketOutput {
  public:
   void sendToHost(const Endpoint&, std::string_view packet) override { bytes += packet.size(); }
@@ -56,7 +60,7 @@
 };
 
 void parse(benchmark::State& state) {
-  const std::string packet = packetOf(static_cast<size_t>(state.range(0)));
+  const std::string packet = makePacket(static_cast<size_t>(state.range(0)));
   for (auto _ : state) {
     benchmark::DoNotOptimize(parsePacket(packet));
   }
@@ -64,7 +68,7 @@
 BENCHMARK(parse)->Arg(0)->Arg(100)->Arg(1400);
 
 void passThrough(benchmark::State& state, FlowDecision decision) {
-  const std::string packet = packetOf(1400);
+  const std::string packet = makePacket(1400);
   const AnyService services;
   FixedDirector director(decision);
   CountingOutput output;
--- a/bench/policy_benchmark.cc
+++ b/bench/policy_benchmark.cc
@@ -1,4 +1,4 @@
-/** @file Time a policy call takes, for usual and for hostile policies. */
+/** @file Time of a policy call, for usual and for malicious policies. */
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -18,7 +18,7 @@
 std::unique_ptr<CompiledPolicy> compile(const std::string& source) {
   auto compiled = LuaPolicyEngine().compile(Policy{"benchmark", source});
   if (!isOk(compiled)) {
-    std::cerr << "policy doesn't compile: " << errorOf(compiled).detail << "\n";
+    std::cerr << "policy does not compile: " << errorOf(compiled).detail << "\n";
     std::abort();
   }
   return std::move(valueOf(compiled));
@@ -41,7 +41,8 @@
                   "local room = clamp(1 - host.load, 0.05, 1)\n"
                   "return host.weight * room * max(ramp(host.age_seconds, 30), 0.1)");
 
-/** Hostile only for a host that isn't among the samples, so that the policy compiles. */
+/** The policy exhausts its limits only for a host name that is not among the samples with which
+ * compile() tests a policy; otherwise it would be rejected. */
 void hostile(benchmark::State& state, const std::string& body) {
   const auto policy =
       compile("function weigh(host, service)\nif host.name ~= 'victim' then return 1 end\n" + body +
@@ -65,10 +66,10 @@
                   "while true do local d = a:upper() end")
     ->Unit(benchmark::kMicrosecond);
 
-/** Also measures the heap that a compiled policy holds. */
+/** Also reports the heap size of a compiled policy. */
 void compilePolicy(benchmark::State& state) {
   const size_t before = mallinfo2().uordblks;
-  const auto kept = compile("function weigh(host) return host.weight end");
+  const auto compiled = compile("function weigh(host) return host.weight end");
   state.counters["heap_bytes"] = static_cast<double>(mallinfo2().uordblks - before);
   for (auto _ : state) {
     benchmark::DoNotOptimize(compile("function weigh(host) return host.weight end"));
--- a/bench/service_catalog_benchmark.cc
+++ b/bench/service_catalog_benchmark.cc
@@ -1,7 +1,7 @@
 /**
- * @file The catalogue and the record store at the size of the whole system: 21,000 services with
- * 160,000 hosts over 9 regions. Counters: bytes of heap of each; times: one look-up, one repeated
- * record.
+ * @file Memory and speed of the catalogue and the record store at the size of the whole system:
+ * 21,000 services with 160,000 hosts in 9 regions. Counters: heap bytes of each, and the number of
+ * services. Times: one look-up, one repeated record and one newer record.
  */
 #include <benchmark/benchmark.h>
 #include <malloc.h>
@@ -26,7 +26,8 @@
   return mallinfo2().uordblks;
 }
 
-uint32_t hostsOf(uint32_t index) {
+/** @return the number of hosts of a service. */
+uint32_t hostCountOf(uint32_t index) {
   return kHosts / kServices + (index < kHosts % kServices ? 1 : 0);
 }
 
@@ -37,7 +38,7 @@
   service.address = kFirstAddress + index;
   service.port = 443;
   service.policy = "least-load";
-  for (uint32_t host = 0; host < hostsOf(index); ++host) {
+  for (uint32_t host = 0; host < hostCountOf(index); ++host) {
     HostSpec spec;
     spec.name = "host-" + std::to_string(host);
     spec.endpoint = {0x0B000000 + index * 16 + host, 7000};
@@ -53,7 +54,7 @@
   return {{ObjectKind::kService, service.name}, index + 1, false, valueOf(encodeService(service))};
 }
 
-void fill(ServiceCatalog& catalog) {
+void fillCatalog(ServiceCatalog& catalog) {
   for (uint32_t index = 0; index < kServices; ++index) {
     benchmark::DoNotOptimize(catalog.apply(makeRecord(index)));
   }
@@ -61,17 +62,17 @@
 
 void memoryOfTheWholeSystem(benchmark::State& state) {
   for (auto _ : state) {
-    const size_t before = heapBytes();
+    const size_t heapBefore = heapBytes();
     ServiceCatalog catalog("region-0");
-    fill(catalog);
-    const size_t between = heapBytes();
+    fillCatalog(catalog);
+    const size_t heapAfterCatalog = heapBytes();
     RecordStore records;
     for (uint32_t index = 0; index < kServices; ++index) {
       records.apply(makeRecord(index));
     }
-    const size_t after = heapBytes();
-    state.counters["catalog_bytes"] = static_cast<double>(between - before);
-    state.counters["record_store_bytes"] = static_cast<double>(after - between);
+    const size_t heapAfterStore = heapBytes();
+    state.counters["catalog_bytes"] = static_cast<double>(heapAfterCatalog - heapBefore);
+    state.counters["record_store_bytes"] = static_cast<double>(heapAfterStore - heapAfterCatalog);
     state.counters["record_store_inline_bytes"] = sizeof(RecordStore);
     state.counters["services"] = static_cast<double>(catalog.serviceCount());
     state.counters["home_services"] = static_cast<double>(catalog.homeServiceCount());
@@ -80,7 +81,7 @@
 
 void findByAddress(benchmark::State& state) {
   ServiceCatalog catalog("region-0");
-  fill(catalog);
+  fillCatalog(catalog);
   const ServiceLookup& lookup = catalog;
   uint32_t index = 0;
   for (auto _ : state) {
--- a/bench/shard_map_benchmark.cc
+++ b/bench/shard_map_benchmark.cc
@@ -1,4 +1,5 @@
-/** @file Cost of a member's join and loss for the shard map of one region at the design size. */
+/** @file Time of look-ups and of the loss and join of a member in the shard map of one region, at
+ * the size that the system is designed for. */
 #include <benchmark/benchmark.h>
 
 #include "common/shard/shard_map.h"
@@ -19,7 +20,7 @@
   return member;
 }
 
-ShardMap regionMap() {
+ShardMap makeRegionMap() {
   ShardMap map(NodeId{1});
   for (uint32_t id = 1; id <= kMembers; ++id) {
     map.onMember(memberOf(id, MemberState::kAlive));
@@ -31,7 +32,7 @@
 }
 
 void lossAndJoin(benchmark::State& state) {
-  ShardMap map = regionMap();
+  ShardMap map = makeRegionMap();
   uint32_t id = 2;
   for (auto _ : state) {
     map.onMember(memberOf(id, MemberState::kDead));
@@ -43,7 +44,7 @@
 BENCHMARK(lossAndJoin)->Unit(benchmark::kMicrosecond);
 
 void lookup(benchmark::State& state) {
-  const ShardMap map = regionMap();
+  const ShardMap map = makeRegionMap();
   const ShardId shard{ServiceId{7 * 0x9E3779B97F4A7C15ULL}, 1};
   for (auto _ : state) {
     benchmark::DoNotOptimize(map.lookup(shard));
@@ -52,7 +53,7 @@
 BENCHMARK(lookup);
 
 void takeoverCandidates(benchmark::State& state) {
-  const ShardMap map = regionMap();
+  const ShardMap map = makeRegionMap();
   const ShardId shard{ServiceId{7 * 0x9E3779B97F4A7C15ULL}, 1};
   for (auto _ : state) {
     benchmark::DoNotOptimize(map.highestRankedPerZone(shard));
