--- a/bench/control_sim/byte_account.h
+++ b/bench/control_sim/byte_account.h
@@ -15,7 +15,9 @@
 /** Purpose of a message, as printed in the tables. */
 enum class ByteClass : uint8_t { kMembership, kSpread, kCoverage, kCount };
 
+/** @return kSpread for all messages that belong to neither membership nor coverage. */
 inline ByteClass byteClassOf(const Message& message) {
+  // Indexes of Ping and JoinReply in MessageBody.
   constexpr size_t kFirstMembership = 0;
   constexpr size_t kLastMembership = 4;
   const size_t index = message.body.index();
--- a/bench/reader_list/reader_list_main.cc
+++ b/bench/reader_list/reader_list_main.cc
@@ -110,7 +110,7 @@
     TCLAP::CmdLine commandLine("Cost of a complete list of the store", ' ');
     TCLAP::ValueArg<std::string> platform("", "platform", "API endpoint of the stand-in platform",
                                           true, "", "ip:port", commandLine);
-    TCLAP::ValueArg<uint32_t> services("", "services", "Number of services", false, 21000, "count",
+    TCLAP::ValueArg<uint32_t> services("", "services", "Services", false, 21000, "count",
                                        commandLine);
     TCLAP::ValueArg<uint32_t> hosts("", "hosts", "Hosts per service", false, 8, "count",
                                     commandLine);
--- a/bench/reader_load/reader_load_main.cc
+++ b/bench/reader_load/reader_load_main.cc
@@ -214,8 +214,7 @@
 int main(int argc, char** argv) {
   try {
     TCLAP::CmdLine commandLine("Load of the reader election on the store", ' ');
-    TCLAP::ValueArg<uint32_t> regions("", "regions", "Number of regions", false, 9, "count",
-                                      commandLine);
+    TCLAP::ValueArg<uint32_t> regions("", "regions", "Regions", false, 9, "count", commandLine);
     TCLAP::ValueArg<uint32_t> members("", "members", "Members per region", false, 1900, "count",
                                       commandLine);
     TCLAP::ValueArg<uint32_t> hours("", "hours", "Simulated hours", false, 2, "hours", commandLine);
