--- a/source/common/server/http_server.h
+++ b/source/common/server/http_server.h
@@ -25,8 +25,8 @@
 };
 
 /**
- * Serves GET /healthz, /readyz and /metrics and passes every other path to the admin API. Requests
- * are answered without waiting for a state to change; 503 responses carry a Retry-After header.
+ * Serves GET /healthz, /readyz and /metrics and passes every other path to the admin API. No
+ * request waits for the node to become ready; 503 responses carry a Retry-After header.
  */
 class HttpServer {
  public:
--- a/source/common/server/token_node.cc
+++ b/source/common/server/token_node.cc
@@ -251,7 +251,7 @@
   }
 
   void logEvacuations(uint64_t version, const EvacuatedZones& fresh) const {
-    const auto logLacking = [version](const EvacuatedZones& all, const EvacuatedZones& known,
+    const auto logMissing = [version](const EvacuatedZones& all, const EvacuatedZones& known,
                                       const char* event) {
       for (const std::string& zone : all.zones) {
         if (!known.zones.contains(zone)) {
@@ -259,8 +259,8 @@
         }
       }
     };
-    logLacking(fresh, evacuatedZones, "zone_evacuated");
-    logLacking(evacuatedZones, fresh, "zone_returned");
+    logMissing(fresh, evacuatedZones, "zone_evacuated");
+    logMissing(evacuatedZones, fresh, "zone_returned");
   }
 
   /** Hosts of the first catalog are not logged individually; its totals are logged instead. */
--- a/test/common/settings/token_node_settings_test.cc
+++ b/test/common/settings/token_node_settings_test.cc
@@ -48,15 +48,16 @@
 
 }  // namespace
 
-TEST_GROUP(TokenNodeSettings){
-    void checkRefused(SettingsErrorCode code, const std::string& key,
-                      const std::string& text){const auto settings = parseTokenNodeSettings(text);
-CHECK_FALSE(isOk(settings));
-CHECK_TRUE(errorOf(settings).code == code);
-STRCMP_EQUAL(key.c_str(), errorOf(settings).key.c_str());
-}  // namespace umberhold
-}
-;
+// clang-format off
+TEST_GROUP(TokenNodeSettings) {
+  void checkRefused(SettingsErrorCode code, const std::string& key, const std::string& text) {
+    const auto settings = parseTokenNodeSettings(text);
+    CHECK_FALSE(isOk(settings));
+    CHECK_TRUE(errorOf(settings).code == code);
+    STRCMP_EQUAL(key.c_str(), errorOf(settings).key.c_str());
+  }
+};
+// clang-format on
 
 TEST(TokenNodeSettings, ReadsEveryOption) {
   const auto settings = parseTokenNodeSettings(kComplete);
