--- a/source/common/server/catalog_reader.cc
+++ b/source/common/server/catalog_reader.cc
@@ -14,15 +14,15 @@
 constexpr auto kRetryDelay = std::chrono::milliseconds(100);
 constexpr Duration kWatchTimeout = std::chrono::seconds(30);
 
-std::vector<CatalogChange> goneOf(Collection collection, const std::set<std::string>& before,
-                                  const std::set<std::string>& now) {
-  std::vector<CatalogChange> gone;
+std::vector<CatalogChange> deletionsOf(Collection collection, const std::set<std::string>& before,
+                                       const std::set<std::string>& now) {
+  std::vector<CatalogChange> deletions;
   for (const std::string& name : before) {
     if (!now.contains(name)) {
-      gone.push_back(DeletedObject{collection, name});
+      deletions.push_back(DeletedObject{collection, name});
     }
   }
-  return gone;
+  return deletions;
 }
 
 bool isService(const CatalogChange& change) {
@@ -70,13 +70,13 @@
   for (const CatalogChange& change : all.changes) {
     updateNames(change);
   }
-  const auto gonePools = goneOf(Collection::kHostPools, poolsBefore, pools_);
-  const auto goneServices = goneOf(Collection::kServices, servicesBefore, services_);
+  const auto poolDeletions = deletionsOf(Collection::kHostPools, poolsBefore, pools_);
+  const auto serviceDeletions = deletionsOf(Collection::kServices, servicesBefore, services_);
   // Pool changes come before service changes, so that a service's new pool exists before the
   // service refers to it.
   const auto firstService = std::find_if(all.changes.begin(), all.changes.end(), isService);
-  all.changes.insert(firstService, gonePools.begin(), gonePools.end());
-  all.changes.insert(all.changes.end(), goneServices.begin(), goneServices.end());
+  all.changes.insert(firstService, poolDeletions.begin(), poolDeletions.end());
+  all.changes.insert(all.changes.end(), serviceDeletions.begin(), serviceDeletions.end());
   since_ = all.version;
   all.receivedAt = steadyNow();
   sink_(std::move(all));
--- a/source/common/settings/token_node_settings.cc
+++ b/source/common/settings/token_node_settings.cc
@@ -19,6 +19,7 @@
 constexpr double kMaxWaitPart = 1.0;
 /** Fraction of the new flows of a split. */
 constexpr double kMaxOverflowPart = 1.0;
+/** Fraction of the target latency of a service. */
 constexpr double kMaxHostTimePart = 1.0;
 /** Larger than any ratio of response times. */
 constexpr double kMaxRatio = 1000.0;
--- a/test/common/settings/token_node_settings_test.cc
+++ b/test/common/settings/token_node_settings_test.cc
@@ -119,7 +119,7 @@
   CHECK_TRUE(settingChanges(before, after) == expected);
 }
 
-TEST(TokenNodeSettings, ReportsTheError) {
+TEST(TokenNodeSettings, ReportsCodeAndOptionOfAnError) {
   checkRefused(SettingsErrorCode::kWrongType, "peers", with("\"10.2.0.40:8166\"", "7"));
   checkRefused(SettingsErrorCode::kWrongType, "metrics", with("10.1.0.10:9464", "9464"));
   checkRefused(SettingsErrorCode::kSyntax, "", "node = ");
