--- a/test/common/settings/token_node_settings_test.cc
+++ b/test/common/settings/token_node_settings_test.cc
@@ -48,15 +48,16 @@
 
 }  // namespace
 
-TEST_GROUP(TokenNodeSettings){
-    void checkRefused(SettingsErrorCode code, const std::string& key,
-                      const std::string& text){const auto settings = parseTokenNodeSettings(text);
-CHECK_FALSE(isOk(settings));
-CHECK_TRUE(errorOf(settings).code == code);
-STRCMP_EQUAL(key.c_str(), errorOf(settings).key.c_str());
-}  // namespace umberhold
-}
-;
+// clang-format off
+TEST_GROUP(TokenNodeSettings) {
+  void checkRefused(SettingsErrorCode code, const std::string& key, const std::string& text) {
+    const auto settings = parseTokenNodeSettings(text);
+    CHECK_FALSE(isOk(settings));
+    CHECK_TRUE(errorOf(settings).code == code);
+    STRCMP_EQUAL(key.c_str(), errorOf(settings).key.c_str());
+  }
+};
+// clang-format on
 
 TEST(TokenNodeSettings, ReadsEveryOption) {
   const auto settings = parseTokenNodeSettings(kComplete);
@@ -118,7 +119,7 @@
   CHECK_TRUE(settingChanges(before, after) == expected);
 }
 
-TEST(TokenNodeSettings, ReportsTheError) {
+TEST(TokenNodeSettings, ReportsCodeAndOptionOfAnError) {
   checkRefused(SettingsErrorCode::kWrongType, "peers", with("\"10.2.0.40:8166\"", "7"));
   checkRefused(SettingsErrorCode::kWrongType, "metrics", with("10.1.0.10:9464", "9464"));
   checkRefused(SettingsErrorCode::kSyntax, "", "node = ");
