--- a/test/soak/check_sabotage.sh
+++ b/test/soak/check_sabotage.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
 # usage: check_sabotage.sh SOAK SABOTAGE PROMISE[,PROMISE] SECONDS SEED LOAD
-# Passes where a soak with the sabotage ends with each promise broken: a check that can't fail is none.
+# Passes if a soak with the sabotage reports every given promise as broken. This verifies that the
+# checks of these promises can fail.
 set -euo pipefail
 soak=$1
 sabotage=$2
@@ -9,12 +10,12 @@
 report=$("$soak" --seconds "$4" --seed "$5" --load "$6" --sabotage "$sabotage") || status=$?
 echo "$report"
 if [ "$status" -ne 1 ]; then
-  echo "the soak ended with $status, not with a broken promise" >&2
+  echo "soak exited with status $status; expected 1, a broken promise" >&2
   exit 1
 fi
 for promise in ${promises//,/ }; do
   if ! tail -n 1 <<<"$report" | grep -q "\"broken\":{[^}]*\"$promise\":"; then
-    echo "the promise $promise was not found broken" >&2
+    echo "soak did not report the promise $promise as broken" >&2
     exit 1
   fi
 done
--- a/test/soak/served.gp
+++ b/test/soak/served.gp
@@ -1,8 +1,8 @@
-# Served part of the requests by second, with the faults: gnuplot -e "folder='DIR'" test/soak/served.gp
+# Plots the share of requests served, by the second in which they began, and the faults: gnuplot -e "folder='DIR'" test/soak/served.gp
 set terminal pngcairo size 900,420 noenhanced font "sans,9"
 set output folder."/served.png"
-set xlabel "seconds from the start of the traffic"
-set ylabel "served part of the requests that began"
+set xlabel "seconds since the start of the traffic"
+set ylabel "share of requests served, by start time"
 set yrange [0:1.35]
 set key left bottom
 plot folder."/served.tsv" using 1:($3/$2) with steps title "served", \
--- a/test/soak/soak_main.cc
+++ b/test/soak/soak_main.cc
@@ -1,4 +1,5 @@
-/** @file soak: runs real nodes under random faults and checks their guarantees externally. */
+/** @file soak: runs real nodes under random faults and checks their promises from outside the
+ * nodes. */
 #include <Poco/Exception.h>
 #include <Poco/TemporaryFile.h>
 #include <tclap/CmdLine.h>
@@ -16,10 +17,10 @@
 using namespace umberhold;
 using namespace umberhold::soak;
 
-constexpr int kKept = 0;
-constexpr int kBroken = 1;
-constexpr int kUsage = 2;
-constexpr int kNotRun = 3;
+constexpr int kExitKept = 0;
+constexpr int kExitBroken = 1;
+constexpr int kExitUsage = 2;
+constexpr int kExitNotRun = 3;
 
 std::string sabotageList() {
   std::string list;
@@ -34,42 +35,46 @@
   const auto result = runSoak(options);
   if (!isOk(result)) {
     std::cerr << "soak not run: " << toString(errorOf(result)) << "\n";
-    return kNotRun;
+    return kExitNotRun;
   }
   std::cout << toText(options, valueOf(result)) << toJsonLine(options, valueOf(result))
             << std::endl;
   writePlotData(options.folder, valueOf(result));
-  return valueOf(result).keptAll() ? kKept : kBroken;
+  return valueOf(result).keptAll() ? kExitKept : kExitBroken;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  TCLAP::CmdLine command("Plays random faults on real nodes and checks the promises from outside.",
-                         ' ', "0.1");
-  TCLAP::ValueArg<uint32_t> seconds("", "seconds", "length; about 20 s of it are calm", false, 60,
-                                    "s", command);
-  TCLAP::ValueArg<uint64_t> seed("", "seed", "decides faults and traffic", false, 1, "number",
+  TCLAP::CmdLine command(
+      "Injects random faults into real nodes and checks their promises from outside the nodes.",
+      ' ', "0.1");
+  TCLAP::ValueArg<uint32_t> seconds("", "seconds",
+                                    "duration of the traffic; about 20 s of it are without faults",
+                                    false, 60, "s", command);
+  TCLAP::ValueArg<uint64_t> seed("", "seed", "determines faults and traffic", false, 1, "number",
                                  command);
-  TCLAP::ValueArg<std::string> keep("", "keep", "folder for logs and settings", false, "", "path",
-                                    command);
-  TCLAP::ValueArg<std::string> sabotage("", "sabotage", "breaks a promise: " + sabotageList(),
-                                        false, "none", "name", command);
+  TCLAP::ValueArg<std::string> folder("", "keep", "folder for logs and settings", false, "", "path",
+                                      command);
+  TCLAP::ValueArg<std::string> sabotage(
+      "", "sabotage", "simulates a fault that breaks a promise: " + sabotageList(), false, "none",
+      "name", command);
   std::vector<std::string> loads = {"usual", "hard"};
   TCLAP::ValuesConstraint<std::string> knownLoads(loads);
-  TCLAP::ValueArg<std::string> load("", "load", "what callers ask for and hosts bear", false,
-                                    "hard", &knownLoads, command);
+  TCLAP::ValueArg<std::string> load("", "load", "load of the callers and capacity of the hosts",
+                                    false, "hard", &knownLoads, command);
   command.parse(argc, argv);
 
   const auto kind = sabotageNamed(sabotage.getValue());
   if (!kind) {
-    std::cerr << "no such sabotage: " << sabotage.getValue() << "; " << sabotageList() << "\n";
-    return kUsage;
+    std::cerr << "unknown sabotage: " << sabotage.getValue()
+              << "; expected one of: " << sabotageList() << "\n";
+    return kExitUsage;
   }
   const auto block = experiment::AddressBlock::claim();
   if (!block) {
     std::cerr << "soak not run: no free loopback addresses\n";
-    return kNotRun;
+    return kExitNotRun;
   }
   const std::filesystem::path self = std::filesystem::read_symlink("/proc/self/exe");
   SoakOptions options;
@@ -79,12 +84,12 @@
   options.load = load.getValue() == "hard" ? SoakLoad::kHard : SoakLoad::kUsual;
   options.block = block->number();
   options.program = (self.parent_path() / ".." / ".." / "platform" / "umberhold_edge").string();
-  options.folder = keep.getValue().empty() ? Poco::TemporaryFile::tempName() : keep.getValue();
+  options.folder = folder.getValue().empty() ? Poco::TemporaryFile::tempName() : folder.getValue();
   std::filesystem::create_directories(options.folder);
   try {
     return run(options);
   } catch (const Poco::Exception& failure) {
     std::cerr << "soak not run: " << failure.displayText() << "\n";
-    return kNotRun;
+    return kExitNotRun;
   }
 }
--- a/test/soak/unit/caller_and_host_test.cc
+++ b/test/soak/unit/caller_and_host_test.cc
@@ -20,10 +20,10 @@
 const std::string kAnyHost(8, '\0');
 
 CallerProfile profile(bool repeatable) {
-  CallerProfile made;
-  made.service = {0xC6120001, 8443};
-  made.repeatable = repeatable;
-  return made;
+  CallerProfile result;
+  result.service = {0xC6120001, 8443};
+  result.repeatable = repeatable;
+  return result;
 }
 
 }  // namespace
@@ -31,7 +31,7 @@
 TEST_GROUP_BASE(CallerAndHost, test::WithoutLeakDetection) {
   RandomSource random{7};
   TimePoint now{seconds(100)};
-  double lost = 0.0;
+  double lossShare = 0.0;
   std::unique_ptr<SoakHost> host;
   std::unique_ptr<SoakCaller> caller;
   std::deque<std::string> toHost;
@@ -47,7 +47,7 @@
   void start(bool repeatable, HostPlan plan = {}) {
     HostHooks hooks;
     hooks.send = [this](const Endpoint&, const std::string& packet) {
-      if (random.unit() >= lost) {
+      if (random.unit() >= lossShare) {
         toCaller.push_back(packet);
       }
     };
@@ -62,7 +62,7 @@
     host = std::make_unique<SoakHost>(plan, hooks, random);
     CallerHooks callerHooks;
     callerHooks.send = [this](const std::string& packet) {
-      if (random.unit() >= lost) {
+      if (random.unit() >= lossShare) {
         toHost.push_back(kAnyHost + packet);
       }
     };
@@ -98,7 +98,7 @@
 }
 
 TEST(CallerAndHost, LossDelaysRequestsAndRunsNoneTwice) {
-  lost = 0.05;
+  lossShare = 0.05;
   start(false);
   runFor(seconds(60));
   CHECK_TRUE(caller->counts().served > 50);
@@ -120,7 +120,7 @@
 TEST(CallerAndHost, FullHostRejectsRequestsWithoutRunningThem) {
   HostPlan plan;
   plan.slots = 1;
-  plan.work = seconds(10);  // Far beyond the caller's deadline for its first request.
+  plan.workTime = seconds(10);  // Far beyond the caller's deadline for its first request.
   start(false, plan);
   runFor(seconds(5));
   LONGS_EQUAL(1, runs.size());
@@ -135,8 +135,8 @@
 TEST(CallerAndHost, RequestsAreQueuedForASlotUpToTheQueueLimit) {
   HostPlan plan;
   plan.slots = 1;
-  plan.queue = 1;
-  plan.work = milliseconds(3500);
+  plan.maxQueued = 1;
+  plan.workTime = milliseconds(3500);
   start(false, plan);
   runFor(seconds(6));
   LONGS_EQUAL(2, runs.size());
@@ -158,8 +158,8 @@
   reset.sourcePort = last.targetPort;
   reset.target = last.source;
   reset.targetPort = last.sourcePort;
-  for (const int64_t away : {int64_t{1} << 20, -(int64_t{1} << 20), int64_t{76801}}) {
-    reset.sequence = static_cast<uint32_t>(last.acknowledged + away);
+  for (const int64_t offset : {int64_t{1} << 20, -(int64_t{1} << 20), int64_t{76801}}) {
+    reset.sequence = static_cast<uint32_t>(last.acknowledged + offset);
     caller->onDatagram(now, encode(reset));
   }
   LONGS_EQUAL(0, resets);
@@ -171,7 +171,7 @@
 
 TEST(CallerAndHost, FullHostIgnoresOpenings) {
   HostPlan plan;
-  plan.maximumFlows = 1;
+  plan.maxFlows = 1;
   start(true, plan);
   runFor(seconds(1));
   LONGS_EQUAL(1, host->openFlowCount());
--- a/test/soak/unit/evidence_test.cc
+++ b/test/soak/unit/evidence_test.cc
@@ -60,10 +60,10 @@
 TEST(Evidence, KeepsOnlyTheFirstViolationsOfEachPromise) {
   ViolationRecord promises(kNow);
   for (int count = 0; count < 100; ++count) {
-    promises.broken(kNow, Promise::kRecovery, "x");
+    promises.recordViolation(kNow, Promise::kRecovery, "x");
   }
   LONGS_EQUAL(100, promises.count(Promise::kRecovery));
-  CHECK_TRUE(promises.first().size() < 10);
+  CHECK_TRUE(promises.firstViolations().size() < 10);
 }
 
 TEST(Evidence, SummarizesLogLines) {
@@ -134,11 +134,11 @@
       CHECK_TRUE(fault.kind < FaultKind::kUsualCount);
     }
     const std::vector<Fault> hard = drawHardLoad(seed, seconds(60));
-    TimePoint::duration roomBackAt{0};
+    TimePoint::duration capacityRestoredAt{0};
     for (const Fault& fault : hard) {
-      CHECK_TRUE(fault.kind >= FaultKind::kUsualCount && fault.at >= roomBackAt);
+      CHECK_TRUE(fault.kind >= FaultKind::kUsualCount && fault.at >= capacityRestoredAt);
       if (fault.kind != FaultKind::kRestartHost) {
-        roomBackAt = fault.at + fault.lasts;
+        capacityRestoredAt = fault.at + fault.duration;
       }
     }
     CHECK_TRUE(hard.back().kind == FaultKind::kShortRoom && hard.back().at >= seconds(60));
--- a/test/soak/unit/load_watch_test.cc
+++ b/test/soak/unit/load_watch_test.cc
@@ -9,7 +9,7 @@
 using std::chrono::seconds;
 
 constexpr TimePoint kNow{seconds(100)};
-constexpr Duration kStep = milliseconds(100);
+constexpr Duration kRequestInterval = milliseconds(100);
 
 }  // namespace
 
@@ -19,7 +19,7 @@
 
   /** Completes requests of two services of a pool for the given time. */
   void runFor(TimePoint from, Duration length, bool usualServed, bool urgentServed) {
-    for (TimePoint now = from; now < from + length; now += kStep) {
+    for (TimePoint now = from; now < from + length; now += kRequestInterval) {
       watch.onEnded(now, "dispatch", "usual", now, usualServed);
       watch.onEnded(now, "dispatch", "urgent", now, urgentServed);
     }
@@ -29,7 +29,7 @@
 TEST(LoadWatch, UnservedServiceStarvesWhileAnotherIsServed) {
   runFor(kNow, seconds(5), false, true);
   LONGS_EQUAL(0, promises.total());
-  CHECK_TRUE(watch.longestStarved() > seconds(4));
+  CHECK_TRUE(watch.longestStarvation() > seconds(4));
   runFor(kNow + seconds(5), seconds(2), false, true);
   LONGS_EQUAL(1, promises.count(Promise::kNoServiceStarved));
 }
@@ -45,7 +45,7 @@
 
 TEST(LoadWatch, NoServiceStarvesWhereNoneOfItsPoolIsServed) {
   runFor(kNow, seconds(20), false, false);
-  for (TimePoint now = kNow; now < kNow + seconds(20); now += kStep) {
+  for (TimePoint now = kNow; now < kNow + seconds(20); now += kRequestInterval) {
     watch.onEnded(now, "mapstore", "maps", now, true);
   }
   LONGS_EQUAL(0, promises.total());
@@ -53,7 +53,7 @@
 
 TEST(LoadWatch, FullHostMayReceiveAFewOpeningsPerSecond) {
   for (int round = 0; round < 5; ++round) {
-    for (uint32_t opening = 0; opening < LoadBounds{}.openingsToFullHost; ++opening) {
+    for (uint32_t opening = 0; opening < LoadBounds{}.maxOpeningsToFullHost; ++opening) {
       watch.onFull(kNow + round * milliseconds(1100), "i-1");
     }
   }
@@ -66,7 +66,7 @@
   watch.onCapacityRestored(kNow);
   runFor(kNow, seconds(6), false, false);
   runFor(kNow + seconds(6), seconds(2), true, true);
-  watch.tick(kNow + seconds(5), false);  // Not looked at before its time.
+  watch.tick(kNow + seconds(5), false);  // Before the recovery time, disturbances are ignored.
   watch.tick(kNow + seconds(11), true);
   LONGS_EQUAL(1, watch.recoveriesEvaluated());
   LONGS_EQUAL(0, promises.total());
@@ -76,7 +76,7 @@
   watch.onCapacityRestored(kNow);
   runFor(kNow, seconds(7), false, false);
   runFor(kNow + seconds(7), seconds(3), true, true);
-  watch.tick(kNow + seconds(5), false);  // Not looked at before its time.
+  watch.tick(kNow + seconds(5), false);  // Before the recovery time, disturbances are ignored.
   watch.tick(kNow + seconds(11), true);
   LONGS_EQUAL(1, promises.count(Promise::kShareReturns));
 }
--- a/test/soak/unit/route_tracker_test.cc
+++ b/test/soak/unit/route_tracker_test.cc
@@ -36,7 +36,7 @@
         return;
       }
     }
-    FAIL("no such marker");
+    FAIL("no probe targeted the marker");
   }
   uint64_t late() const {
     return promises.count(Promise::kConfigurationInTime);
--- a/test/soak/unit/stream_end_property.cc
+++ b/test/soak/unit/stream_end_property.cc
@@ -29,7 +29,7 @@
     const std::string sent(random.below(60000), 'x');
     sender.write(sent);
     sender.finish();
-    std::string got;
+    std::string received;
     std::vector<std::string> packets;
     TimePoint now{std::chrono::seconds(1)};
     for (int step = 0; step < 20000 && !(sender.isDrained() && receiver.isFinishedByOther());
@@ -45,7 +45,7 @@
       for (const std::string& packet : arriving) {
         const uint64_t copies = random.below(10) == 0 ? 0 : 1 + random.below(5) / 4;
         for (uint64_t copy = 0; copy < copies; ++copy) {
-          got += receiver.onPacket(now, *decode(packet), answers);
+          received += receiver.onPacket(now, *decode(packet), answers);
         }
       }
       for (const std::string& packet : answers) {
@@ -54,7 +54,7 @@
         }
       }
     }
-    RC_ASSERT(got == sent);
+    RC_ASSERT(received == sent);
     RC_ASSERT(receiver.isFinishedByOther());
     RC_ASSERT(sender.isDrained());
   }));
--- a/test/soak/world/deployment_plan.cc
+++ b/test/soak/world/deployment_plan.cc
@@ -15,8 +15,8 @@
 constexpr uint16_t kMetricsPort = 9464;
 constexpr uint16_t kStorePort = 8169;
 constexpr uint16_t kHostPort = 9000;
-constexpr uint32_t kNumbersOfGroup = 250;
-constexpr size_t kSeeds = 3;
+constexpr uint32_t kAddressesPerGroup = 250;
+constexpr size_t kSeedPeers = 3;
 
 long long millisecondsOf(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
@@ -30,21 +30,21 @@
     NodePlan node;
     node.zone = zones_[zoneOfNode[index]];
     node.name = "front-" + node.zone + "-" + std::to_string(index + 1);
-    const uint32_t own = address(kNodeGroup, static_cast<uint32_t>(index) + 1);
-    node.data = {own, kDataPort};
-    node.readiness = {own, kReadinessPort};
-    node.metrics = {own, kMetricsPort};
-    node.peer = {own, kPeerPort};
-    node.store = {own, kStorePort};
+    const uint32_t nodeAddress = address(kNodeGroup, static_cast<uint32_t>(index) + 1);
+    node.data = {nodeAddress, kDataPort};
+    node.readiness = {nodeAddress, kReadinessPort};
+    node.metrics = {nodeAddress, kMetricsPort};
+    node.peer = {nodeAddress, kPeerPort};
+    node.store = {nodeAddress, kStorePort};
     nodes_.push_back(node);
   }
 }
 
 uint32_t DeploymentPlan::address(uint32_t group, uint32_t number) const {
   constexpr uint32_t kLoopback = 127;
-  const uint32_t third = group + number / kNumbersOfGroup;
-  return (kLoopback << 24U) | (uint32_t{block_} << 16U) | (third << 8U) |
-         (number % kNumbersOfGroup + 1);
+  const uint32_t thirdOctet = group + number / kAddressesPerGroup;
+  return (kLoopback << 24U) | (uint32_t{block_} << 16U) | (thirdOctet << 8U) |
+         (number % kAddressesPerGroup + 1);
 }
 
 Endpoint DeploymentPlan::hostAddress(uint32_t number) const {
@@ -66,7 +66,7 @@
        << "\"\nreadiness_path = \"/api/readiness\"\nmetrics = \"" << toString(node.metrics)
        << "\"\nrequest_header = \"Umberhold-Request-Id\"\nstore = \"" << toString(node.store)
        << "\"\npeer_address = \"" << toString(node.peer) << "\"\npeers = [";
-  for (size_t index = 0; index < std::min(kSeeds, plan.nodes().size()); ++index) {
+  for (size_t index = 0; index < std::min(kSeedPeers, plan.nodes().size()); ++index) {
     text << (index == 0 ? "" : ", ") << "\"" << toString(plan.nodes()[index].peer) << "\"";
   }
   text << "]\nchange_bound_milliseconds = " << millisecondsOf(plan.bounds().change)
--- a/test/soak/world/deployment_plan.h
+++ b/test/soak/world/deployment_plan.h
@@ -14,7 +14,8 @@
 enum class SoakLoad : uint8_t {
   /** Hosts are identical and have no limits. */
   kUsual,
-  /** Hosts differ in speed and have slots, a short queue and a flow limit; capacity shortages. */
+  /** Hosts differ in speed and have request slots, a short queue and a flow limit; at times the
+   * capacity is too small for the load. */
   kHard,
 };
 
@@ -31,26 +32,31 @@
 };
 
 /** Time bounds of the deployment, as at the users' sites. */
-struct BoundPlan {
+struct TimeBounds {
+  /** Maximum time from a change in the store to its use by all nodes. */
   Duration change = std::chrono::seconds(3);
+  /** Maximum time for which a leaving host still receives new flows. */
   Duration drain = std::chrono::seconds(3);
+  /** Time without disturbance after which the other bounds apply. */
   Duration settleTime = std::chrono::seconds(4);
-  /** Time after a node showed a version for which older ones are still allowed. */
-  Duration back = std::chrono::milliseconds(250);
+  /** Time for which a node may still use an older version after it has shown a newer one. */
+  Duration olderVersionGrace = std::chrono::milliseconds(250);
+  /** Maximum time from the end of the last fault until requests are served as usual. */
   Duration recovery = std::chrono::seconds(12);
-  Duration reuse = std::chrono::seconds(2);
-  Duration heartbeat = std::chrono::milliseconds(1200);
+  /** Minimum time between the end of a host and the reuse of its address. */
+  Duration addressReuseDelay = std::chrono::seconds(2);
+  Duration heartbeatInterval = std::chrono::milliseconds(1200);
 };
 
 /** Addresses are 127.BLOCK.GROUP.NUMBER. */
 class DeploymentPlan {
  public:
-  /** A zone of six nodes, which read the store through one of them, and two small zones. */
+  /** One zone of six nodes, of which one reads the store for the others, and two zones of two. */
   explicit DeploymentPlan(uint8_t block);
 
   const std::vector<NodePlan>& nodes() const { return nodes_; }
   const std::vector<std::string>& zones() const { return zones_; }
-  const BoundPlan& bounds() const { return bounds_; }
+  const TimeBounds& bounds() const { return bounds_; }
   Endpoint hostAddress(uint32_t number) const;
   uint32_t callerAddress(uint32_t number) const;
   /** @return the address that receives the answers to configuration probes. */
@@ -64,7 +70,7 @@
   uint8_t block_;
   std::vector<std::string> zones_ = {"bole", "piassa", "merkato"};
   std::vector<NodePlan> nodes_;
-  BoundPlan bounds_;
+  TimeBounds bounds_;
 };
 
 /** @return the settings file of a node. */
--- a/test/soak/world/disturbance_tracker.h
+++ b/test/soak/world/disturbance_tracker.h
@@ -16,27 +16,27 @@
 
   void begin(const std::string& target, TimePoint now) {
     Disturbance& disturbance = targets_[target];
-    ++disturbance.open;
-    disturbance.last = now;
+    ++disturbance.active;
+    disturbance.changedAt = now;
   }
   void end(const std::string& target, TimePoint now) {
     Disturbance& disturbance = targets_[target];
-    --disturbance.open;
-    disturbance.last = now;
+    --disturbance.active;
+    disturbance.changedAt = now;
   }
   /** Records an instantaneous disturbance. */
-  void recordInstant(const std::string& target, TimePoint now) { targets_[target].last = now; }
+  void recordInstant(const std::string& target, TimePoint now) { targets_[target].changedAt = now; }
 
   bool isSettled(const std::string& name, TimePoint now) const {
     const auto found = targets_.find(name);
     return found == targets_.end() ||
-           (found->second.open == 0 && now - found->second.last > settleTime_);
+           (found->second.active == 0 && now - found->second.changedAt > settleTime_);
   }
 
  private:
   struct Disturbance {
-    int open = 0;
-    TimePoint last{};
+    int active = 0;
+    TimePoint changedAt{};
   };
 
   const Duration settleTime_;
--- a/test/soak/world/echo_packet.cc
+++ b/test/soak/world/echo_packet.cc
@@ -5,9 +5,9 @@
 namespace umberhold::soak {
 namespace {
 
-constexpr size_t kHeadBytes = 31;
+constexpr size_t kHeaderBytes = 31;
 constexpr unsigned kByteBits = 8;
-constexpr const char* kKey = "key of callers and hosts";
+constexpr const char* kChecksumKey = "key of callers and hosts";
 
 template <class Integer>
 void put(std::string& bytes, Integer value) {
@@ -22,7 +22,7 @@
   explicit NumberReader(std::string_view bytes) : rest_(bytes) {}
 
   template <class Integer>
-  Integer take() {
+  Integer readNumber() {
     uint64_t value = 0;
     for (size_t index = 0; index < sizeof(Integer); ++index) {
       value = (value << kByteBits) | static_cast<uint8_t>(rest_[index]);
@@ -39,7 +39,7 @@
 uint32_t sumOf(EchoPacket packet) {
   packet.sum = 0;
   packet.echo = 0;
-  const auto sum = static_cast<uint32_t>(hashBytes(kKey + encode(packet)));
+  const auto sum = static_cast<uint32_t>(hashBytes(kChecksumKey + encode(packet)));
   return sum == 0 ? 1 : sum;
 }
 
@@ -66,22 +66,22 @@
 }
 
 std::optional<EchoPacket> decode(std::string_view bytes) {
-  if (bytes.size() < kHeadBytes) {
+  if (bytes.size() < kHeaderBytes) {
     return std::nullopt;
   }
   NumberReader reader(bytes);
   EchoPacket packet;
-  packet.sum = reader.take<uint32_t>();
-  packet.flags = reader.take<uint8_t>();
-  packet.echo = reader.take<uint32_t>();
-  packet.sequence = reader.take<uint32_t>();
-  packet.acknowledged = reader.take<uint32_t>();
-  packet.sourcePort = reader.take<uint16_t>();
-  packet.targetPort = reader.take<uint16_t>();
-  packet.source = reader.take<uint32_t>();
-  packet.target = reader.take<uint32_t>();
-  const auto length = reader.take<uint16_t>();
-  if (reader.rest().size() != length || length > kMaximumData) {
+  packet.sum = reader.readNumber<uint32_t>();
+  packet.flags = reader.readNumber<uint8_t>();
+  packet.echo = reader.readNumber<uint32_t>();
+  packet.sequence = reader.readNumber<uint32_t>();
+  packet.acknowledged = reader.readNumber<uint32_t>();
+  packet.sourcePort = reader.readNumber<uint16_t>();
+  packet.targetPort = reader.readNumber<uint16_t>();
+  packet.source = reader.readNumber<uint32_t>();
+  packet.target = reader.readNumber<uint32_t>();
+  const auto length = reader.readNumber<uint16_t>();
+  if (reader.rest().size() != length || length > kMaxDataBytes) {
     return std::nullopt;
   }
   packet.data = std::string(reader.rest());
--- a/test/soak/world/echo_packet.h
+++ b/test/soak/world/echo_packet.h
@@ -20,6 +20,7 @@
 
 /** One packet. Numbers in host byte order. */
 struct EchoPacket {
+  /** Keyed checksum over everything but `echo`; 0: not sealed. */
   uint32_t sum = 0;
   uint8_t flags = 0;
   uint32_t echo = 0;
@@ -35,15 +36,16 @@
 };
 
 /** Maximum payload of a packet in bytes. */
-constexpr size_t kMaximumData = 1200;
+constexpr size_t kMaxDataBytes = 1200;
 
-/** @return the encoded packet with its `sum` unchanged. */
+/** @return the encoded packet, with `sum` as given. */
 std::string encode(const EchoPacket& packet);
-/** @return the encoded packet with the keyed sum, which only callers and hosts can compute. */
+/** @return the encoded packet with its checksum, which only callers and hosts can compute because
+ * nodes do not have the key. */
 std::string encodeSealed(EchoPacket packet);
 /** @return the decoded packet, or nothing if the bytes are malformed. */
 std::optional<EchoPacket> decode(std::string_view bytes);
-/** @return whether the sum is valid; it covers everything but `echo`. */
+/** @return whether the checksum is valid. */
 bool isSealed(const EchoPacket& packet);
 
 }  // namespace umberhold::soak
--- a/test/soak/world/exchange.h
+++ b/test/soak/world/exchange.h
@@ -32,13 +32,13 @@
 std::string requestText(const Request& request);
 std::string answerText(const Request& request, const std::string& service);
 /** @return the answer of a host at capacity, which rejects the request without running it. */
-std::string refusalText(const Request& request);
+std::string rejectionText(const Request& request);
 /** @return the expected body of the answer to a request. */
 std::string bodyOf(uint64_t id, uint32_t bytes);
 
 /** Removes and returns a complete request from the front of the text; nothing if incomplete. */
-std::optional<Request> takeRequest(std::string& text);
-/** Like takeRequest(), for answers. */
-std::optional<Answer> takeAnswer(std::string& text);
+std::optional<Request> extractRequest(std::string& text);
+/** Like extractRequest(), for answers. */
+std::optional<Answer> extractAnswer(std::string& text);
 
 }  // namespace umberhold::soak
--- a/test/soak/world/fault_injector.cc
+++ b/test/soak/world/fault_injector.cc
@@ -7,23 +7,26 @@
 namespace umberhold::soak {
 namespace {
 
-constexpr Duration kRollingGap = std::chrono::milliseconds(700);
-constexpr Duration kStormGap = std::chrono::milliseconds(330);
-constexpr Duration kDrainGap = std::chrono::milliseconds(800);
-constexpr uint64_t kDrainedHosts = 4;
-constexpr uint32_t kBigConfiguration = 500;
-constexpr double kLostShare = 0.03;
+constexpr Duration kRollingRestartInterval = std::chrono::milliseconds(700);
+constexpr Duration kStormInterval = std::chrono::milliseconds(330);
+constexpr Duration kDrainInterval = std::chrono::milliseconds(800);
+constexpr uint64_t kDrainedHostCount = 4;
+/** Number of unused routes that a big configuration has in addition. */
+constexpr uint32_t kBigConfigurationRoutes = 500;
+/** Share of the packets that a lossy fabric drops; the same for reordering and duplication. */
+constexpr double kFabricFaultShare = 0.03;
 /** Entries that expired in an outage are registered again within two seconds of its end. */
 constexpr Duration kReregistrationTime = std::chrono::milliseconds(1500);
-/** Ended nodes restart after half a second and are ready soon afterwards. */
+/** Time for which an ended node counts as an active fault: it restarts after half a second and is
+ * ready soon afterwards. An empty step at its end keeps isOver() false. */
 constexpr Duration kStartTime = std::chrono::seconds(2);
-constexpr auto kStoreSlow = std::chrono::milliseconds(200);
-/** Host faults are injected only with more serving hosts than this. */
-constexpr size_t kMinimumHosts = 8;
-/** Hosts that remain during a capacity shortage. */
-constexpr size_t kMainHostsLeft = 3;
-constexpr size_t kSplitHostsLeft = 1;
-constexpr Duration kRetryGap = std::chrono::milliseconds(500);
+constexpr auto kSlowStoreDelay = std::chrono::milliseconds(200);
+/** Minimum number of other serving hosts for a drain or a crash of a host. */
+constexpr size_t kMinHosts = 8;
+/** Hosts of the affected service that remain during a capacity shortage. */
+constexpr size_t kMainServiceHostsLeft = 3;
+constexpr size_t kSplitServiceHostsLeft = 1;
+constexpr Duration kRetryInterval = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -33,7 +36,7 @@
 
 void FaultInjector::schedule(TimePoint start, const std::vector<Fault>& faults) {
   for (const Fault& fault : faults) {
-    at(start + fault.at, [this, fault](TimePoint now) { inject(now, fault); });
+    scheduleStep(start + fault.at, [this, fault](TimePoint now) { inject(now, fault); });
   }
 }
 
@@ -43,10 +46,10 @@
     steps_.erase(steps_.begin());
     step(now);
   }
-  restarted(now);
+  restartEndedNodes(now);
 }
 
-void FaultInjector::restarted(TimePoint now) {
+void FaultInjector::restartEndedNodes(TimePoint now) {
   const std::vector<size_t> started = nodes_.restartEnded(now);
   const std::lock_guard lock(world_.mutex());
   for (const size_t node : started) {
@@ -55,7 +58,7 @@
   }
 }
 
-void FaultInjector::begin(const std::string& target, Cause cause, TimePoint now) {
+void FaultInjector::beginDisturbance(const std::string& target, Cause cause, TimePoint now) {
   const std::lock_guard lock(world_.mutex());
   world_.allDisturbances().begin(target, now);
   if (cause == Cause::kUnplanned) {
@@ -63,7 +66,7 @@
   }
 }
 
-void FaultInjector::end(const std::string& target, Cause cause, TimePoint now) {
+void FaultInjector::endDisturbance(const std::string& target, Cause cause, TimePoint now) {
   const std::lock_guard lock(world_.mutex());
   world_.allDisturbances().end(target, now);
   if (cause == Cause::kUnplanned) {
@@ -71,9 +74,10 @@
   }
 }
 
-void FaultInjector::recordOnce(const std::string& target, Cause cause, TimePoint now) {
-  begin(target, cause, now);
-  end(target, cause, now);
+void FaultInjector::recordInstantDisturbance(const std::string& target, Cause cause,
+                                             TimePoint now) {
+  beginDisturbance(target, cause, now);
+  endDisturbance(target, cause, now);
 }
 
 void FaultInjector::inject(TimePoint now, const Fault& fault) {
@@ -97,14 +101,14 @@
 }
 
 void FaultInjector::injectNodeFault(TimePoint now, const Fault& fault) {
-  const size_t all = plan_.nodes().size();
+  const size_t nodeCount = plan_.nodes().size();
   switch (fault.kind) {
     case FaultKind::kKillNode:
       return killNode(now, chosenNode(fault));
     case FaultKind::kKillHalf:
-      return killShare(now, fault, all / 2);
+      return killShare(now, fault, nodeCount / 2);
     case FaultKind::kKillAll:
-      return killShare(now, fault, all);
+      return killShare(now, fault, nodeCount);
     case FaultKind::kFreezeNode:
       return freezeNode(now, fault);
     case FaultKind::kRestartNode:
@@ -119,9 +123,9 @@
 }
 
 void FaultInjector::killNode(TimePoint now, size_t node) {
-  recordOnce(nameOf(node), Cause::kUnplanned, now);
+  recordInstantDisturbance(nameOf(node), Cause::kUnplanned, now);
   nodes_.kill(node);
-  at(now + kStartTime, [](TimePoint) {});
+  scheduleStep(now + kStartTime, [](TimePoint) {});
 }
 
 void FaultInjector::killShare(TimePoint now, const Fault& fault, size_t count) {
@@ -132,24 +136,24 @@
 
 void FaultInjector::freezeNode(TimePoint now, const Fault& fault) {
   const size_t node = chosenNode(fault);
-  begin(nameOf(node), Cause::kUnplanned, now);
+  beginDisturbance(nameOf(node), Cause::kUnplanned, now);
   nodes_.signal(node, SIGSTOP);
-  at(now + fault.lasts, [this, node](TimePoint later) {
+  scheduleStep(now + fault.duration, [this, node](TimePoint later) {
     nodes_.signal(node, SIGCONT);
-    end(nameOf(node), Cause::kUnplanned, later);
+    endDisturbance(nameOf(node), Cause::kUnplanned, later);
   });
 }
 
 void FaultInjector::restartNode(TimePoint now, size_t node) {
-  recordOnce(nameOf(node), Cause::kPlanned, now);
+  recordInstantDisturbance(nameOf(node), Cause::kPlanned, now);
   nodes_.signal(node, SIGTERM);
-  at(now + kStartTime, [](TimePoint) {});
+  scheduleStep(now + kStartTime, [](TimePoint) {});
 }
 
 void FaultInjector::rollingRestart(TimePoint now) {
   for (size_t node = 0; node < plan_.nodes().size(); ++node) {
-    at(now + static_cast<Duration::rep>(node) * kRollingGap,
-       [this, node](TimePoint later) { restartNode(later, node); });
+    scheduleStep(now + static_cast<Duration::rep>(node) * kRollingRestartInterval,
+                 [this, node](TimePoint later) { restartNode(later, node); });
   }
 }
 
@@ -157,12 +161,12 @@
   {
     const std::lock_guard lock(world_.mutex());
     standins::FaultRule rule;
-    rule.dropShare = kLostShare;
-    rule.reorderShare = kLostShare;
-    rule.repeatShare = kLostShare;
+    rule.dropShare = kFabricFaultShare;
+    rule.reorderShare = kFabricFaultShare;
+    rule.repeatShare = kFabricFaultShare;
     world_.fabric().set(rule);
   }
-  at(now + fault.lasts, [this](TimePoint) {
+  scheduleStep(now + fault.duration, [this](TimePoint) {
     const std::lock_guard lock(world_.mutex());
     world_.fabric().clear();
   });
@@ -182,12 +186,12 @@
       faults.responseMode = test::StoreResponseMode::kReset;
       break;
     case FaultKind::kStoreSlow:
-      faults.slow = kStoreSlow;
+      faults.slow = kSlowStoreDelay;
       break;
     case FaultKind::kCutFromStore:
       return cutFromStore(now, fault);
     default:
-      recordOnce("store", Cause::kUnplanned, now);
+      recordInstantDisturbance("store", Cause::kUnplanned, now);
       store_.objects().forgetHistory();
       return;
   }
@@ -200,38 +204,38 @@
     return;
   }
   storeFaultActive_ = true;
-  const bool expires =
+  const bool entriesExpire =
       faults.responseMode == test::StoreResponseMode::kSilent && fault.choice % 3 == 0;
-  begin("store", Cause::kUnplanned, now);
+  beginDisturbance("store", Cause::kUnplanned, now);
   store_.setFaults(faults);
-  if (expires) {
+  if (entriesExpire) {
     const std::lock_guard lock(world_.mutex());
     world_.hosts().expireEntries();
   }
-  at(now + fault.lasts, [this, expires](TimePoint later) {
+  scheduleStep(now + fault.duration, [this, entriesExpire](TimePoint later) {
     store_.setFaults({});
     storeFaultActive_ = false;
-    if (!expires) {
-      end("store", Cause::kUnplanned, later);
+    if (!entriesExpire) {
+      endDisturbance("store", Cause::kUnplanned, later);
       return;
     }
-    at(later + kReregistrationTime, [this](TimePoint latest) {
+    scheduleStep(later + kReregistrationTime, [this](TimePoint registeredAt) {
       {
         const std::lock_guard lock(world_.mutex());
         world_.hosts().registerAll();
       }
-      end("store", Cause::kUnplanned, latest);
+      endDisturbance("store", Cause::kUnplanned, registeredAt);
     });
   });
 }
 
 void FaultInjector::cutFromStore(TimePoint now, const Fault& fault) {
   const size_t node = chosenNode(fault);
-  begin(nameOf(node), Cause::kUnplanned, now);
+  beginDisturbance(nameOf(node), Cause::kUnplanned, now);
   nodes_.setCut(node, true);
-  at(now + fault.lasts, [this, node](TimePoint later) {
+  scheduleStep(now + fault.duration, [this, node](TimePoint later) {
     nodes_.setCut(node, false);
-    end(nameOf(node), Cause::kUnplanned, later);
+    endDisturbance(nameOf(node), Cause::kUnplanned, later);
   });
 }
 
@@ -247,24 +251,25 @@
 }
 
 void FaultInjector::drainHosts(TimePoint now, const Fault& fault) {
-  for (uint64_t step = 0; step < kDrainedHosts; ++step) {
-    at(now + static_cast<Duration::rep>(step) * kDrainGap, [this, fault, step](TimePoint later) {
-      if (storeFaultActive_) {
-        return;  // A host leaves only after the store has accepted its change.
-      }
-      const std::lock_guard lock(world_.mutex());
-      const std::vector<size_t> serving = world_.hosts().serving();
-      if (serving.size() > kMinimumHosts) {
-        world_.hosts().replace(later, serving[(fault.choice + step) % serving.size()]);
-      }
-    });
+  for (uint64_t step = 0; step < kDrainedHostCount; ++step) {
+    scheduleStep(now + static_cast<Duration::rep>(step) * kDrainInterval,
+                 [this, fault, step](TimePoint later) {
+                   if (storeFaultActive_) {
+                     return;  // A host leaves only after the store has accepted its change.
+                   }
+                   const std::lock_guard lock(world_.mutex());
+                   const std::vector<size_t> serving = world_.hosts().serving();
+                   if (serving.size() > kMinHosts) {
+                     world_.hosts().replace(later, serving[(fault.choice + step) % serving.size()]);
+                   }
+                 });
   }
 }
 
 void FaultInjector::crashHost(TimePoint now, const Fault& fault, bool reuse) {
   const std::lock_guard lock(world_.mutex());
   const std::vector<size_t> serving = world_.hosts().serving();
-  if (serving.size() <= kMinimumHosts) {
+  if (serving.size() <= kMinHosts) {
     return;
   }
   const size_t slot = serving[fault.choice % serving.size()];
@@ -291,25 +296,28 @@
 
 void FaultInjector::reduceCapacity(TimePoint now, const Fault& fault) {
   if (storeFaultActive_) {  // A host leaves only after the store has accepted its change.
-    at(now + kRetryGap, [this, fault](TimePoint later) { reduceCapacity(later, fault); });
+    scheduleStep(now + kRetryInterval,
+                 [this, fault](TimePoint later) { reduceCapacity(later, fault); });
     return;
   }
   const bool isMain = fault.kind == FaultKind::kShortRoom;
   const std::string service = isMain ? "dispatch" : "mapstore";
   const std::lock_guard lock(world_.mutex());
   const std::vector<size_t> serving = world_.hosts().serving(service);
-  const size_t left = std::min(serving.size(), isMain ? kMainHostsLeft : kSplitHostsLeft);
+  const size_t left =
+      std::min(serving.size(), isMain ? kMainServiceHostsLeft : kSplitServiceHostsLeft);
   for (size_t index = left; index < serving.size(); ++index) {
     world_.hosts().leave(now, serving[index]);
   }
   world_.setExtraCallers(isMain);
-  world_.load().onCapacityReduced();
+  world_.loadWatch().onCapacityReduced();
   if (fault.choice % 2 == 0) {
-    at(now + fault.lasts / 2, [this](TimePoint later) { killReader(later); });
+    scheduleStep(now + fault.duration / 2, [this](TimePoint later) { killReader(later); });
   }
-  const size_t gone = serving.size() - left;
-  at(now + fault.lasts,
-     [this, service, gone](TimePoint later) { restoreCapacity(later, service, gone); });
+  const size_t removedHosts = serving.size() - left;
+  scheduleStep(now + fault.duration, [this, service, removedHosts](TimePoint later) {
+    restoreCapacity(later, service, removedHosts);
+  });
 }
 
 void FaultInjector::restoreCapacity(TimePoint now, const std::string& service, size_t hosts) {
@@ -318,7 +326,7 @@
     world_.hosts().start(now, service, plan_.zones()[index % plan_.zones().size()]);
   }
   world_.setExtraCallers(false);
-  world_.load().onCapacityRestored(now);
+  world_.loadWatch().onCapacityRestored(now);
 }
 
 void FaultInjector::killReader(TimePoint now) {
@@ -330,19 +338,19 @@
 }
 
 void FaultInjector::injectConfigurationFault(TimePoint now, const Fault& fault) {
-  const auto store = [this](uint32_t extraRoutes) {
+  const auto storeConfiguration = [this](uint32_t extraRoutes) {
     if (!storeFaultActive_) {
       const std::lock_guard lock(world_.mutex());
       world_.storeConfiguration(extraRoutes);
     }
   };
   if (fault.kind == FaultKind::kBigConfiguration) {
-    store(kBigConfiguration);
-    at(now + fault.lasts, [store](TimePoint) { store(0); });
+    storeConfiguration(kBigConfigurationRoutes);
+    scheduleStep(now + fault.duration, [storeConfiguration](TimePoint) { storeConfiguration(0); });
     return;
   }
-  for (Duration after{0}; after < fault.lasts; after += kStormGap) {
-    at(now + after, [store](TimePoint) { store(0); });
+  for (Duration after{0}; after < fault.duration; after += kStormInterval) {
+    scheduleStep(now + after, [storeConfiguration](TimePoint) { storeConfiguration(0); });
   }
 }
 
--- a/test/soak/world/fault_injector.h
+++ b/test/soak/world/fault_injector.h
@@ -30,10 +30,10 @@
 
  private:
   using Step = std::function<void(TimePoint)>;
-  /** Whether a disturbance is a planned operation. */
+  /** Whether a disturbance is a planned operation, which must not reset open flows. */
   enum class Cause : uint8_t { kPlanned, kUnplanned };
 
-  void at(TimePoint when, Step step) { steps_.emplace(when, std::move(step)); }
+  void scheduleStep(TimePoint when, Step step) { steps_.emplace(when, std::move(step)); }
   void inject(TimePoint now, const Fault& fault);
   void injectNodeFault(TimePoint now, const Fault& fault);
   void injectStoreFault(TimePoint now, const Fault& fault);
@@ -56,11 +56,12 @@
   /** Starts the given number of hosts of the service and stops the extra callers. */
   void restoreCapacity(TimePoint now, const std::string& service, size_t hosts);
   void killReader(TimePoint now);
-  void restarted(TimePoint now);
+  /** Restarts ended nodes whose restart is due. */
+  void restartEndedNodes(TimePoint now);
 
-  void begin(const std::string& target, Cause cause, TimePoint now);
-  void end(const std::string& target, Cause cause, TimePoint now);
-  void recordOnce(const std::string& target, Cause cause, TimePoint now);
+  void beginDisturbance(const std::string& target, Cause cause, TimePoint now);
+  void endDisturbance(const std::string& target, Cause cause, TimePoint now);
+  void recordInstantDisturbance(const std::string& target, Cause cause, TimePoint now);
   std::string nameOf(size_t node) const { return plan_.nodes()[node].name; }
 
   const DeploymentPlan& plan_;
--- a/test/soak/world/fault_plan.cc
+++ b/test/soak/world/fault_plan.cc
@@ -10,13 +10,13 @@
 
 /** Mean time between two faults. */
 constexpr double kMeanGapSeconds = 2.0;
-constexpr double kShortestSeconds = 1.0;
-constexpr double kLongestSeconds = 5.0;
+constexpr double kMinFaultSeconds = 1.0;
+constexpr double kMaxFaultSeconds = 5.0;
 constexpr double kMeanHardLoadGapSeconds = 5.0;
 constexpr uint64_t kHardLoadStream = 1;
 /** Longer than the bound after which leaving hosts receive no new flows (3 s) and than the maximum
  * time for which a service may be starved (6 s). */
-constexpr Duration kShortage = std::chrono::seconds(8);
+constexpr Duration kShortageDuration = std::chrono::seconds(8);
 
 Duration secondsOf(double seconds) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
@@ -83,14 +83,14 @@
 std::vector<Fault> drawFaults(uint64_t seed, Duration length) {
   RandomSource random(seed);
   std::vector<Fault> faults;
-  Duration at = secondsOf(kShortestSeconds);
+  Duration at = secondsOf(kMinFaultSeconds);
   while (at < length) {
     Fault fault;
     fault.kind =
         static_cast<FaultKind>(random.below(static_cast<uint64_t>(FaultKind::kUsualCount)));
     fault.at = at;
-    fault.lasts =
-        secondsOf(kShortestSeconds + random.unit() * (kLongestSeconds - kShortestSeconds));
+    fault.duration =
+        secondsOf(kMinFaultSeconds + random.unit() * (kMaxFaultSeconds - kMinFaultSeconds));
     fault.choice = random.below(UINT32_MAX);
     faults.push_back(fault);
     at += secondsOf(2 * kMeanGapSeconds * random.unit());
@@ -107,14 +107,14 @@
     constexpr auto kFirst = static_cast<uint64_t>(FaultKind::kShortRoom);
     const uint64_t kinds = static_cast<uint64_t>(FaultKind::kKillReader) - kFirst;
     const auto kind = static_cast<FaultKind>(kFirst + random.below(kinds));
-    faults.push_back({kind, at, kShortage, random.below(UINT32_MAX)});
+    faults.push_back({kind, at, kShortageDuration, random.below(UINT32_MAX)});
     if (kind != FaultKind::kRestartHost) {
-      at += kShortage;
+      at += kShortageDuration;
       lastEnd = std::max(lastEnd, at);
     }
     at += secondsOf(2 * kMeanHardLoadGapSeconds * random.unit());
   }
-  faults.push_back({FaultKind::kShortRoom, lastEnd, kShortage, random.below(UINT32_MAX)});
+  faults.push_back({FaultKind::kShortRoom, lastEnd, kShortageDuration, random.below(UINT32_MAX)});
   return faults;
 }
 
--- a/test/soak/world/fault_plan.h
+++ b/test/soak/world/fault_plan.h
@@ -9,6 +9,7 @@
 
 namespace umberhold::soak {
 
+/** The ranges of this order are used to dispatch faults; see FaultInjector::inject(). */
 enum class FaultKind : uint8_t {
   kKillNode,
   kKillHalf,
@@ -38,7 +39,8 @@
   kShortSplit,
   /** A host restarts under its id. */
   kRestartHost,
-  /** The reader of a zone is killed during a capacity shortage; generated only with one. */
+  /** The node that reads the store for its zone is killed. Never generated on its own: half of the
+   * capacity shortages include it. */
   kKillReader,
   kCount,
 };
@@ -51,8 +53,8 @@
   FaultKind kind = FaultKind::kKillNode;
   /** Time since the start of the traffic. */
   Duration at{0};
-  Duration lasts{0};
-  /** Random number that selects the target. */
+  Duration duration{0};
+  /** Random number that selects the target and the variant of the fault. */
   uint64_t choice = 0;
 };
 
@@ -62,8 +64,9 @@
  * @return faults in order of time; they may overlap, and all kinds are equally likely.
  */
 std::vector<Fault> drawFaults(uint64_t seed, Duration length);
-/** Like drawFaults(), for the kinds of hard load; generated separately, so that the other faults of
- * a seed are unchanged. Always ends with a capacity shortage. */
+/** Like drawFaults(), for the kinds used only under hard load. They have their own random stream,
+ * so that a seed has the same usual faults under both loads. The last one is always a capacity
+ * shortage of the main service. */
 std::vector<Fault> drawHardLoad(uint64_t seed, Duration length);
 
 }  // namespace umberhold::soak
--- a/test/soak/world/host_fleet.cc
+++ b/test/soak/world/host_fleet.cc
@@ -9,29 +9,31 @@
 namespace umberhold::soak {
 namespace {
 
-constexpr uint32_t kSlots = 60;
-constexpr uint32_t kHeartbeatsUntilGone = 3;
+/** Number of host addresses. */
+constexpr uint32_t kAddressSlots = 60;
+constexpr uint32_t kHeartbeatsUntilExpiry = 3;
 /** Time for which a leaving host stays beyond the drain bound, as a fraction of the bound. Openings
  * that it receives then are violations. With fractions of 0 to 1, a sabotage that sends such
  * openings was not detected in 1 of 3 runs. */
-constexpr double kMinimumStay = 0.5;
-constexpr double kMaximumStay = 2.0;
-/** Every n-th leaving host loses its entry without announcing its drain. */
+constexpr double kMinStayFraction = 0.5;
+constexpr double kMaxStayFraction = 2.0;
+/** On average one of this many leaving hosts loses its entry without announcing its drain. */
 constexpr uint64_t kSilentLeavePeriod = 3;
-/** Work time of the fastest host, and the maximum excess of slower ones. */
-constexpr uint64_t kFastestMillis = 5;
-constexpr uint64_t kSlowerMillis = 20;
-constexpr uint32_t kSlotsOfHost = 2;
-constexpr uint32_t kQueue = 8;
+/** Work time of the fastest host, and the (exclusive) maximum excess of slower ones. */
+constexpr uint64_t kMinWorkTimeMillis = 5;
+constexpr uint64_t kWorkTimeSpreadMillis = 20;
+/** Requests that a host runs concurrently, and its queue limit, under hard load. */
+constexpr uint32_t kRequestSlots = 2;
+constexpr uint32_t kMaxQueued = 8;
 
-Duration partOf(Duration most, double part) {
-  return Duration{static_cast<Duration::rep>(static_cast<double>(most.count()) * part)};
+Duration scaled(Duration duration, double factor) {
+  return Duration{static_cast<Duration::rep>(static_cast<double>(duration.count()) * factor)};
 }
 
 uint64_t unixMillis() {
-  const auto since = std::chrono::system_clock::now().time_since_epoch();
+  const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<uint64_t>(
-      std::chrono::duration_cast<std::chrono::milliseconds>(since).count());
+      std::chrono::duration_cast<std::chrono::milliseconds>(sinceEpoch).count());
 }
 
 std::string idOf(uint64_t incarnation) {
@@ -48,14 +50,14 @@
 HostFleet::HostFleet(const DeploymentPlan& plan, test::StandinObjects& objects,
                      std::function<HostHooks(size_t)> hooks, RandomSource& random, SoakLoad load)
     : plan_(plan), objects_(objects), hooks_(std::move(hooks)), random_(random), load_(load) {
-  for (uint32_t number = 0; number < kSlots; ++number) {
+  for (uint32_t number = 0; number < kAddressSlots; ++number) {
     slots_.emplace_back().address = plan_.hostAddress(number);
   }
 }
 
 std::optional<size_t> HostFleet::freeSlot(TimePoint now) const {
   for (size_t slot = 0; slot < slots_.size(); ++slot) {
-    if (!slots_[slot].host && now >= slots_[slot].reusableAt && !reuses_.contains(slot)) {
+    if (!slots_[slot].host && now >= slots_[slot].reusableAt && !pendingReuses_.contains(slot)) {
       return slot;
     }
   }
@@ -79,10 +81,11 @@
   host.zone = zone;
   host.address = slots_[slot].address;
   if (load_ == SoakLoad::kHard) {
-    host.work = std::chrono::milliseconds(kFastestMillis + host.incarnation % kSlowerMillis);
-    host.slots = kSlotsOfHost;
-    host.queue = kQueue;
-    host.maximumFlows = kMaximumFlows;
+    host.workTime =
+        std::chrono::milliseconds(kMinWorkTimeMillis + host.incarnation % kWorkTimeSpreadMillis);
+    host.slots = kRequestSlots;
+    host.maxQueued = kMaxQueued;
+    host.maxFlows = kMaxFlows;
     host.startedAtMillis = unixMillis();
   }
   runHost(slot, host);
@@ -95,14 +98,14 @@
 }
 
 void HostFleet::runHost(size_t slot, HostPlan host) {
-  HostSlot fresh;
-  fresh.address = host.address;
-  fresh.host = std::make_unique<SoakHost>(std::move(host), hooks_(slot), random_);
-  slots_[slot] = std::move(fresh);
-  enter(slots_[slot]);
+  HostSlot newSlot;
+  newSlot.address = host.address;
+  newSlot.host = std::make_unique<SoakHost>(std::move(host), hooks_(slot), random_);
+  slots_[slot] = std::move(newSlot);
+  registerEntry(slots_[slot]);
 }
 
-void HostFleet::enter(const HostSlot& slot) {
+void HostFleet::registerEntry(const HostSlot& slot) {
   const HostPlan& host = slot.host->plan();
   const bool draining = slot.host->state() == HostState::kDraining;
   objects_.set(
@@ -114,13 +117,13 @@
           "}");
 }
 
-void HostFleet::withdraw(const HostSlot& slot) {
+void HostFleet::removeEntry(const HostSlot& slot) {
   objects_.remove("servers", slot.host->plan().id, 0);
 }
 
 void HostFleet::replace(TimePoint now, size_t slot) {
-  const HostPlan old = slots_[slot].host->plan();
-  if (!start(now, old.service, old.zone)) {
+  const HostPlan leavingPlan = slots_[slot].host->plan();
+  if (!start(now, leavingPlan.service, leavingPlan.zone)) {
     return;
   }
   leave(now, slot);
@@ -130,32 +133,33 @@
   HostSlot& leaving = slots_[slot];
   leaving.leavesWithoutDraining = random_.below(kSilentLeavePeriod) == 0;
   leaving.leavingSince = now;
-  const double outlives = kMinimumStay + (kMaximumStay - kMinimumStay) * random_.unit();
-  leaving.endsAt = now + plan_.bounds().drain + partOf(plan_.bounds().drain, outlives);
+  const double stayFraction =
+      kMinStayFraction + (kMaxStayFraction - kMinStayFraction) * random_.unit();
+  leaving.endsAt = now + plan_.bounds().drain + scaled(plan_.bounds().drain, stayFraction);
   if (leaving.leavesWithoutDraining) {
-    withdraw(leaving);
+    removeEntry(leaving);
   } else {
     leaving.host->drain();
-    enter(leaving);
+    registerEntry(leaving);
   }
 }
 
 void HostFleet::crash(TimePoint now, size_t slot) {
-  HostSlot& struck = slots_[slot];
-  struck.host->end();
-  struck.entryExpiresAt = now + kHeartbeatsUntilGone * plan_.bounds().heartbeat;
+  HostSlot& crashed = slots_[slot];
+  crashed.host->end();
+  crashed.entryExpiresAt = now + kHeartbeatsUntilExpiry * plan_.bounds().heartbeatInterval;
 }
 
 void HostFleet::crashAndReuse(TimePoint now, size_t slot) {
   const bool isDispatch = slots_[slot].host->plan().service == "dispatch";
-  reuses_[slot] = isDispatch ? "mapstore" : "dispatch";
+  pendingReuses_[slot] = isDispatch ? "mapstore" : "dispatch";
   crash(now, slot);
 }
 
 void HostFleet::expireEntries() {
   for (const HostSlot& slot : slots_) {
     if (slot.host) {
-      withdraw(slot);
+      removeEntry(slot);
     }
   }
 }
@@ -163,7 +167,7 @@
 void HostFleet::registerAll() {
   for (const HostSlot& slot : slots_) {
     if (slot.host && slot.host->state() != HostState::kEnded && !slot.leavesWithoutDraining) {
-      enter(slot);
+      registerEntry(slot);
     }
   }
 }
@@ -172,20 +176,20 @@
   for (size_t index = 0; index < slots_.size(); ++index) {
     HostSlot& slot = slots_[index];
     if (!slot.host) {
-      const auto reuse = reuses_.find(index);
-      if (reuse != reuses_.end() && now >= slot.reusableAt) {
+      const auto reuse = pendingReuses_.find(index);
+      if (reuse != pendingReuses_.end() && now >= slot.reusableAt) {
         startAt(index, reuse->second, plan_.zones()[index % plan_.zones().size()]);
-        reuses_.erase(index);
+        pendingReuses_.erase(index);
       }
       continue;
     }
     slot.host->tick(now);
     if (now >= slot.endsAt || now >= slot.entryExpiresAt) {
       slot.host->end();
-      withdraw(slot);
+      removeEntry(slot);
       slot.host.reset();
       slot.endsAt = slot.entryExpiresAt = TimePoint::max();
-      slot.reusableAt = now + plan_.bounds().reuse;
+      slot.reusableAt = now + plan_.bounds().addressReuseDelay;
     }
   }
 }
--- a/test/soak/world/host_fleet.h
+++ b/test/soak/world/host_fleet.h
@@ -22,13 +22,13 @@
   std::unique_ptr<SoakHost> host;
   /** When the store acknowledged that the host leaves, by `draining` or by removal of its entry. */
   std::optional<TimePoint> leavingSince;
-  /** When a leaving host ends. */
+  /** When a leaving host ends; max() for others. */
   TimePoint endsAt = TimePoint::max();
-  /** When the entry of a crashed host expires. */
+  /** When the entry of a crashed host expires; max() for others. */
   TimePoint entryExpiresAt = TimePoint::max();
   /** When the address may be reused. */
   TimePoint reusableAt{};
-  /** Whether it loses its entry but continues to serve. */
+  /** Whether a leaving host loses its entry immediately instead of announcing `draining`. */
   bool leavesWithoutDraining = false;
 };
 
@@ -36,7 +36,7 @@
 class HostFleet {
  public:
   /** Maximum number of open flows of a host under hard load. */
-  static constexpr uint32_t kMaximumFlows = 96;
+  static constexpr uint32_t kMaxFlows = 96;
 
   /** @param objects, random borrowed. @param hooks creates the callbacks of a host, by slot. */
   HostFleet(const DeploymentPlan& plan, test::StandinObjects& objects,
@@ -56,6 +56,7 @@
   void crashAndReuse(TimePoint now, size_t slot);
   /** Removes all entries from the store, like leases that expire in an outage. */
   void expireEntries();
+  /** Registers all hosts again, except crashed ones and those that left without draining. */
   void registerAll();
   void tick(TimePoint now);
 
@@ -71,8 +72,9 @@
   std::optional<size_t> freeSlot(TimePoint now) const;
   void startAt(size_t slot, const std::string& service, const std::string& zone);
   void runHost(size_t slot, HostPlan host);
-  void enter(const HostSlot& slot);
-  void withdraw(const HostSlot& slot);
+  /** Writes the entry of the host to the store. */
+  void registerEntry(const HostSlot& slot);
+  void removeEntry(const HostSlot& slot);
 
   const DeploymentPlan& plan_;
   test::StandinObjects& objects_;
@@ -81,8 +83,8 @@
   const SoakLoad load_;
   std::vector<HostSlot> slots_;
   uint64_t nextIncarnation_ = 1;
-  /** Pending reuses of an address: slot and service. */
-  std::map<size_t, std::string> reuses_;
+  /** Service of the next host by slot, for addresses of crashed hosts that are to be reused. */
+  std::map<size_t, std::string> pendingReuses_;
 };
 
 }  // namespace umberhold::soak
--- a/test/soak/world/load_watch.h
+++ b/test/soak/world/load_watch.h
@@ -18,20 +18,21 @@
    * Maximum time in which no request of a service is served while another service of the same pool
    * is served. Callers give up a request after 3 s, so two consecutive ones may be lost.
    */
-  Duration starved = std::chrono::seconds(6);
-  /** Minimum number of ended requests of either service for a result. */
-  uint32_t minimumEnds = 10;
+  Duration maxStarvation = std::chrono::seconds(6);
+  /** Minimum number of ended requests for a result; for starvation, of either service. */
+  uint32_t minEndedRequests = 10;
   /**
    * Maximum openings per second at a host at its flow limit: each of ten nodes may have one in
    * flight that the others have not been notified of.
    */
-  uint32_t openingsToFullHost = 10;
+  uint32_t maxOpeningsToFullHost = 10;
   /** Maximum recovery time after capacity is restored: hosts register, nodes detect them within the
    * bound for changes (3 s), and earlier requests end. */
-  Duration maximumRecovery = std::chrono::seconds(6);
+  Duration maxRecoveryTime = std::chrono::seconds(6);
   /** Requests that begin within this time after the recovery are evaluated. */
   Duration evaluationTime = std::chrono::seconds(2);
-  double usualShare = 0.95;
+  /** Minimum share of the evaluated requests that must be served. */
+  double minServedShare = 0.95;
 };
 
 /** See the file comment. Not thread safe. */
@@ -42,7 +43,7 @@
 
   /** Records the end of a request of a service whose hosts are in the pool. */
   void onEnded(TimePoint now, const std::string& pool, const std::string& service,
-               TimePoint begunAt, bool served);
+               TimePoint startedAt, bool served);
   /** Records an opening at a host at its flow limit. */
   void onFull(TimePoint now, const std::string& host);
   /** Records the end of a capacity shortage. */
@@ -54,7 +55,7 @@
   void tick(TimePoint now, bool allSettled);
 
   /** @return the maximum time for which a service was starved. */
-  Duration longestStarved() const { return longestStarved_; }
+  Duration longestStarvation() const { return longestStarvation_; }
   uint64_t recoveriesEvaluated() const { return recoveriesEvaluated_; }
 
  private:
@@ -64,7 +65,7 @@
     uint32_t unserved = 0;
     uint32_t othersServed = 0;
   };
-  struct Ends {
+  struct RequestCounts {
     uint32_t all = 0;
     uint32_t served = 0;
   };
@@ -73,10 +74,10 @@
   ViolationRecord& promises_;
   /** By pool and service. */
   std::map<std::string, std::map<std::string, Starvation>> starvation_;
-  Duration longestStarved_{0};
-  std::map<std::string, std::deque<TimePoint>> full_;
+  Duration longestStarvation_{0};
+  std::map<std::string, std::deque<TimePoint>> openingsAtFullHost_;
   std::optional<TimePoint> capacityRestoredAt_;
-  Ends requestsAfterRecovery_;
+  RequestCounts requestsAfterRecovery_;
   uint64_t recoveriesEvaluated_ = 0;
 };
 
--- a/test/soak/world/node_evidence.cc
+++ b/test/soak/world/node_evidence.cc
@@ -12,22 +12,23 @@
          peak.descriptors > 0 && peak.descriptors <= limits.descriptors;
 }
 
-bool isReadable(const NodeLimits& limits, const LogSummary& log, uint64_t lives, double seconds) {
-  return log.starts > 0 && log.unreadable <= lives &&
+bool isReadable(const NodeLimits& limits, const LogSummary& log, uint64_t processCount,
+                double seconds) {
+  return log.starts > 0 && log.unreadable <= processCount &&
          static_cast<double>(log.lines) <= limits.linesPerSecond * seconds;
 }
 
 bool isReaderOfZone(std::istream& log) {
-  bool reads = false;
+  bool isReader = false;
   std::string line;
   while (std::getline(log, line)) {
     if (line.find(" event=started ") != std::string::npos) {
-      reads = false;
+      isReader = false;
     } else if (line.find(" event=read_source ") != std::string::npos) {
-      reads = line.find("reads_store=1 cause=reader") != std::string::npos;
+      isReader = line.find("reads_store=1 cause=reader") != std::string::npos;
     }
   }
-  return reads;
+  return isReader;
 }
 
 LogSummary summarizeLog(std::istream& log) {
--- a/test/soak/world/node_evidence.h
+++ b/test/soak/world/node_evidence.h
@@ -10,6 +10,7 @@
 /** Maximum resource usage of a node. */
 struct NodeLimits {
   double memoryMegabytes = 64;
+  /** Number of open file descriptors. */
   uint64_t descriptors = 200;
   /** Log lines per second, averaged over the run. */
   double linesPerSecond = 500;
@@ -19,7 +20,8 @@
 struct NodePeak {
   double memoryMegabytes = 0;
   uint64_t descriptors = 0;
-  uint64_t lives = 0;
+  /** Number of processes started for the node. */
+  uint64_t processCount = 0;
 };
 
 /** Summary of a node's log. */
@@ -38,12 +40,14 @@
 /** @return whether the node was measured and is within the limits. */
 bool isWithin(const NodeLimits& limits, const NodePeak& peak);
 /**
- * @param lives number of processes of the node; each may leave one broken line when it is killed.
+ * @param lives number of processes of the node; each may leave one incomplete line when
+ * it is killed.
  * @param seconds duration of the log.
  * @return whether the log is well formed and within the length limit.
  */
-bool isReadable(const NodeLimits& limits, const LogSummary& log, uint64_t lives, double seconds);
-/** @return whether the line has the schema of docs/OPERATIONS.md. */
+bool isReadable(const NodeLimits& limits, const LogSummary& log, uint64_t processCount,
+                double seconds);
+/** @return whether the line has the form of docs/OPERATIONS.md: a time, a level and an event. */
 bool isLogLine(const std::string& line);
 
 }  // namespace umberhold::soak
--- a/test/soak/world/node_processes.cc
+++ b/test/soak/world/node_processes.cc
@@ -8,8 +8,8 @@
 namespace umberhold::soak {
 namespace {
 
-constexpr Duration kRestartPause = std::chrono::milliseconds(500);
-constexpr int kEndPatienceMillis = 5000;
+constexpr Duration kRestartDelay = std::chrono::milliseconds(500);
+constexpr int kShutdownTimeoutMillis = 5000;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
   for (const NodePlan& node : plan_.nodes()) {
     cuts_.push_back(std::make_unique<std::atomic<bool>>(false));
     std::atomic<bool>* const cut = cuts_.back().get();
-    fronts_.push_back(
+    storeProxies_.push_back(
         std::make_unique<standins::TcpFront>(node.store, store, [cut] { return cut->load(); }));
   }
 }
@@ -40,7 +40,7 @@
 void NodeProcesses::start(size_t node, bool firstStart) {
   std::ofstream(settingsFile(node)) << settingsText(plan_, plan_.nodes()[node], firstStart);
   processes_.start(plan_.nodes()[node].name, program_, {"--settings", settingsFile(node)});
-  ++peaks_[node].lives;
+  ++peaks_[node].processCount;
 }
 
 void NodeProcesses::startAll() {
@@ -64,7 +64,7 @@
       continue;
     }
     if (restartAt_[node] == TimePoint::max()) {
-      restartAt_[node] = now + kRestartPause;
+      restartAt_[node] = now + kRestartDelay;
     } else if (now >= restartAt_[node]) {
       restartAt_[node] = TimePoint::max();
       start(node, false);
@@ -109,7 +109,7 @@
     processes_.signal(node.name, SIGTERM);
   }
   for (const NodePlan& node : plan_.nodes()) {
-    processes_.waitForEnd(node.name, kEndPatienceMillis);
+    processes_.waitForEnd(node.name, kShutdownTimeoutMillis);
   }
 }
 
--- a/test/soak/world/node_processes.h
+++ b/test/soak/world/node_processes.h
@@ -33,6 +33,7 @@
   void signal(size_t node, int signal) { processes_.signal(plan_.nodes()[node].name, signal); }
   /** Writes valid or invalid settings and sends SIGHUP. */
   void reload(size_t node, bool valid);
+  /** Cuts the node off from the store, or reconnects it. */
   void setCut(size_t node, bool cut) { *cuts_[node] = cut; }
 
   /** Restarts nodes some time after they ended. @return the restarted nodes. */
@@ -56,7 +57,7 @@
   const std::string program_;
   const std::string folder_;
   std::vector<std::unique_ptr<std::atomic<bool>>> cuts_;
-  std::vector<std::unique_ptr<standins::TcpFront>> fronts_;
+  std::vector<std::unique_ptr<standins::TcpFront>> storeProxies_;
   experiment::ProcessGroup processes_;
   std::vector<TimePoint> restartAt_;
   std::vector<NodePeak> peaks_;
--- a/test/soak/world/promises.cc
+++ b/test/soak/world/promises.cc
@@ -6,7 +6,7 @@
 namespace {
 
 /** Maximum number of stored violations per promise; limits the memory of a failing run. */
-constexpr uint64_t kKeptViolations = 5;
+constexpr uint64_t kMaxKeptViolations = 5;
 
 }  // namespace
 
@@ -48,9 +48,9 @@
   return "unknown";
 }
 
-void ViolationRecord::broken(TimePoint now, Promise promise, const std::string& detail) {
-  if (++counts_[static_cast<size_t>(promise)] <= kKeptViolations) {
-    first_.push_back({promise, now - start_, detail});
+void ViolationRecord::recordViolation(TimePoint now, Promise promise, const std::string& detail) {
+  if (++counts_[static_cast<size_t>(promise)] <= kMaxKeptViolations) {
+    firstViolations_.push_back({promise, now - start_, detail});
   }
 }
 
@@ -62,22 +62,22 @@
                        const std::string& host) {
   ++runs_;
   const std::string detail = "request " + std::to_string(request) + " at " + host;
-  ran_.insert(request);
-  if (notRun_.contains(request)) {
-    promises_.broken(now, Promise::kRefusedNotRun, detail + ", after its refusal");
+  requestsRun_.insert(request);
+  if (requestsNotRun_.contains(request)) {
+    promises_.recordViolation(now, Promise::kRefusedNotRun, detail + ", after its refusal");
   }
   if (!allowed) {
-    promises_.broken(now, Promise::kRightService, detail);
+    promises_.recordViolation(now, Promise::kRightService, detail);
   }
-  if (!repeatable && ++unrepeatable_[request] > 1) {
-    promises_.broken(now, Promise::kUnsafeOnce, detail);
+  if (!repeatable && ++unrepeatableRuns_[request] > 1) {
+    promises_.recordViolation(now, Promise::kUnsafeOnce, detail);
   }
 }
 
 void RunTracker::onNotRun(TimePoint now, uint64_t request) {
-  notRun_.insert(request);
-  if (ran_.contains(request)) {
-    promises_.broken(now, Promise::kRefusedNotRun, "request " + std::to_string(request));
+  requestsNotRun_.insert(request);
+  if (requestsRun_.contains(request)) {
+    promises_.recordViolation(now, Promise::kRefusedNotRun, "request " + std::to_string(request));
   }
 }
 
--- a/test/soak/world/promises.h
+++ b/test/soak/world/promises.h
@@ -13,7 +13,7 @@
 
 namespace umberhold::soak {
 
-/** See describe(). */
+/** The promises of the system to its users. */
 enum class Promise : uint8_t {
   kWholeAnswers,
   kRightService,
@@ -24,7 +24,8 @@
   kNoOlderConfiguration,
   kOpenFlowsStay,
   kRecovery,
-  /** A try that was rejected or refused is never run. */
+  /** A try whose caller concluded that it has not run and will not run is never run: its opening
+   * was refused or not answered in time, or a host rejected it. */
   kRefusedNotRun,
   /** See load_watch.h. */
   kNoServiceStarved,
@@ -50,16 +51,17 @@
  public:
   explicit ViolationRecord(TimePoint start) : start_(start) {}
 
-  void broken(TimePoint now, Promise promise, const std::string& detail);
+  /** Counts a violation and stores it if it is one of the first of its promise. */
+  void recordViolation(TimePoint now, Promise promise, const std::string& detail);
   uint64_t count(Promise promise) const { return counts_[static_cast<size_t>(promise)]; }
   uint64_t total() const;
   TimePoint start() const { return start_; }
-  const std::vector<Violation>& first() const { return first_; }
+  const std::vector<Violation>& firstViolations() const { return firstViolations_; }
 
  private:
   TimePoint start_;
   std::array<uint64_t, static_cast<size_t>(Promise::kCount)> counts_{};
-  std::vector<Violation> first_;
+  std::vector<Violation> firstViolations_;
 };
 
 /** Tracks which requests hosts ran, from the hosts' own records. Not thread safe. */
@@ -70,15 +72,15 @@
   /** Records that a host started a request. @param allowed whether its service may run it. */
   void onRun(TimePoint now, uint64_t request, bool repeatable, bool allowed,
              const std::string& host);
-  /** Records that a caller was notified that the try has not run. */
+  /** Records that the caller of a try concluded that it has not run and will not run. */
   void onNotRun(TimePoint now, uint64_t request);
   uint64_t runs() const { return runs_; }
 
  private:
   ViolationRecord& promises_;
-  std::unordered_map<uint64_t, uint32_t> unrepeatable_;
-  std::unordered_set<uint64_t> ran_;
-  std::unordered_set<uint64_t> notRun_;
+  std::unordered_map<uint64_t, uint32_t> unrepeatableRuns_;
+  std::unordered_set<uint64_t> requestsRun_;
+  std::unordered_set<uint64_t> requestsNotRun_;
   uint64_t runs_ = 0;
 };
 
--- a/test/soak/world/readiness_watch.cc
+++ b/test/soak/world/readiness_watch.cc
@@ -9,8 +9,8 @@
 namespace umberhold::soak {
 namespace {
 
-constexpr auto kPeriod = std::chrono::milliseconds(500);
-constexpr uint32_t kMissesUntilOut = 2;
+constexpr auto kPollInterval = std::chrono::milliseconds(500);
+constexpr uint32_t kFailuresUntilExcluded = 2;
 
 }  // namespace
 
@@ -31,13 +31,13 @@
 }
 
 void ReadinessWatch::watch(State& state) {
-  uint32_t misses = kMissesUntilOut;
+  uint32_t failures = kFailuresUntilExcluded;
   while (!stop_) {
-    const auto next = std::chrono::steady_clock::now() + kPeriod;
+    const auto next = std::chrono::steady_clock::now() + kPollInterval;
     const bool answered = experiment::httpOk(state.readiness, "/api/readiness");
-    misses = answered ? 0 : misses + 1;
-    if (answered || misses >= kMissesUntilOut) {
-      state.in = answered;
+    failures = answered ? 0 : failures + 1;
+    if (answered || failures >= kFailuresUntilExcluded) {
+      state.ready = answered;
     }
     std::this_thread::sleep_until(next);
   }
@@ -45,28 +45,28 @@
 
 size_t ReadinessWatch::readyCount() const {
   return static_cast<size_t>(std::count_if(states_.begin(), states_.end(),
-                                           [](const auto& state) { return bool(state->in); }));
+                                           [](const auto& state) { return bool(state->ready); }));
 }
 
-size_t routeOf(const std::vector<NodePlan>& nodes, const ReadinessWatch& readiness,
-               const std::string& zone, uint64_t flow) {
-  std::vector<size_t> ofZone;
-  std::vector<size_t> in;
-  std::vector<size_t> elsewhere;
+size_t selectNode(const std::vector<NodePlan>& nodes, const ReadinessWatch& readiness,
+                  const std::string& zone, uint64_t flow) {
+  std::vector<size_t> zoneNodes;
+  std::vector<size_t> readyInZone;
+  std::vector<size_t> readyElsewhere;
   for (size_t index = 0; index < nodes.size(); ++index) {
     const bool own = nodes[index].zone == zone;
     if (own) {
-      ofZone.push_back(index);
+      zoneNodes.push_back(index);
     }
     if (readiness.isReady(index)) {
-      (own ? in : elsewhere).push_back(index);
+      (own ? readyInZone : readyElsewhere).push_back(index);
     }
   }
-  const std::vector<size_t>* candidates = &in;
-  if (in.empty() && !elsewhere.empty()) {
-    candidates = &elsewhere;
-  } else if (2 * in.size() < ofZone.size()) {
-    candidates = &ofZone;
+  const std::vector<size_t>* candidates = &readyInZone;
+  if (readyInZone.empty() && !readyElsewhere.empty()) {
+    candidates = &readyElsewhere;
+  } else if (2 * readyInZone.size() < zoneNodes.size()) {
+    candidates = &zoneNodes;
   }
   return *std::max_element(
       candidates->begin(), candidates->end(),
--- a/test/soak/world/route_tracker.cc
+++ b/test/soak/world/route_tracker.cc
@@ -12,7 +12,8 @@
 constexpr uint32_t kExtraAddress = 0xC6120A00;
 constexpr uint16_t kFirstPort = 2000;
 constexpr uint16_t kMarkerPorts = 40000;
-/** Time between the store's answer and its record here, and for packets in flight. */
+/** Allowance for the time between the store's answer and its record here, and for packets in
+ * flight. */
 constexpr Duration kSlack = std::chrono::milliseconds(200);
 /** Number of latest markers that probes target: the current ones and some that were dropped. */
 constexpr uint64_t kProbedMarkers = 6;
@@ -22,7 +23,7 @@
 }
 
 void writeRoute(std::ostream& text, const std::string& name, const Endpoint& listen,
-                bool repeatable, const std::vector<std::pair<std::string, uint32_t>>& parts,
+                bool repeatable, const std::vector<std::pair<std::string, uint32_t>>& services,
                 std::optional<uint32_t> priority = std::nullopt) {
   text << R"({"name":")" << name << R"(","host":")" << addressToString(listen.address)
        << R"(","path_prefix":"/)" << listen.port << R"(/","kind":")"
@@ -31,9 +32,9 @@
     text << R"("priority":)" << *priority << ",";
   }
   text << R"("traffic_split":[)";
-  for (size_t index = 0; index < parts.size(); ++index) {
-    text << (index == 0 ? "" : ",") << R"({"service":")" << parts[index].first << R"(","weight":)"
-         << parts[index].second << "}";
+  for (size_t index = 0; index < services.size(); ++index) {
+    text << (index == 0 ? "" : ",") << R"({"service":")" << services[index].first
+         << R"(","weight":)" << services[index].second << "}";
   }
   text << "]}";
 }
@@ -57,18 +58,18 @@
   versions_.push_back({version() + 1, TimePoint::max()});
   std::ostringstream text;
   text << R"({"version":)" << version() * 10 << R"(,"routes":[)";
-  const auto& anyService = routes_.front().parts;
+  const auto& firstRouteServices = routes_.front().services;
   for (const CallerRoute& route : routes_) {
-    writeRoute(text, route.name, route.listen, route.repeatable, route.parts, route.priority);
+    writeRoute(text, route.name, route.listen, route.repeatable, route.services, route.priority);
     text << ",";
   }
   for (uint32_t extra = 0; extra < extraRoutes; ++extra) {
     const Endpoint listen{kExtraAddress, static_cast<uint16_t>(kFirstPort + extra)};
-    writeRoute(text, "extra-" + std::to_string(extra), listen, true, anyService);
+    writeRoute(text, "extra-" + std::to_string(extra), listen, true, firstRouteServices);
     text << ",";
   }
-  const uint64_t oldest = version() >= kMarkersKept ? version() - kMarkersKept + 1 : 1;
-  for (uint64_t marker = oldest; marker <= version(); ++marker) {
+  const uint64_t oldestMarker = version() >= kMarkersKept ? version() - kMarkersKept + 1 : 1;
+  for (uint64_t marker = oldestMarker; marker <= version(); ++marker) {
     writeRoute(text, "marker-" + std::to_string(marker), markerEndpoint(marker), true,
                {{options_.markerService, 1}});
     text << (marker < version() ? "," : "");
@@ -77,8 +78,8 @@
   std::string separator;
   for (const std::string& service :
        std::set<std::string>{"dispatch", "mapstore", options_.markerService}) {
-    text << separator << R"({"name":")" << service << R"(","max_connections":)"
-         << options_.maximumFlows << "}";
+    text << separator << R"({"name":")" << service << R"(","max_connections":)" << options_.maxFlows
+         << "}";
     separator = ",";
   }
   text << R"(],"limits":{"idle_timeout_ms":15000}})";
@@ -86,8 +87,8 @@
 }
 
 void RouteTracker::onNodeStarted(size_t node) {
-  ++lives_[node];
-  shown_.erase(node);
+  ++processNumbers_[node];
+  shownVersions_.erase(node);
 }
 
 TimePoint RouteTracker::addedAt(uint64_t marker) const {
@@ -95,8 +96,9 @@
 }
 
 TimePoint RouteTracker::droppedAt(uint64_t marker) const {
-  const uint64_t dropping = versionThatDropped(marker);
-  return dropping <= version() ? versions_[dropping - 1].acknowledgedAt : TimePoint::max();
+  const uint64_t droppingVersion = versionThatDropped(marker);
+  return droppingVersion <= version() ? versions_[droppingVersion - 1].acknowledgedAt
+                                      : TimePoint::max();
 }
 
 std::optional<Endpoint> RouteTracker::startProbe(TimePoint now, size_t node, uint16_t callerPort,
@@ -106,70 +108,71 @@
   }
   const uint64_t range = std::min(kProbedMarkers, version());
   const uint64_t marker = version() - random.below(range);
-  pendingProbes_[callerPort] = {node, marker, now, lives_[node]};
+  pendingProbes_[callerPort] = {node, marker, now, processNumbers_[node]};
   ++probes_;
   return markerEndpoint(marker);
 }
 
-std::optional<Probe> RouteTracker::takeProbe(uint16_t callerPort) {
+std::optional<Probe> RouteTracker::consumeProbe(uint16_t callerPort) {
   const auto found = pendingProbes_.find(callerPort);
   if (found == pendingProbes_.end()) {
     return std::nullopt;
   }
   const Probe probe = found->second;
   pendingProbes_.erase(found);
-  return probe.life == lives_[probe.node] ? std::optional(probe) : std::nullopt;
+  return probe.processNumber == processNumbers_[probe.node] ? std::optional(probe) : std::nullopt;
 }
 
-void RouteTracker::show(size_t node, uint64_t version, const Probe& probe, TimePoint now) {
-  Shown& shown = shown_[node];
-  if (version > shown.version || shown.life != probe.life) {
-    shown = {version, now, probe.life};
+void RouteTracker::recordShownVersion(size_t node, uint64_t version, const Probe& probe,
+                                      TimePoint now) {
+  ShownVersion& shown = shownVersions_[node];
+  if (version > shown.version || shown.processNumber != probe.processNumber) {
+    shown = {version, now, probe.processNumber};
   }
 }
 
 void RouteTracker::checkVersion(TimePoint now, const Probe& probe, uint64_t neededVersion,
-                                TimePoint neededSince, const char* handled) {
+                                TimePoint neededSince, const char* outcome) {
   const std::string& nodeName = plan_.nodes()[probe.node].name;
   // Disturbances before the probe was sent and while it was in flight both count.
   if (!disturbances_.isSettled(nodeName, now) || !disturbances_.isSettled("store", now)) {
     return;
   }
-  const std::string detail = nodeName + " " + handled + " marker " + std::to_string(probe.marker) +
+  const std::string detail = nodeName + " " + outcome + " marker " + std::to_string(probe.marker) +
                              ", version " + std::to_string(neededVersion) + " of " +
                              std::to_string(version());
   if (neededSince != TimePoint::max() &&
       probe.sentAt > neededSince + plan_.bounds().change + kSlack) {
-    promises_.broken(now, Promise::kConfigurationInTime, detail);
+    promises_.recordViolation(now, Promise::kConfigurationInTime, detail);
   }
-  const auto shown = shown_.find(probe.node);
-  if (shown != shown_.end() && shown->second.life == probe.life &&
+  const auto shown = shownVersions_.find(probe.node);
+  if (shown != shownVersions_.end() && shown->second.processNumber == probe.processNumber &&
       shown->second.version >= neededVersion &&
-      probe.sentAt > shown->second.at + plan_.bounds().back) {
-    promises_.broken(now, Promise::kNoOlderConfiguration, detail);
+      probe.sentAt > shown->second.at + plan_.bounds().olderVersionGrace) {
+    promises_.recordViolation(now, Promise::kNoOlderConfiguration, detail);
   }
 }
 
 void RouteTracker::onAccepted(TimePoint now, uint16_t callerPort) {
-  const auto probe = takeProbe(callerPort);
+  const auto probe = consumeProbe(callerPort);
   if (!probe) {
     return;
   }
-  const uint64_t dropping = versionThatDropped(probe->marker);
-  if (dropping <= version()) {
-    checkVersion(now, *probe, dropping, droppedAt(probe->marker), "forwarded");
+  const uint64_t droppingVersion = versionThatDropped(probe->marker);
+  if (droppingVersion <= version()) {
+    checkVersion(now, *probe, droppingVersion, droppedAt(probe->marker), "forwarded");
   }
-  show(probe->node, probe->marker, *probe, now);
+  recordShownVersion(probe->node, probe->marker, *probe, now);
 }
 
 void RouteTracker::onRefused(TimePoint now, uint16_t callerPort) {
-  const auto probe = takeProbe(callerPort);
+  const auto probe = consumeProbe(callerPort);
   if (!probe) {
     return;
   }
-  const uint64_t dropping = versionThatDropped(probe->marker);
-  const bool maybeDropped = dropping <= version();
-  if (!maybeDropped) {
+  const uint64_t droppingVersion = versionThatDropped(probe->marker);
+  const bool mayBeDropped = droppingVersion <= version();
+  if (!mayBeDropped) {
     checkVersion(now, *probe, probe->marker, addedAt(probe->marker), "refused");
   }
 }
@@ -179,7 +182,7 @@
       std::find_if(routes_.begin(), routes_.end(),
                    [&route](const CallerRoute& known) { return known.listen == route; });
   const CallerRoute& known = found == routes_.end() ? routes_.front() : *found;
-  return std::any_of(known.parts.begin(), known.parts.end(),
+  return std::any_of(known.services.begin(), known.services.end(),
                      [&service](const auto& part) { return part.first == service; });
 }
 
--- a/test/soak/world/route_tracker.h
+++ b/test/soak/world/route_tracker.h
@@ -28,7 +28,7 @@
   Endpoint listen;
   bool repeatable = true;
   /** Services with their weights. */
-  std::vector<std::pair<std::string, uint32_t>> parts;
+  std::vector<std::pair<std::string, uint32_t>> services;
   /** 0 is the most urgent; empty: not set in the configuration. */
   std::optional<uint32_t> priority = std::nullopt;
 };
@@ -39,13 +39,13 @@
   uint64_t marker = 0;
   TimePoint sentAt{};
   /** Process number of the node at sending; a restarted node may have an older configuration. */
-  uint32_t life = 0;
+  uint32_t processNumber = 0;
 };
 
 /** Contents of a configuration other than its routes. */
 struct RouteTrackerOptions {
   /** `max_connections` of each service. */
-  uint32_t maximumFlows = 2000;
+  uint32_t maxFlows = 2000;
   /** Service of the markers. Under hard load its hosts are not those of the callers, so that no
    * probe is refused for lack of capacity. */
   std::string markerService = "dispatch";
@@ -79,7 +79,8 @@
   static bool isMarker(const Endpoint& service);
   uint64_t probes() const { return probes_; }
   uint64_t version() const { return versions_.empty() ? 0 : versions_.back().number; }
-  /** @return whether a service may ever run requests to the address. */
+  /** @return whether the service belongs to the route of the address in any version. An address
+   * without a caller route counts as the first route. */
   bool mayRun(const Endpoint& route, const std::string& service) const;
 
  private:
@@ -88,21 +89,24 @@
     TimePoint acknowledgedAt = TimePoint::max();
   };
   /** The newest version that a node has shown. */
-  struct Shown {
+  struct ShownVersion {
     uint64_t version = 0;
     TimePoint at{};
-    uint32_t life = 0;
+    uint32_t processNumber = 0;
   };
 
   /** @return when the version that dropped the marker was acknowledged. */
   TimePoint droppedAt(uint64_t marker) const;
+  /** @return when the version that added the marker was acknowledged. */
   TimePoint addedAt(uint64_t marker) const;
   uint64_t versionThatDropped(uint64_t marker) const { return marker + kMarkersKept; }
-  std::optional<Probe> takeProbe(uint16_t callerPort);
-  void show(size_t node, uint64_t version, const Probe& probe, TimePoint now);
-  /** Checks a probe that the node handled by a version older than the needed one. */
+  /** Removes and returns a pending probe; nothing if unknown or if its node has restarted since. */
+  std::optional<Probe> consumeProbe(uint16_t callerPort);
+  void recordShownVersion(size_t node, uint64_t version, const Probe& probe, TimePoint now);
+  /** Checks a probe whose outcome shows that the node used a version older than `neededVersion`.
+   * @param neededSince when that version was acknowledged. @param outcome verb for the report. */
   void checkVersion(TimePoint now, const Probe& probe, uint64_t neededVersion,
-                    TimePoint neededSince, const char* handled);
+                    TimePoint neededSince, const char* outcome);
 
   /** Number of versions that contain a marker, from its own version on. */
   static constexpr uint64_t kMarkersKept = 3;
@@ -113,9 +117,9 @@
   const DisturbanceTracker& disturbances_;
   const RouteTrackerOptions options_;
   std::vector<Version> versions_;
-  std::map<size_t, Shown> shown_;
+  std::map<size_t, ShownVersion> shownVersions_;
   std::map<uint16_t, Probe> pendingProbes_;
-  std::map<size_t, uint32_t> lives_;
+  std::map<size_t, uint32_t> processNumbers_;
   uint64_t probes_ = 0;
 };
 
--- a/test/soak/world/soak_caller.cc
+++ b/test/soak/world/soak_caller.cc
@@ -6,19 +6,20 @@
 namespace umberhold::soak {
 namespace {
 
-/** Retransmission times of the opening packet, and the timeout, after its first transmission. */
-constexpr std::array<Duration, 2> kOpeningCopies = {std::chrono::milliseconds(200),
-                                                    std::chrono::milliseconds(600)};
+/** Retransmission times of the opening packet, and its timeout, both counted from its first
+ * transmission. */
+constexpr std::array<Duration, 2> kOpeningRetransmissions = {std::chrono::milliseconds(200),
+                                                             std::chrono::milliseconds(600)};
 constexpr Duration kOpeningTimeout = std::chrono::milliseconds(1400);
 /** Well below the maximum lifetime of a flow. */
-constexpr Duration kFlowLife = std::chrono::seconds(20);
+constexpr Duration kMaxFlowAge = std::chrono::seconds(20);
 /** A reset by the system ends an open flow if its sequence number is within this distance of the
  * last acknowledgement. */
 constexpr uint32_t kResetWindow = 76800;
 constexpr uint16_t kFirstPort = 10000;
 constexpr uint16_t kLastPort = 60000;
 /** Size of the request id range of one caller. */
-constexpr uint64_t kRequestsOfCaller = 1000000;
+constexpr uint64_t kRequestIdsPerCaller = 1000000;
 
 }  // namespace
 
@@ -41,9 +42,9 @@
   ++counts_.tries;
   ++pending_->tries;
   // Each try has its own id, so that its runs can be distinguished.
-  pending_->request.id = (uint64_t{number_} + 1) * kRequestsOfCaller + ++nextRequest_;
+  pending_->request.id = (uint64_t{number_} + 1) * kRequestIdsPerCaller + ++nextRequest_;
   const bool usable =
-      phase_ == Phase::kOpen && !profile_.flowPerRequest && now - openedAt_ < kFlowLife;
+      phase_ == Phase::kOpen && !profile_.flowPerRequest && now - openedAt_ < kMaxFlowAge;
   if (usable) {
     sendRequest(now);
     return;
@@ -56,9 +57,9 @@
   port_ = port_ >= kLastPort ? kFirstPort : static_cast<uint16_t>(port_ + 1);
   phase_ = Phase::kOpening;
   openedAt_ = now;
-  openings_ = 0;
+  openingsSent_ = 0;
   firstSequence_ = static_cast<uint32_t>(random_.below(UINT32_MAX));
-  text_.clear();
+  received_.clear();
   sendOpening();
 }
 
@@ -66,7 +67,7 @@
   EchoPacket packet;
   packet.flags = kSyn;
   packet.sequence = firstSequence_;
-  packet.acknowledged = openings_++;
+  packet.acknowledged = openingsSent_++;
   packet.source = address_;
   packet.sourcePort = port_;
   packet.target = profile_.service.address;
@@ -86,23 +87,24 @@
   const bool isSystemReset =
       packet && packet->has(kRst) && packet->sum == 0 && packet->data.empty();
   if (!packet || (!isSystemReset && !isSealed(*packet))) {
-    hooks_.wrongAnswer("a packet that nobody wrote so");
+    hooks_.wrongAnswer("packet with an invalid checksum");
     return;
   }
-  const FlowName other{{packet->target, packet->targetPort}, {packet->source, packet->sourcePort}};
-  if (phase_ == Phase::kNone || other != flow()) {
+  const FlowName packetFlow{{packet->target, packet->targetPort},
+                            {packet->source, packet->sourcePort}};
+  if (phase_ == Phase::kNone || packetFlow != flow()) {
     return;
   }
   if (packet->has(kRst)) {
     onReset(now, *packet);
   } else if (phase_ == Phase::kOpening) {
-    onOpened(now, *packet);
+    onOpeningAnswer(now, *packet);
   } else {
-    onOpen(now, *packet);
+    onSegment(now, *packet);
   }
 }
 
-void SoakCaller::onOpened(TimePoint now, const EchoPacket& packet) {
+void SoakCaller::onOpeningAnswer(TimePoint now, const EchoPacket& packet) {
   if (!packet.has(kSyn) || packet.acknowledged != firstSequence_ + 1) {
     return;
   }
@@ -118,8 +120,8 @@
   const bool wasOpen = phase_ == Phase::kOpen;
   const bool bySystem = packet.sum == 0;
   if (bySystem && wasOpen) {
-    const uint32_t ahead = packet.sequence - stream_->acknowledged();
-    if (ahead > kResetWindow && -ahead > kResetWindow) {
+    const uint32_t offset = packet.sequence - stream_->acknowledged();
+    if (offset > kResetWindow && -offset > kResetWindow) {
       ++counts_.strayResets;
       return;
     }
@@ -136,14 +138,14 @@
   }
 }
 
-void SoakCaller::onOpen(TimePoint now, const EchoPacket& packet) {
+void SoakCaller::onSegment(TimePoint now, const EchoPacket& packet) {
   if (packet.has(kSyn)) {
     return;  // Another host answered a copy of the opening packet.
   }
   std::vector<std::string> out;
-  text_ += stream_->onPacket(now, packet, out);
+  received_ += stream_->onPacket(now, packet, out);
   sendAll(out);
-  while (const auto answer = takeAnswer(text_)) {
+  while (const auto answer = extractAnswer(received_)) {
     checkAnswer(now, *answer);
   }
   if (stream_ && stream_->isFinishedByOther()) {
@@ -156,7 +158,7 @@
 
 void SoakCaller::checkAnswer(TimePoint now, const Answer& answer) {
   if (!pending_ || answer.id != pending_->request.id) {
-    hooks_.wrongAnswer("an answer to request " + std::to_string(answer.id));
+    hooks_.wrongAnswer("unexpected answer to request " + std::to_string(answer.id));
     return;
   }
   if (answer.notRun) {
@@ -166,18 +168,18 @@
     return;
   }
   if (answer.body != bodyOf(answer.id, profile_.answerBytes)) {
-    hooks_.wrongAnswer("another body for request " + std::to_string(answer.id));
+    hooks_.wrongAnswer("wrong body for request " + std::to_string(answer.id));
   }
   endRequest(now, true);
 }
 
-void SoakCaller::failTry(TimePoint now, bool ran) {
-  if (!ran) {
+void SoakCaller::failTry(TimePoint now, bool mayHaveRun) {
+  if (!mayHaveRun) {
     hooks_.notRun(pending_->request.id);
   }
-  const bool mayRepeat = profile_.repeatable || !ran;
+  const bool mayRepeat = profile_.repeatable || !mayHaveRun;
   if (mayRepeat && pending_->tries <= profile_.retries &&
-      now - pending_->begunAt < profile_.deadline) {
+      now - pending_->startedAt < profile_.deadline) {
     tryOnce(now);
     return;
   }
@@ -186,10 +188,10 @@
 
 void SoakCaller::endRequest(TimePoint now, bool served) {
   ++(served ? counts_.served : counts_.failed);
-  hooks_.ended(pending_->begunAt, served);
+  hooks_.ended(pending_->startedAt, served);
   pending_.reset();
-  nextAt_ = now + Duration{static_cast<Duration::rep>(static_cast<double>(profile_.pause.count()) *
-                                                      (0.5 + random_.unit()))};
+  nextRequestAt_ = now + Duration{static_cast<Duration::rep>(
+                             static_cast<double>(profile_.pause.count()) * (0.5 + random_.unit()))};
   if (profile_.flowPerRequest || !served) {
     closeFlow(now);
   }
@@ -209,12 +211,12 @@
 
 void SoakCaller::tick(TimePoint now) {
   if (!pending_) {
-    if (!stopping_ && now >= nextAt_) {
+    if (!stopping_ && now >= nextRequestAt_) {
       begin(now);
     }
     return;
   }
-  if (now - pending_->begunAt >= profile_.deadline) {
+  if (now - pending_->startedAt >= profile_.deadline) {
     endRequest(now, false);
     return;
   }
@@ -224,7 +226,8 @@
       ++counts_.openingsUnanswered;
       phase_ = Phase::kNone;
       failTry(now, false);
-    } else if (openings_ <= kOpeningCopies.size() && waited >= kOpeningCopies[openings_ - 1]) {
+    } else if (openingsSent_ <= kOpeningRetransmissions.size() &&
+               waited >= kOpeningRetransmissions[openingsSent_ - 1]) {
       sendOpening();
     }
     return;
--- a/test/soak/world/soak_caller.h
+++ b/test/soak/world/soak_caller.h
@@ -14,7 +14,7 @@
 
 namespace umberhold::soak {
 
-/** The repeated requests of a caller. */
+/** Kind and timing of the requests that a caller repeats. */
 struct CallerProfile {
   Endpoint service;
   bool repeatable = true;
@@ -47,9 +47,9 @@
   std::function<void(const std::string& packet)> send;
   /** A reset that was not sent by a host ended an open flow. */
   std::function<void(const FlowName& flow)> openFlowReset;
-  /** An incomplete, mismatched or forged answer arrived. */
+  /** A packet with an invalid checksum, or an answer with an unexpected id or body, arrived. */
   std::function<void(const std::string& detail)> wrongAnswer;
-  /** A try ended with a result that excludes that it has run or will run. */
+  /** A try ended, and the caller can conclude that it has not run and will not run. */
   std::function<void(uint64_t request)> notRun;
   /** A request ended. @param at time of its start. */
   std::function<void(TimePoint at, bool served)> ended;
@@ -74,7 +74,7 @@
   enum class Phase : uint8_t { kNone, kOpening, kOpen };
   struct PendingRequest {
     Request request;
-    TimePoint begunAt;
+    TimePoint startedAt;
     uint32_t tries = 0;
   };
 
@@ -83,12 +83,12 @@
   void openFlow(TimePoint now);
   void sendOpening();
   void sendRequest(TimePoint now);
-  void onOpened(TimePoint now, const EchoPacket& packet);
+  void onOpeningAnswer(TimePoint now, const EchoPacket& packet);
   void onReset(TimePoint now, const EchoPacket& packet);
-  void onOpen(TimePoint now, const EchoPacket& packet);
+  void onSegment(TimePoint now, const EchoPacket& packet);
   void checkAnswer(TimePoint now, const Answer& answer);
   /** Handles a failed try. @param ran whether it may have run. */
-  void failTry(TimePoint now, bool ran);
+  void failTry(TimePoint now, bool mayHaveRun);
   void endRequest(TimePoint now, bool served);
   void closeFlow(TimePoint now);
   void sendAll(const std::vector<std::string>& packets);
@@ -103,15 +103,15 @@
   bool stopping_ = false;
   uint16_t port_;
   uint64_t nextRequest_ = 0;
-  TimePoint nextAt_{};
+  TimePoint nextRequestAt_{};
   std::optional<PendingRequest> pending_;
 
   Phase phase_ = Phase::kNone;
   TimePoint openedAt_{};
   uint32_t firstSequence_ = 0;
-  uint32_t openings_ = 0;
+  uint32_t openingsSent_ = 0;
   std::optional<StreamEnd> stream_;
-  std::string text_;
+  std::string received_;
 };
 
 }  // namespace umberhold::soak
--- a/test/soak/world/soak_host.cc
+++ b/test/soak/world/soak_host.cc
@@ -9,7 +9,7 @@
 constexpr size_t kIncarnationBytes = 8;
 constexpr unsigned kByteBits = 8;
 /** Number of transmissions after which a host abandons a flow. */
-constexpr uint32_t kMaximumTries = 9;
+constexpr uint32_t kMaxTransmissions = 9;
 /** Timeout of an opening whose caller accepted another host's answer, or none. */
 constexpr Duration kOpeningTimeout = std::chrono::seconds(3);
 
@@ -21,12 +21,12 @@
   return incarnation;
 }
 
-/** The host's end of a flow. */
+/** @return the addresses of packets from the host to the caller. */
 StreamAddresses addressesOf(const FlowName& flow) {
   return {flow.service.address, flow.caller.address, flow.service.port, flow.caller.port};
 }
 
-EchoPacket packetOn(const FlowName& flow, uint8_t flags) {
+EchoPacket packetOf(const FlowName& flow, uint8_t flags) {
   const StreamAddresses addresses = addressesOf(flow);
   EchoPacket packet;
   packet.flags = flags;
@@ -52,9 +52,10 @@
   if (state_ == HostState::kEnded || bytes.size() < kIncarnationBytes) {
     return;
   }
-  const uint64_t meant = incarnationOf(bytes);
+  // Nodes prepend the incarnation of the host that they selected; 0 means any host.
+  const uint64_t targetIncarnation = incarnationOf(bytes);
   const auto packet = decode(bytes.substr(kIncarnationBytes));
-  if (meant != 0 && meant != plan_.incarnation) {
+  if (targetIncarnation != 0 && targetIncarnation != plan_.incarnation) {
     return;
   }
   if (!packet || !isSealed(*packet)) {
@@ -85,13 +86,13 @@
   hooks_.opening(name, node);
   auto found = flows_.find(name);
   if (found == flows_.end()) {
-    if (plan_.maximumFlows > 0 && openFlowCount() >= plan_.maximumFlows) {
+    if (plan_.maxFlows > 0 && openFlowCount() >= plan_.maxFlows) {
       hooks_.full();
       return;
     }
-    const auto first = static_cast<uint32_t>(random_.below(UINT32_MAX));
-    Flow flow{StreamEnd(addressesOf(name), first + 1, packet.sequence + 1),
-              first,
+    const auto firstSequence = static_cast<uint32_t>(random_.below(UINT32_MAX));
+    Flow flow{StreamEnd(addressesOf(name), firstSequence + 1, packet.sequence + 1),
+              firstSequence,
               now,
               false,
               false,
@@ -99,7 +100,7 @@
               {}};
     found = flows_.emplace(name, std::move(flow)).first;
   }
-  EchoPacket answer = packetOn(name, kSyn | kAck);
+  EchoPacket answer = packetOf(name, kSyn | kAck);
   answer.echo = packet.echo;
   answer.sequence = found->second.firstSequence;
   answer.acknowledged = packet.sequence + 1;
@@ -113,8 +114,8 @@
   }
   flow.open = true;
   std::vector<std::string> out;
-  flow.text += flow.stream.onPacket(now, packet, out);
-  takeRequests(now, name, flow);
+  flow.received += flow.stream.onPacket(now, packet, out);
+  acceptRequests(now, name, flow);
   if (flow.stream.isFinishedByOther() && !flow.closing) {
     flow.closing = true;
     flow.stream.finish();
@@ -123,9 +124,9 @@
   sendAll(name, out);
 }
 
-void SoakHost::takeRequests(TimePoint now, const FlowName& name, Flow& flow) {
-  while (const auto request = takeRequest(flow.text)) {
-    const std::optional<TimePoint> doneAt = takeSlot(now);
+void SoakHost::acceptRequests(TimePoint now, const FlowName& name, Flow& flow) {
+  while (const auto request = extractRequest(flow.received)) {
+    const std::optional<TimePoint> doneAt = reserveSlot(now);
     if (doneAt) {
       hooks_.run(name, *request);
     } else {
@@ -135,28 +136,28 @@
   }
 }
 
-std::optional<TimePoint> SoakHost::takeSlot(TimePoint now) {
+std::optional<TimePoint> SoakHost::reserveSlot(TimePoint now) {
   if (slotsFreeAt_.empty()) {
-    return now + plan_.work;
+    return now + plan_.workTime;
   }
-  while (!waiting_.empty() && waiting_.front() <= now) {
-    waiting_.pop_front();
+  while (!queuedUntil_.empty() && queuedUntil_.front() <= now) {
+    queuedUntil_.pop_front();
   }
   const auto slot = std::min_element(slotsFreeAt_.begin(), slotsFreeAt_.end());
   if (*slot > now) {
-    if (waiting_.size() >= plan_.queue) {
+    if (queuedUntil_.size() >= plan_.maxQueued) {
       return std::nullopt;
     }
-    waiting_.push_back(*slot);
+    queuedUntil_.push_back(*slot);
   }
-  *slot = std::max(*slot, now) + plan_.work;
+  *slot = std::max(*slot, now) + plan_.workTime;
   return *slot;
 }
 
 void SoakHost::answerDone(TimePoint now, Flow& flow) {
   while (!flow.jobs.empty() && flow.jobs.front().doneAt <= now) {
     const Job& job = flow.jobs.front();
-    flow.stream.write(job.rejected ? refusalText(job.request)
+    flow.stream.write(job.rejected ? rejectionText(job.request)
                                    : answerText(job.request, plan_.service));
     flow.jobs.erase(flow.jobs.begin());
     if (state_ == HostState::kDraining && flow.jobs.empty() && !flow.closing) {
@@ -167,16 +168,16 @@
 }
 
 void SoakHost::tick(TimePoint now) {
-  for (auto place = flows_.begin(); place != flows_.end();) {
-    Flow& flow = place->second;
+  for (auto entry = flows_.begin(); entry != flows_.end();) {
+    Flow& flow = entry->second;
     answerDone(now, flow);
     std::vector<std::string> out;
     flow.stream.tick(now, out);
-    sendAll(place->first, out);
+    sendAll(entry->first, out);
     const bool closed = flow.closing && flow.stream.isDrained() && flow.stream.isFinishedByOther();
-    const bool lost = flow.stream.tries() >= kMaximumTries;
-    const bool unopened = !flow.open && now - flow.begunAt > kOpeningTimeout;
-    place = closed || lost || unopened ? flows_.erase(place) : std::next(place);
+    const bool lost = flow.stream.transmissions() >= kMaxTransmissions;
+    const bool unopened = !flow.open && now - flow.startedAt > kOpeningTimeout;
+    entry = closed || lost || unopened ? flows_.erase(entry) : std::next(entry);
   }
 }
 
@@ -191,15 +192,16 @@
 }
 
 size_t SoakHost::openFlowCount() const {
-  return static_cast<size_t>(std::count_if(flows_.begin(), flows_.end(), [](const auto& entry) {
-    const Flow& flow = entry.second;
-    return flow.open && !flow.stream.isFinishedByOther();
-  }));
+  return static_cast<size_t>(
+      std::count_if(flows_.begin(), flows_.end(), [](const auto& nameAndFlow) {
+        const Flow& flow = nameAndFlow.second;
+        return flow.open && !flow.stream.isFinishedByOther();
+      }));
 }
 
 void SoakHost::sendReset(const EchoPacket& packet) {
   const FlowName name = flowOfCaller(packet);
-  EchoPacket reset = packetOn(name, kRst);
+  EchoPacket reset = packetOf(name, kRst);
   reset.echo = packet.echo;
   reset.sequence = packet.acknowledged;
   hooks_.send(name.caller, encodeSealed(reset));
--- a/test/soak/world/soak_host.h
+++ b/test/soak/world/soak_host.h
@@ -44,12 +44,12 @@
   std::string service;
   std::string zone;
   Endpoint address;
-  Duration work = std::chrono::milliseconds(10);
+  Duration workTime = std::chrono::milliseconds(10);
   /** Maximum numbers of running and of queued requests; 0 slots: no limit. */
   uint32_t slots = 0;
-  uint32_t queue = 0;
+  uint32_t maxQueued = 0;
   /** Maximum number of open flows; at the limit, openings are ignored. 0: no limit. */
-  uint32_t maximumFlows = 0;
+  uint32_t maxFlows = 0;
   /** Start time in Unix ms; distinguishes processes with one id. 0: not part of its entry. */
   uint64_t startedAtMillis = 0;
 };
@@ -58,7 +58,8 @@
 struct HostHooks {
   /** A packet for a caller. */
   std::function<void(const Endpoint& caller, const std::string& packet)> send;
-  /** An opening forwarded by `node` was accepted. */
+  /** An opening forwarded by `node` arrived; also called if it is then ignored at the flow limit.
+   */
   std::function<void(const FlowName& flow, const Endpoint& node)> opening;
   /** A request was accepted to be run. */
   std::function<void(const FlowName& flow, const Request& request)> run;
@@ -66,7 +67,7 @@
   std::function<void(const Request& request)> rejected;
   /** An opening arrived at the flow limit. */
   std::function<void()> full;
-  /** A packet without a valid seal arrived. */
+  /** A packet that is malformed or has an invalid checksum arrived. */
   std::function<void(const EchoPacket& packet)> forged;
 };
 
@@ -99,18 +100,18 @@
   struct Flow {
     StreamEnd stream;
     uint32_t firstSequence = 0;
-    TimePoint begunAt{};
+    TimePoint startedAt{};
     bool open = false;
     bool closing = false;
-    std::string text;
+    std::string received;
     std::vector<Job> jobs;
   };
 
   void onOpening(TimePoint now, const EchoPacket& packet, const Endpoint& node);
   void onSegment(TimePoint now, const EchoPacket& packet, const FlowName& name, Flow& flow);
-  void takeRequests(TimePoint now, const FlowName& name, Flow& flow);
+  void acceptRequests(TimePoint now, const FlowName& name, Flow& flow);
   /** @return when the request will be done, or nothing without a free slot or queue place. */
-  std::optional<TimePoint> takeSlot(TimePoint now);
+  std::optional<TimePoint> reserveSlot(TimePoint now);
   void answerDone(TimePoint now, Flow& flow);
   void sendReset(const EchoPacket& packet);
   void sendAll(const FlowName& name, const std::vector<std::string>& packets);
@@ -122,8 +123,8 @@
   std::map<FlowName, Flow> flows_;
   /** When each slot becomes free. */
   std::vector<TimePoint> slotsFreeAt_;
-  /** Start times of the queued requests. */
-  std::deque<TimePoint> waiting_;
+  /** When each queued request starts. */
+  std::deque<TimePoint> queuedUntil_;
 };
 
 }  // namespace umberhold::soak
--- a/test/soak/world/soak_report.cc
+++ b/test/soak/world/soak_report.cc
@@ -17,11 +17,11 @@
 constexpr int kLabelWidth = 34;
 
 template <class Value>
-void writeFigure(std::ostream& text, std::string_view label, const Value& value) {
+void writeRow(std::ostream& text, std::string_view label, const Value& value) {
   text << "  " << std::left << std::setw(kLabelWidth) << label << value << "\n";
 }
 
-Poco::JSON::Array secondsOf(const SoakResult& result) {
+Poco::JSON::Array countsBySecond(const SoakResult& result) {
   Poco::JSON::Array list;
   for (const auto& [second, counts] : result.seconds) {
     Poco::JSON::Object entry;
@@ -43,12 +43,12 @@
 void writeWaits(const std::string& folder, const SoakResult& result) {
   std::ofstream file(folder + "/waits.tsv");
   for (const Wait& wait : result.waits) {
-    file << timeOfDay(wait.at) << "\t" << wait.who << "\t"
+    file << timeOfDay(wait.at) << "\t" << wait.process << "\t"
          << std::chrono::duration_cast<std::chrono::milliseconds>(wait.length).count() << "\n";
   }
   for (const Violation& violation : result.violations) {
-    file << timeOfDay(result.begunAt + violation.at) << "\t" << toString(violation.promise) << "\t"
-         << violation.detail << "\n";
+    file << timeOfDay(result.startedAt + violation.at) << "\t" << toString(violation.promise)
+         << "\t" << violation.detail << "\n";
   }
 }
 
@@ -67,13 +67,14 @@
   object.set("versions", result.versions);
   object.set("served_after_recovery", result.servedAfterRecovery);
   object.set("turned_away", result.callers.rejected);
-  object.set("starved_seconds_most", std::chrono::duration<double>(result.longestStarved).count());
-  object.set("open_flows_most", result.maximumOpenFlows);
+  object.set("starved_seconds_most",
+             std::chrono::duration<double>(result.longestStarvation).count());
+  object.set("open_flows_most", result.maxOpenFlows);
   object.set("pause_seconds_most", std::chrono::duration<double>(result.longestPause).count());
-  object.set("store_queue_most", result.maximumStoreQueue);
+  object.set("store_queue_most", result.maxStoreQueue);
   object.set("returns_judged", result.recoveriesEvaluated);
-  object.set("memory_mb_most", result.highest.memoryMegabytes);
-  object.set("descriptors_most", result.highest.descriptors);
+  object.set("memory_mb_most", result.nodePeak.memoryMegabytes);
+  object.set("descriptors_most", result.nodePeak.descriptors);
   object.set("log_lines", result.logLines);
   Poco::JSON::Object faults;
   for (const auto& [kind, count] : result.faults) {
@@ -85,7 +86,7 @@
     broken.set(std::string(toString(promise)), count);
   }
   object.set("broken", broken);
-  object.set("served_by_second", secondsOf(result));
+  object.set("served_by_second", countsBySecond(result));
   std::ostringstream line;
   object.stringify(line);
   return line.str();
@@ -107,36 +108,36 @@
 std::string toText(const SoakOptions& options, const SoakResult& result) {
   std::ostringstream text;
   text << "soak, seed " << options.seed << ", " << options.seconds << " s\n";
-  writeFigure(text, "requests asked", result.callers.asked);
-  writeFigure(text, "served", result.callers.served);
-  writeFigure(text, "failed", result.callers.failed);
-  writeFigure(text, "tries", result.callers.tries);
-  writeFigure(text, "openings refused", result.callers.openingsRefused);
-  writeFigure(text, "openings unanswered", result.callers.openingsUnanswered);
-  writeFigure(text, "resets by nodes", result.callers.systemResets);
-  writeFigure(text, "resets that open flows don't take", result.callers.strayResets);
-  writeFigure(text, "resets by hosts", result.callers.hostResets);
-  writeFigure(text, "turned away by hosts", result.callers.rejected);
-  writeFigure(text, "longest without service, s",
-              std::chrono::duration<double>(result.longestStarved).count());
-  writeFigure(text, "open flows of a host at most", result.maximumOpenFlows);
-  writeFigure(text, "longest pause of the soak itself, s",
-              std::chrono::duration<double>(result.longestPause).count());
-  writeFigure(text, "queue of the store's stand-in at most", result.maximumStoreQueue);
-  writeFigure(text, "returns of room judged", result.recoveriesEvaluated);
-  writeFigure(text, "runs at hosts", result.runs);
-  writeFigure(text, "probes of the configuration", result.probes);
-  writeFigure(text, "versions of the configuration", result.versions);
-  writeFigure(text, "served after the recovery time", result.servedAfterRecovery);
-  writeFigure(text, "memory of a node at most, MB", result.highest.memoryMegabytes);
-  writeFigure(text, "descriptors of a node at most", result.highest.descriptors);
-  writeFigure(text, "lives of a node at most", result.highest.lives);
-  writeFigure(text, "log lines", result.logLines);
+  writeRow(text, "requests asked", result.callers.asked);
+  writeRow(text, "served", result.callers.served);
+  writeRow(text, "failed", result.callers.failed);
+  writeRow(text, "tries", result.callers.tries);
+  writeRow(text, "openings refused", result.callers.openingsRefused);
+  writeRow(text, "openings unanswered", result.callers.openingsUnanswered);
+  writeRow(text, "resets by nodes", result.callers.systemResets);
+  writeRow(text, "resets that open flows don't take", result.callers.strayResets);
+  writeRow(text, "resets by hosts", result.callers.hostResets);
+  writeRow(text, "turned away by hosts", result.callers.rejected);
+  writeRow(text, "longest without service, s",
+           std::chrono::duration<double>(result.longestStarvation).count());
+  writeRow(text, "open flows of a host at most", result.maxOpenFlows);
+  writeRow(text, "longest pause of the soak itself, s",
+           std::chrono::duration<double>(result.longestPause).count());
+  writeRow(text, "queue of the store's stand-in at most", result.maxStoreQueue);
+  writeRow(text, "returns of room judged", result.recoveriesEvaluated);
+  writeRow(text, "runs at hosts", result.runs);
+  writeRow(text, "probes of the configuration", result.probes);
+  writeRow(text, "versions of the configuration", result.versions);
+  writeRow(text, "served after the recovery time", result.servedAfterRecovery);
+  writeRow(text, "memory of a node at most, MB", result.nodePeak.memoryMegabytes);
+  writeRow(text, "descriptors of a node at most", result.nodePeak.descriptors);
+  writeRow(text, "lives of a node at most", result.nodePeak.processCount);
+  writeRow(text, "log lines", result.logLines);
   for (const auto& [kind, count] : result.faults) {
-    writeFigure(text, "fault " + std::string(toString(kind)), count);
+    writeRow(text, "fault " + std::string(toString(kind)), count);
   }
   for (const auto& [promise, count] : result.broken) {
-    writeFigure(text, "BROKEN " + std::string(toString(promise)), count);
+    writeRow(text, "BROKEN " + std::string(toString(promise)), count);
   }
   for (const Violation& violation : result.violations) {
     text << "    at " << std::chrono::duration<double>(violation.at).count() << " s "
--- a/test/soak/world/soak_run.cc
+++ b/test/soak/world/soak_run.cc
@@ -11,16 +11,16 @@
 namespace umberhold::soak {
 namespace {
 
-constexpr auto kStep = std::chrono::milliseconds(10);
+constexpr auto kPollInterval = std::chrono::milliseconds(10);
 constexpr Duration kStartTimeout = std::chrono::seconds(30);
 constexpr Duration kMeasureInterval = std::chrono::seconds(1);
-constexpr Duration kWaitInterval = std::chrono::milliseconds(50);
-/** Time at the end in which pending requests complete. */
+constexpr Duration kMeasureWaitsInterval = std::chrono::milliseconds(50);
+/** Time after the traffic in which pending requests complete. */
 constexpr Duration kWindDown = std::chrono::seconds(3);
 /** Time after the recovery time in which requests are evaluated. */
 constexpr Duration kEvaluatedTime = std::chrono::seconds(4);
 constexpr double kServedAfterRecovery = 0.97;
-constexpr uint64_t kMinimumRequests = 200;
+constexpr uint64_t kMinRequests = 200;
 
 /** All components of one run; destroyed in reverse order. */
 class Soak {
@@ -40,19 +40,19 @@
     }
     const TimePoint start = steadyNow();
     const TimePoint end = start + std::chrono::seconds(options_.seconds);
-    const Duration calm = plan_.bounds().recovery + kEvaluatedTime;
+    const Duration calmDuration = plan_.bounds().recovery + kEvaluatedTime;
     {
       const std::lock_guard lock(world_.mutex());
       world_.startTraffic(start);
     }
-    planned_ = drawFaults(options_.seed, end - start - calm - kWindDown);
+    planned_ = drawFaults(options_.seed, end - start - calmDuration - kWindDown);
     if (options_.load == SoakLoad::kHard) {
-      const auto hard = drawHardLoad(options_.seed, end - start - calm - kWindDown);
+      const auto hard = drawHardLoad(options_.seed, end - start - calmDuration - kWindDown);
       planned_.insert(planned_.end(), hard.begin(), hard.end());
     }
     faults_.schedule(start, planned_);
     const TimePoint faultsOver = injectFaults();
-    const TimePoint calmEnd = std::max(end, faultsOver + calm);
+    const TimePoint calmEnd = std::max(end, faultsOver + calmDuration);
     runUntil([calmEnd](TimePoint now) { return now >= calmEnd; });
     stopTraffic();
     return evaluate(start, faultsOver, calmEnd);
@@ -65,7 +65,7 @@
       if (steadyNow() >= deadline) {
         return false;
       }
-      std::this_thread::sleep_for(kStep);
+      std::this_thread::sleep_for(kPollInterval);
     }
     return true;
   }
@@ -77,14 +77,14 @@
       faults_.runDueSteps(now);
       if (now >= nextMeasure) {
         nodes_.measure();
-        maximumStoreQueue_ = std::max(maximumStoreQueue_, store_.calls().queued);
+        maxStoreQueue_ = std::max(maxStoreQueue_, store_.calls().queued);
         nextMeasure = now + kMeasureInterval;
       }
       if (now >= nextWaits) {
         nodes_.measureWaits(now, nodeWaits_);
-        nextWaits = now + kWaitInterval;
+        nextWaits = now + kMeasureWaitsInterval;
       }
-      std::this_thread::sleep_for(kStep);
+      std::this_thread::sleep_for(kPollInterval);
     }
   }
 
@@ -109,7 +109,7 @@
     const std::lock_guard lock(world_.mutex());
     SoakResult result;
     result.callers = world_.totals();
-    if (result.callers.asked < kMinimumRequests) {
+    if (result.callers.asked < kMinRequests) {
       return SoakError::kNoTraffic;
     }
     result.runs = world_.runs();
@@ -118,24 +118,24 @@
     result.faults = faults_.counts();
     result.planned = planned_;
     result.seconds = world_.seconds();
-    result.longestStarved = world_.load().longestStarved();
+    result.longestStarvation = world_.loadWatch().longestStarvation();
     result.longestPause = world_.longestPause();
-    result.maximumStoreQueue = maximumStoreQueue_;
+    result.maxStoreQueue = maxStoreQueue_;
     result.waits = nodeWaits_.waits();
     const std::vector<Wait>& own = world_.pauses().waits();
     result.waits.insert(result.waits.end(), own.begin(), own.end());
-    result.begunAt = world_.promises().start();
-    result.maximumOpenFlows = world_.maximumOpenFlows();
-    result.recoveriesEvaluated = world_.load().recoveriesEvaluated();
+    result.startedAt = world_.promises().start();
+    result.maxOpenFlows = world_.maxOpenFlows();
+    result.recoveriesEvaluated = world_.loadWatch().recoveriesEvaluated();
     checkRecovery(start, faultsOver, end, result);
-    judgeNodes(end - start, result);
+    checkNodes(end - start, result);
     for (uint8_t index = 0; index < static_cast<uint8_t>(Promise::kCount); ++index) {
       const auto promise = static_cast<Promise>(index);
       if (world_.promises().count(promise) > 0) {
         result.broken[promise] = world_.promises().count(promise);
       }
     }
-    result.violations = world_.promises().first();
+    result.violations = world_.promises().firstViolations();
     return result;
   }
 
@@ -154,31 +154,32 @@
                                                       : static_cast<double>(evaluated.served) /
                                                             static_cast<double>(evaluated.asked);
     if (result.servedAfterRecovery < kServedAfterRecovery) {
-      world_.promises().broken(end, Promise::kRecovery,
-                               "served " + std::to_string(result.servedAfterRecovery) + " of " +
-                                   std::to_string(evaluated.asked));
+      world_.promises().recordViolation(end, Promise::kRecovery,
+                                        "served " + std::to_string(result.servedAfterRecovery) +
+                                            " of " + std::to_string(evaluated.asked));
     }
   }
 
-  void judgeNodes(Duration length, SoakResult& result) {
+  void checkNodes(Duration length, SoakResult& result) {
     const NodeLimits limits;
     const double seconds = std::chrono::duration<double>(length).count();
     for (size_t node = 0; node < plan_.nodes().size(); ++node) {
       const NodePeak& peak = nodes_.peaks()[node];
       const std::string& name = plan_.nodes()[node].name;
-      result.highest.memoryMegabytes =
-          std::max(result.highest.memoryMegabytes, peak.memoryMegabytes);
-      result.highest.descriptors = std::max(result.highest.descriptors, peak.descriptors);
-      result.highest.lives = std::max(result.highest.lives, peak.lives);
+      result.nodePeak.memoryMegabytes =
+          std::max(result.nodePeak.memoryMegabytes, peak.memoryMegabytes);
+      result.nodePeak.descriptors = std::max(result.nodePeak.descriptors, peak.descriptors);
+      result.nodePeak.processCount = std::max(result.nodePeak.processCount, peak.processCount);
       std::ifstream file(nodes_.logFile(node));
       const LogSummary log = summarizeLog(file);
       result.logLines += log.lines;
       const TimePoint now = steadyNow();
       if (!isWithin(limits, peak)) {
-        world_.promises().broken(now, Promise::kBoundedNodes, name);
+        world_.promises().recordViolation(now, Promise::kBoundedNodes, name);
       }
-      if (!isReadable(limits, log, peak.lives, seconds)) {
-        world_.promises().broken(now, Promise::kReadableLogs, name + ": " + log.firstUnreadable);
+      if (!isReadable(limits, log, peak.processCount, seconds)) {
+        world_.promises().recordViolation(now, Promise::kReadableLogs,
+                                          name + ": " + log.firstUnreadable);
       }
     }
   }
@@ -191,7 +192,7 @@
   FaultInjector faults_;
   std::vector<Fault> planned_;
   WaitWatch nodeWaits_;
-  uint64_t maximumStoreQueue_ = 0;
+  uint64_t maxStoreQueue_ = 0;
 };
 
 }  // namespace
--- a/test/soak/world/soak_run.h
+++ b/test/soak/world/soak_run.h
@@ -1,4 +1,4 @@
-/** @file One soak run: system, environment, faults, a final time without faults, and evaluation. */
+/** @file One soak run: traffic on real nodes with faults, then without, and its evaluation. */
 #pragma once
 
 #include <cstdint>
@@ -45,22 +45,22 @@
   uint64_t probes = 0;
   uint64_t versions = 0;
   uint64_t logLines = 0;
-  NodePeak highest;
+  NodePeak nodePeak;
   /** Share of requests served, of those that began after the recovery time of the last fault. */
   double servedAfterRecovery = 0;
   /** Maximum time for which a service was not served while another of its pool was. */
-  Duration longestStarved{0};
+  Duration longestStarvation{0};
   /** Number of shortages after which the recovery was evaluated. */
   uint64_t recoveriesEvaluated = 0;
-  size_t maximumOpenFlows = 0;
+  size_t maxOpenFlows = 0;
   /** Maximum pause of the event loop of callers and hosts. */
   Duration longestPause{0};
   /** Maximum number of calls queued for a thread of the stand-in store. */
-  uint64_t maximumStoreQueue = 0;
+  uint64_t maxStoreQueue = 0;
   /** Pauses of the nodes and of the soak. */
   std::vector<Wait> waits;
-  /** Time origin of the violations. */
-  TimePoint begunAt{};
+  /** Start of the run, from which the times of violations are counted. */
+  TimePoint startedAt{};
   std::map<FaultKind, uint64_t> faults;
   std::vector<Fault> planned;
   std::map<int64_t, SecondCounts> seconds;
--- a/test/soak/world/soak_world.cc
+++ b/test/soak/world/soak_world.cc
@@ -19,7 +19,7 @@
 constexpr Duration kProbeInterval = std::chrono::milliseconds(40);
 constexpr uint16_t kFirstProbePort = 10000;
 constexpr uint16_t kProbePorts = 40000;
-/** Time between the store's answer and its record by the hosts. */
+/** Allowance for the time between the store's answer and its record in the host's slot. */
 constexpr Duration kSlack = std::chrono::milliseconds(300);
 
 constexpr uint32_t kRouteAddress = 0xC6120001;
@@ -84,12 +84,12 @@
       unplannedDisturbances_(plan.bounds().settleTime),
       delays_(loop_) {
   const RouteTrackerOptions options =
-      load_ == SoakLoad::kHard ? RouteTrackerOptions{HostFleet::kMaximumFlows, kMarkerService}
+      load_ == SoakLoad::kHard ? RouteTrackerOptions{HostFleet::kMaxFlows, kMarkerService}
                                : RouteTrackerOptions{};
   routes_ = std::make_unique<RouteTracker>(plan_, callerRoutes(load_), promises_, allDisturbances_,
                                            options);
   fleet_ = std::make_unique<HostFleet>(
-      plan_, store_.objects(), [this](size_t slot) { return hooksOf(slot); }, random_, load_);
+      plan_, store_.objects(), [this](size_t slot) { return makeHostHooks(slot); }, random_, load_);
   openHostSockets();
   makeCallers();
   probeSocket_ =
@@ -140,12 +140,12 @@
   hooks.send = [this, index](const std::string& packet) {
     const CallerEntry& entry = callers_[index];
     const auto parsed = decode(packet);
-    const size_t node = routeOf(plan_.nodes(), *readiness_, entry.zone, flowHash(*parsed));
-    toNode(node, entry.socket, entry.zone, packet);
+    const size_t node = selectNode(plan_.nodes(), *readiness_, entry.zone, flowHash(*parsed));
+    sendToNode(node, entry.socket, entry.zone, packet);
   };
   hooks.openFlowReset = [this](const FlowName& flow) { onOpenFlowReset(flow); };
   hooks.wrongAnswer = [this](const std::string& detail) {
-    promises_.broken(steadyNow(), Promise::kWholeAnswers, detail);
+    promises_.recordViolation(steadyNow(), Promise::kWholeAnswers, detail);
   };
   hooks.notRun = [this](uint64_t request) { runs_.onNotRun(steadyNow(), request); };
   hooks.ended = [this, route](TimePoint at, bool served) {
@@ -162,10 +162,10 @@
   callers_.push_back(std::move(entry));
 }
 
-HostHooks SoakWorld::hooksOf(size_t slot) {
+HostHooks SoakWorld::makeHostHooks(size_t slot) {
   HostHooks hooks;
   hooks.send = [this, slot](const Endpoint& caller, const std::string& packet) {
-    toCaller(slot, caller, packet);
+    sendToCaller(slot, caller, packet);
   };
   hooks.opening = [this, slot](const FlowName& flow, const Endpoint& node) {
     onHostOpening(slot, flow, node);
@@ -178,8 +178,8 @@
     loadWatch_.onFull(steadyNow(), fleet_->slots()[slot].host->plan().id);
   };
   hooks.forged = [this](const EchoPacket& packet) {
-    promises_.broken(steadyNow(), Promise::kPacketsUnchanged,
-                     "from " + toString(Endpoint{packet.source, packet.sourcePort}));
+    promises_.recordViolation(steadyNow(), Promise::kPacketsUnchanged,
+                              "from " + toString(Endpoint{packet.source, packet.sourcePort}));
   };
   return hooks;
 }
@@ -204,7 +204,7 @@
 
 void SoakWorld::startTraffic(TimePoint now) {
   traffic_ = true;
-  trafficSince_ = now;
+  trafficStartedAt_ = now;
 }
 
 void SoakWorld::stopTraffic() {
@@ -247,8 +247,8 @@
   if (!readiness_->isReady(node)) {
     return;
   }
-  probePort_ = static_cast<uint16_t>((probePort_ + 1) % kProbePorts);
-  const auto port = static_cast<uint16_t>(kFirstProbePort + probePort_);
+  probePortOffset_ = static_cast<uint16_t>((probePortOffset_ + 1) % kProbePorts);
+  const auto port = static_cast<uint16_t>(kFirstProbePort + probePortOffset_);
   const auto marker = routes_->startProbe(now, node, port, random_);
   if (!marker) {
     return;
@@ -263,8 +263,8 @@
   loop_.send(probeSocket_, plan_.nodes()[node].data, encodeSealed(packet));
 }
 
-void SoakWorld::toNode(size_t node, standins::SocketIndex socket, const std::string& zone,
-                       std::string_view packet) {
+void SoakWorld::sendToNode(size_t node, standins::SocketIndex socket, const std::string& zone,
+                           std::string_view packet) {
   const NodePlan& target = plan_.nodes()[node];
   const bool lost = faultsOver_ && sabotage_ == Sabotage::kNeverRecovers && drawShare(0.7);
   if (lost) {
@@ -276,7 +276,7 @@
   }
 }
 
-void SoakWorld::toCaller(size_t slot, const Endpoint& caller, const std::string& packet) {
+void SoakWorld::sendToCaller(size_t slot, const Endpoint& caller, const std::string& packet) {
   loop_.send(hostSockets_[slot], {caller.address, DeploymentPlan::kDataPort},
              sabotageToCaller(packet));
 }
@@ -318,11 +318,13 @@
   if (RouteTracker::isMarker(flow.service)) {
     routes_->onAccepted(now, flow.caller.port);
   }
-  const HostSlot& taken = fleet_->slots()[slot];
-  maximumOpenFlows_ = std::max(maximumOpenFlows_, taken.host->openFlowCount());
-  const bool late = taken.leavingSince && now > *taken.leavingSince + plan_.bounds().drain + kSlack;
+  const HostSlot& hostSlot = fleet_->slots()[slot];
+  maxOpenFlows_ = std::max(maxOpenFlows_, hostSlot.host->openFlowCount());
+  const bool late =
+      hostSlot.leavingSince && now > *hostSlot.leavingSince + plan_.bounds().drain + kSlack;
   if (late && allDisturbances_.isSettled(name, now) && allDisturbances_.isSettled("store", now)) {
-    promises_.broken(now, Promise::kNoFlowsOnLeavingHosts, name + " to " + taken.host->plan().id);
+    promises_.recordViolation(now, Promise::kNoFlowsOnLeavingHosts,
+                              name + " to " + hostSlot.host->plan().id);
   }
 }
 
@@ -353,18 +355,19 @@
   const TimePoint now = steadyNow();
   const auto holder = fleet_->holderOf(flow);
   if (!holder) {
-    return;  // Its host has ended.
+    return;  // The host of the flow has ended.
   }
   const std::string host = fleet_->slots()[*holder].host->plan().id;
   const std::string node = nodeNameOf(sender_);
   if (unplannedDisturbances_.isSettled(node, now) && unplannedDisturbances_.isSettled(host, now)) {
-    promises_.broken(now, Promise::kOpenFlowsStay, node + " reset a flow at " + host);
+    promises_.recordViolation(now, Promise::kOpenFlowsStay, node + " reset a flow at " + host);
   }
 }
 
-void SoakWorld::onEnded(const CallerRoute& route, TimePoint begunAt, bool served) {
-  loadWatch_.onEnded(steadyNow(), route.parts.front().first, route.name, begunAt, served);
-  const auto second = std::chrono::duration_cast<std::chrono::seconds>(begunAt - trafficSince_);
+void SoakWorld::onEnded(const CallerRoute& route, TimePoint startedAt, bool served) {
+  loadWatch_.onEnded(steadyNow(), route.services.front().first, route.name, startedAt, served);
+  const auto second =
+      std::chrono::duration_cast<std::chrono::seconds>(startedAt - trafficStartedAt_);
   SecondCounts& counts = seconds_[second.count()];
   ++counts.asked;
   counts.served += served ? 1 : 0;
--- a/test/soak/world/soak_world.h
+++ b/test/soak/world/soak_world.h
@@ -58,9 +58,9 @@
   HostFleet& hosts() { return *fleet_; }
   RouteTracker& routes() { return *routes_; }
   ViolationRecord& promises() { return promises_; }
-  /** All disturbances; unplannedDisturbances() has only the unplanned ones. */
+  /** @return all disturbances; unplannedDisturbances() has only the unplanned ones. */
   DisturbanceTracker& allDisturbances() { return allDisturbances_; }
-  LoadWatch& load() { return loadWatch_; }
+  LoadWatch& loadWatch() { return loadWatch_; }
   /** Starts or stops the extra callers, a multiple of the usual ones. */
   void setExtraCallers(bool active);
   DisturbanceTracker& unplannedDisturbances() { return unplannedDisturbances_; }
@@ -73,7 +73,7 @@
 
   CallerCounts totals() const;
   /** @return the maximum number of open flows of a host. */
-  size_t maximumOpenFlows() const { return maximumOpenFlows_; }
+  size_t maxOpenFlows() const { return maxOpenFlows_; }
   /** @return the maximum pause of the event loop, which stops all callers and hosts; caused by an
    * overloaded machine. */
   Duration longestPause() const { return longestPause_; }
@@ -93,7 +93,7 @@
   void openHostSockets();
   void makeCallers();
   void addCaller(uint32_t number);
-  HostHooks hooksOf(size_t slot);
+  HostHooks makeHostHooks(size_t slot);
   void onHostDatagram(size_t slot, const Endpoint& from, std::string_view bytes);
   void onCallerDatagram(size_t caller, const Endpoint& from, std::string_view bytes);
   void onProbeDatagram(std::string_view bytes);
@@ -101,11 +101,11 @@
   void onHostRun(size_t slot, const FlowName& flow, const Request& request);
   void onOpenFlowReset(const FlowName& flow);
   void onRejected(size_t slot, const Request& request);
-  void onEnded(const CallerRoute& route, TimePoint begunAt, bool served);
+  void onEnded(const CallerRoute& route, TimePoint startedAt, bool served);
   bool areAllSettled(TimePoint now) const;
-  void toNode(size_t node, standins::SocketIndex socket, const std::string& zone,
-              std::string_view packet);
-  void toCaller(size_t slot, const Endpoint& caller, const std::string& packet);
+  void sendToNode(size_t node, standins::SocketIndex socket, const std::string& zone,
+                  std::string_view packet);
+  void sendToCaller(size_t slot, const Endpoint& caller, const std::string& packet);
   void tick();
   void probe(TimePoint now);
   std::string nodeNameOf(const Endpoint& data) const;
@@ -118,6 +118,7 @@
   std::vector<size_t> redirectionTargets(size_t slot) const;
   std::string sabotageToCaller(const std::string& packet);
   void sendSystemReset(const EchoPacket& packet);
+  /** @return true with the probability `share`. */
   bool drawShare(double share) { return random_.unit() < share; }
 
   const DeploymentPlan& plan_;
@@ -139,19 +140,19 @@
   std::vector<standins::SocketIndex> hostSockets_;
   std::vector<CallerEntry> callers_;
   standins::SocketIndex probeSocket_ = 0;
-  uint16_t probePort_ = 0;
+  uint16_t probePortOffset_ = 0;
   TimePoint nextProbe_{};
   /** Sender of the datagram that a caller is processing. */
   Endpoint sender_;
   bool traffic_ = false;
   bool faultsOver_ = false;
-  size_t maximumOpenFlows_ = 0;
+  size_t maxOpenFlows_ = 0;
   std::optional<TimePoint> lastTick_;
   Duration longestPause_{0};
   WaitWatch pauses_;
-  TimePoint trafficSince_{};
+  TimePoint trafficStartedAt_{};
   std::map<int64_t, SecondCounts> seconds_;
-  /** Flows redirected by sabotage, with their slots. */
+  /** Flows redirected by sabotage, with the slots of the hosts that receive them. */
   std::map<FlowName, size_t> redirected_;
   std::atomic<bool> stop_{false};
   std::thread thread_;
--- a/test/soak/world/soak_world_sabotage.cc
+++ b/test/soak/world/soak_world_sabotage.cc
@@ -7,8 +7,8 @@
 
 constexpr size_t kIncarnationBytes = 8;
 constexpr unsigned kByteBits = 8;
-constexpr double kOften = 0.3;
-constexpr double kSeldom = 0.01;
+constexpr double kFrequentShare = 0.3;
+constexpr double kRareShare = 0.01;
 
 std::string withIncarnation(std::string_view bytes, uint64_t incarnation) {
   std::string changed(bytes);
@@ -32,15 +32,15 @@
       flowOfCaller(*packet).service == routes_->routes().back().listen) {
     return true;
   }
-  if (sabotage_ == Sabotage::kOldConfiguration && marker && drawShare(kOften)) {
+  if (sabotage_ == Sabotage::kOldConfiguration && marker && drawShare(kFrequentShare)) {
     sendSystemReset(*packet);
     return true;
   }
-  if (sabotage_ == Sabotage::kResetsFlows && !packet->has(kSyn) && drawShare(kSeldom)) {
+  if (sabotage_ == Sabotage::kResetsFlows && !packet->has(kSyn) && drawShare(kRareShare)) {
     sendSystemReset(*packet);
     return true;
   }
-  if (sabotage_ == Sabotage::kChangesPackets && !packet->data.empty() && drawShare(kSeldom)) {
+  if (sabotage_ == Sabotage::kChangesPackets && !packet->data.empty() && drawShare(kRareShare)) {
     std::string changed(bytes);
     changed.back() = static_cast<char>(changed.back() ^ 1);
     fleet_->slots()[slot].host->onDatagram(steadyNow(), from, changed);
@@ -52,7 +52,7 @@
 bool SoakWorld::redirect(size_t slot, const Endpoint& from, std::string_view bytes,
                          const EchoPacket& packet) {
   const FlowName flow = flowOfCaller(packet);
-  if (packet.has(kSyn) && !redirected_.contains(flow) && drawShare(kOften)) {
+  if (packet.has(kSyn) && !redirected_.contains(flow) && drawShare(kFrequentShare)) {
     const std::vector<size_t> targets = redirectionTargets(slot);
     if (!targets.empty()) {
       redirected_[flow] = targets[random_.below(targets.size())];
@@ -89,7 +89,7 @@
 std::string SoakWorld::sabotageToCaller(const std::string& bytes) {
   auto packet = decode(bytes);
   if (sabotage_ != Sabotage::kChangesAnswers || !packet || packet->data.empty() ||
-      !drawShare(kSeldom)) {
+      !drawShare(kRareShare)) {
     return bytes;
   }
   packet->data.back() = packet->data.back() == 'a' ? 'b' : 'a';
--- a/test/soak/world/stream_end.h
+++ b/test/soak/world/stream_end.h
@@ -31,6 +31,7 @@
   StreamEnd(const StreamAddresses& addresses, uint32_t nextSequence, uint32_t expected)
       : addresses_(addresses), nextSequence_(nextSequence), expected_(expected) {}
 
+  /** Queues bytes for sending. */
   void write(const std::string& bytes);
   /** Ends the stream after the written bytes. */
   void finish();
@@ -43,8 +44,8 @@
   bool isFinishedByOther() const { return finishedByOther_; }
   /** @return whether all written bytes and the end were acknowledged. */
   bool isDrained() const { return parts_.empty(); }
-  /** @return the number of transmissions of the oldest unacknowledged part. */
-  uint32_t tries() const { return parts_.empty() ? 0 : parts_.front().tries; }
+  /** @return the number of transmissions of the oldest unacknowledged part; 0 without one. */
+  uint32_t transmissions() const { return parts_.empty() ? 0 : parts_.front().transmissions; }
   /** @return the acknowledgement number of this end. */
   uint32_t acknowledged() const { return expected_; }
   void setEcho(uint32_t echo) { echo_ = echo; }
@@ -54,23 +55,23 @@
   struct Part {
     uint32_t sequence = 0;
     std::string data;
-    bool last = false;
-    uint32_t tries = 0;
-    TimePoint dueAt{};
-    Duration wait{0};
+    bool isLast = false;
+    uint32_t transmissions = 0;
+    TimePoint retransmitAt{};
+    Duration retransmissionTimeout{0};
 
-    uint32_t length() const { return static_cast<uint32_t>(data.size()) + (last ? 1 : 0); }
+    uint32_t length() const { return static_cast<uint32_t>(data.size()) + (isLast ? 1 : 0); }
   };
 
-  EchoPacket blank(uint8_t flags) const;
-  void takeAcknowledgement(uint32_t acknowledged);
+  EchoPacket emptyPacket(uint8_t flags) const;
+  void onAcknowledgement(uint32_t acknowledged);
 
   StreamAddresses addresses_;
   uint32_t nextSequence_;
   uint32_t expected_;
   uint32_t echo_ = 0;
   std::deque<Part> parts_;
-  std::map<uint32_t, EchoPacket> early_;
+  std::map<uint32_t, EchoPacket> outOfOrder_;
   bool finishedByOther_ = false;
 };
 
--- a/test/soak/world/wait_watch.h
+++ b/test/soak/world/wait_watch.h
@@ -17,7 +17,8 @@
 struct Wait {
   /** When it was detected: at its end or shortly after. */
   TimePoint at{};
-  std::string who;
+  /** Name of the node, or `soak`. */
+  std::string process;
   Duration length{0};
 };
 
@@ -26,25 +27,25 @@
  public:
   /** @param total cumulative wait time of the process since its start, as reported by the kernel.
    */
-  void onTotal(TimePoint now, const std::string& who, Duration total) {
-    const auto known = totals_.find(who);
+  void onTotal(TimePoint now, const std::string& process, Duration total) {
+    const auto known = totals_.find(process);
     // A decrease means that the process was replaced.
     const bool isNew = known == totals_.end() || total < known->second;
     const Duration waited = isNew ? total : total - known->second;
-    totals_[who] = total;
-    onWait(now, who, waited);
+    totals_[process] = total;
+    onWait(now, process, waited);
   }
-  void onWait(TimePoint now, const std::string& who, Duration length) {
-    if (length >= kLongWait && waits_.size() < kMaximumWaits) {
-      waits_.push_back({now, who, length});
+  void onWait(TimePoint now, const std::string& process, Duration length) {
+    if (length >= kMinRecordedWait && waits_.size() < kMaxWaits) {
+      waits_.push_back({now, process, length});
     }
   }
   const std::vector<Wait>& waits() const { return waits_; }
 
  private:
-  /** A quarter of the callers' retransmission timeout. */
-  static constexpr Duration kLongWait = std::chrono::milliseconds(50);
-  static constexpr size_t kMaximumWaits = 20000;
+  /** A quarter of the callers' initial retransmission timeout. */
+  static constexpr Duration kMinRecordedWait = std::chrono::milliseconds(50);
+  static constexpr size_t kMaxWaits = 20000;
 
   std::map<std::string, Duration> totals_;
   std::vector<Wait> waits_;
