--- a/test/platform/packet/echo_format_test.cc
+++ b/test/platform/packet/echo_format_test.cc
@@ -8,8 +8,8 @@
 
 std::string bytesOf(const std::string& hexadecimal) {
   std::string bytes;
-  for (size_t at = 0; at + 1 < hexadecimal.size(); at += 3) {
-    bytes.push_back(static_cast<char>(std::stoi(hexadecimal.substr(at, 2), nullptr, 16)));
+  for (size_t offset = 0; offset + 1 < hexadecimal.size(); offset += 3) {
+    bytes.push_back(static_cast<char>(std::stoi(hexadecimal.substr(offset, 2), nullptr, 16)));
   }
   return bytes;
 }
@@ -18,7 +18,7 @@
     "a1 b2 c3 d5 80 00 00 00 00 11 22 33 44 00 00 00 00 9c 41 01 bb 64 40 00 07 c6 12 00 01 00 00";
 const char* const kResetText =
     "00 00 00 00 04 00 00 00 00 00 00 00 00 00 00 00 00 01 bb 9c 41 c6 12 00 01 64 40 00 07 00 00";
-constexpr size_t kFlagsAt = 4;
+constexpr size_t kFlagsOffset = 4;
 
 }  // namespace
 
@@ -27,7 +27,7 @@
   std::string syn = bytesOf(kSynText);
   PacketPhase phaseWith(int flags) {
     std::string packet = syn;
-    packet[kFlagsAt] = static_cast<char>(flags);
+    packet[kFlagsOffset] = static_cast<char>(flags);
     return valueOf(format.parse(packet)).phase;
   }
 };
@@ -67,7 +67,7 @@
   longer[30] = 5;
   CHECK_TRUE(errorOf(format.parse(longer)) == DropReason::kTruncated);
   longer[30] = 0;
-  longer[kFlagsAt] = static_cast<char>(128 + 2);
+  longer[kFlagsOffset] = static_cast<char>(128 + 2);
   CHECK_TRUE(errorOf(format.parse(longer)) == DropReason::kMalformed);
 }
 
@@ -86,7 +86,7 @@
 TEST(EchoFormat, RefusesWithAResetNearTheCallersAcknowledgment) {
   CHECK_TRUE(bytesOf(kResetText) == valueOf(format.refusal(syn)));
   std::string later = syn;
-  later[kFlagsAt] = 2;
+  later[kFlagsOffset] = 2;
   later.replace(13, 4, bytesOf("00 01 02 03"));
   CHECK_TRUE(bytesOf("00 01 02 03") == valueOf(format.refusal(later)).substr(9, 4));
   CHECK_TRUE(errorOf(format.refusal(bytesOf(kResetText))) == RefusalError::kIsReset);
--- a/test/platform/packet/flow_log_test.cc
+++ b/test/platform/packet/flow_log_test.cc
@@ -21,7 +21,7 @@
 constexpr uint8_t kRst = 4;
 constexpr uint32_t kService = 0xC6120001;
 
-class KeepingSink : public google::LogSink {
+class RecordingSink : public google::LogSink {
  public:
   using google::LogSink::send;
   void send(google::LogSeverity /*severity*/, const char* /*fullFilename*/,
@@ -33,7 +33,7 @@
   std::vector<std::string> lines;
 };
 
-class NoOutput : public PacketOutput {
+class DiscardingOutput : public PacketOutput {
  public:
   void sendToHost(const Endpoint& /*host*/, std::string_view /*packet*/) override {}
   void sendToNode(const Endpoint& /*relay*/, std::string_view /*packet*/) override {}
@@ -73,10 +73,10 @@
 TEST_GROUP_BASE(FlowLog, test::WithoutLeakDetection) {
   RandomSource random{7};
   TokenDirector director{{"bole", seconds(60)}, random};
-  NoOutput output;
+  DiscardingOutput output;
   platform::EchoFormat format;
   PacketPath path{director, director, output, format};
-  KeepingSink sink;
+  RecordingSink sink;
   FlowLog log{&sink, format, "X-Request"};
   TimePoint now = kStart;
 
@@ -99,18 +99,18 @@
     path.onPacket(now, PacketSource::kFabric, packet);
   }
   /** @return the last line, or an empty string. */
-  std::string last() const {
+  std::string lastLine() const {
     return sink.lines.empty() ? "" : sink.lines.back();
   }
-  void checkLast(const std::string& expected) const {
-    STRCMP_EQUAL(expected.c_str(), last().c_str());
+  void checkLastLine(const std::string& expected) const {
+    STRCMP_EQUAL(expected.c_str(), lastLine().c_str());
   }
 };
 
 TEST(FlowLog, LogsTheReasonOfAPlacement) {
   now += milliseconds(1200);
   process(packetOf(kSyn, 0));
-  checkLast(
+  checkLastLine(
       "event=flow_placed flow=100.64.0.7:40001>198.18.0.1:8000 service=pickup pool=dispatch "
       "host=h-1 endpoint=10.128.0.1:8080 avoided=- zone=own leaves_zone=0 silent=0 vanished=0 "
       "slow=0 "
@@ -128,8 +128,8 @@
   decision.label = {"h-1", "dispatch"};
   decision.placement = &evidence;
   log.onDecided(now, packet, decision, bytes);
-  STRCMP_CONTAINS(" pool=dispatch ", last().c_str());
-  STRCMP_CONTAINS(" overflow_from=mapstore", last().c_str());
+  STRCMP_CONTAINS(" pool=dispatch ", lastLine().c_str());
+  STRCMP_CONTAINS(" overflow_from=mapstore", lastLine().c_str());
   LONGS_EQUAL(1, log.counters().overflowed.at({"mapstore", "dispatch"}));
 }
 
@@ -137,9 +137,9 @@
   const std::string bytes = packetOf(kSyn, 0);
   const ParsedPacket packet = valueOf(format.parse(bytes));
   for (int number = 0; number < 100; ++number) {
-    const std::string from = "p-" + std::to_string(number);
+    const std::string overflowedPool = "p-" + std::to_string(number);
     PlacementEvidence evidence;
-    evidence.overflowFrom = from;
+    evidence.overflowFrom = overflowedPool;
     ForwardToHost decision;
     decision.label = {"h-1", "dispatch"};
     decision.placement = &evidence;
@@ -153,15 +153,15 @@
   process(packetOf(kSyn, 0));
   now += milliseconds(200);
   process(packetOf(kSyn, 0));
-  STRCMP_CONTAINS("event=opening_repeated", last().c_str());
-  STRCMP_CONTAINS("host=h-2 endpoint=10.128.0.2:8080 avoided=h-1 zone=other", last().c_str());
+  STRCMP_CONTAINS("event=opening_repeated", lastLine().c_str());
+  STRCMP_CONTAINS("host=h-2 endpoint=10.128.0.2:8080 avoided=h-1 zone=other", lastLine().c_str());
   LONGS_EQUAL(1, log.counters().repeatedOpenings);
 }
 
 TEST(FlowLog, LogsARequestWithItsFlowAndHost) {
   const std::string request = "GET / HTTP/1.1\r\nX-Request: q-77\r\n\r\n";
   process(packetOf(kAck, flowTokenOf(2), request));
-  checkLast(
+  checkLastLine(
       "event=request request=q-77 flow=100.64.0.7:40001>198.18.0.1:8000 pool=dispatch host=h-2 "
       "endpoint=10.128.0.2:8080");
   process(packetOf(kAck, flowTokenOf(2)));
@@ -172,42 +172,42 @@
 TEST(FlowLog, LogsDropsAndHoldsWithReasonAndRequest) {
   const std::string request = "GET / HTTP/1.1\r\nX-Request: q-1\r\n\r\n";
   process(packetOf(kAck, 0, request));
-  checkLast(
+  checkLastLine(
       "event=packet_dropped reason=host_gone flow=100.64.0.7:40001>198.18.0.1:8000 "
       "phase=continuing token=0 request=q-1");
   process(packetOf(kAck, 12345, request));
-  checkLast(
+  checkLastLine(
       "event=packet_held reason=host_unknown flow=100.64.0.7:40001>198.18.0.1:8000 "
       "phase=continuing token=12345 request=q-1");
   process("short");
-  checkLast("event=packet_dropped reason=truncated bytes=5");
+  checkLastLine("event=packet_dropped reason=truncated bytes=5");
   path.setReady(false);
   process(packetOf(kSyn, 0));
-  checkLast(
+  checkLastLine(
       "event=packet_dropped reason=not_ready flow=100.64.0.7:40001>198.18.0.1:8000 phase=opening "
       "token=0 request=-");
 }
 
 TEST(FlowLog, LogsRefusalsWithTheirReason) {
   process(packetOf(kSyn, 0, "", 40001, 9));
-  checkLast(
+  checkLastLine(
       "event=flow_refused reason=unknown_service flow=100.64.0.7:40001>198.18.0.1:9 phase=opening "
       "request=-");
   setHosts({});
   now += seconds(2);
   process(packetOf(kSyn, 0));
-  STRCMP_CONTAINS("event=flow_refused reason=no_host", last().c_str());
+  STRCMP_CONTAINS("event=flow_refused reason=no_host", lastLine().c_str());
   HostSpec successor = makeHost(3, "bole");
   successor.endpoint = makeHost(1, "bole").endpoint;
   setHosts({successor});
   process(packetOf(kAck, flowTokenOf(1)));
-  STRCMP_CONTAINS("event=flow_refused reason=host_ended", last().c_str());
+  STRCMP_CONTAINS("event=flow_refused reason=host_ended", lastLine().c_str());
   LONGS_EQUAL(1, log.counters().refused[static_cast<size_t>(RefusalReason::kHostEnded)]);
 }
 
 TEST(FlowLog, LogsCallerResets) {
   process(packetOf(kRst, flowTokenOf(1)));
-  STRCMP_CONTAINS("event=caller_reset", last().c_str());
+  STRCMP_CONTAINS("event=caller_reset", lastLine().c_str());
   LONGS_EQUAL(1, log.counters().callerResets);
 }
 
@@ -220,22 +220,22 @@
   CHECK_TRUE(suppressed > 4000);
   // Failures have a separate budget.
   process(packetOf(kSyn, 0, "", 40001, 9));
-  STRCMP_CONTAINS("event=flow_refused", last().c_str());
+  STRCMP_CONTAINS("event=flow_refused", lastLine().c_str());
   now += seconds(1);
   process(packetOf(kSyn, 0, "", 6000));
-  const std::string before = sink.lines[sink.lines.size() - 2];
+  const std::string previousLine = sink.lines[sink.lines.size() - 2];
   STRCMP_EQUAL(
       ("event=lines_suppressed kind=placement count=" + std::to_string(suppressed)).c_str(),
-      before.c_str());
-  STRCMP_CONTAINS("event=flow_placed", last().c_str());
+      previousLine.c_str());
+  STRCMP_CONTAINS("event=flow_placed", lastLine().c_str());
 }
 
 TEST(FlowLog, CountsWithoutASink) {
-  FlowLog silent(nullptr, format, "X-Request");
-  path.setObserver(&silent);
+  FlowLog logWithoutSink(nullptr, format, "X-Request");
+  path.setObserver(&logWithoutSink);
   process(packetOf(kSyn, 0));
   LONGS_EQUAL(0, sink.lines.size());
-  LONGS_EQUAL(1, silent.counters().openedByPool.at("dispatch").ownZone);
+  LONGS_EQUAL(1, logWithoutSink.counters().openedByPool.at("dispatch").ownZone);
 }
 
 }  // namespace umberhold
--- a/test/platform/store/edge_node_test.cc
+++ b/test/platform/store/edge_node_test.cc
@@ -35,7 +35,7 @@
 constexpr uint8_t kSyn = 128;
 constexpr uint8_t kAck = 2;
 constexpr size_t kIncarnationBytes = 8;
-constexpr size_t kFlagsAt = 4;
+constexpr size_t kFlagsOffset = 4;
 constexpr Duration kTimeout = seconds(20);
 
 void put(std::string& packet, size_t offset, uint64_t value, size_t bytes) {
@@ -80,9 +80,9 @@
   std::thread thread;
   Endpoint readiness;
   /** Settings that the node reads on a reload. */
-  std::atomic<bool> settingsAreFaulty{false};
+  std::atomic<bool> settingsAreInvalid{false};
 
-  TokenNodeSettings settingsOf() const {
+  TokenNodeSettings makeSettings() const {
     TokenNodeSettings settings;
     settings.zone = "bole";
     settings.region = "addis";
@@ -94,14 +94,14 @@
     settings.lingerMilliseconds = 1500;
     return settings;
   }
-  TokenNodeHooks hooksOf() {
+  TokenNodeHooks makeHooks() {
     TokenNodeHooks hooks;
     hooks.storeStatus = [this] { return adapter->status(); };
     hooks.readSettings = [this]() -> Result<TokenNodeSettings, SettingsError> {
-      if (settingsAreFaulty) {
+      if (settingsAreInvalid) {
         return SettingsError{SettingsErrorCode::kMissingKey, "zone", 0, "must be set"};
       }
-      TokenNodeSettings changed = settingsOf();
+      TokenNodeSettings changed = makeSettings();
       changed.lingerMilliseconds = 1;
       return changed;
     };
@@ -113,9 +113,9 @@
     options.address = store->address();
     options.region = "addis";
     adapter = std::make_unique<ObjectStoreAdapter>(options);
-    TokenNodeHooks hooks = hooksOf();
+    TokenNodeHooks hooks = makeHooks();
     hooks.log = log;
-    node = std::move(valueOf(TokenNode::create(settingsOf(), format, *adapter, hooks)));
+    node = std::move(valueOf(TokenNode::create(makeSettings(), format, *adapter, hooks)));
     readiness = node->readiness();
     thread = std::thread([this] { node->run(); });
   }
@@ -143,7 +143,7 @@
     std::string body;
   };
 
-  static Answer ask(const Endpoint& port, const std::string& path) {
+  static Answer httpGet(const Endpoint& port, const std::string& path) {
     Poco::Net::HTTPClientSession session(addressToString(port.address), port.port);
     Poco::Net::HTTPRequest request("GET", path, "HTTP/1.1");
     session.sendRequest(request);
@@ -154,13 +154,13 @@
     return answer;
   }
   /** @return the HTTP status of a readiness request. */
-  int askReadiness(const std::string& path = "/api/readiness") const {
-    return ask(readiness, path).status;
+  int readinessStatus(const std::string& path = "/api/readiness") const {
+    return httpGet(readiness, path).status;
   }
   bool awaitMetric(const std::string& line) const {
     const TimePoint deadline = steadyNow() + kTimeout;
     while (steadyNow() < deadline) {
-      if (ask(node->metrics(), "/metrics").body.find("\n" + line + "\n") != std::string::npos) {
+      if (httpGet(node->metrics(), "/metrics").body.find("\n" + line + "\n") != std::string::npos) {
         return true;
       }
       std::this_thread::sleep_for(milliseconds(10));
@@ -169,19 +169,19 @@
   }
   bool awaitReadiness(int status) const {
     const TimePoint deadline = steadyNow() + kTimeout;
-    while (askReadiness() != status && steadyNow() < deadline) {
+    while (readinessStatus() != status && steadyNow() < deadline) {
       std::this_thread::sleep_for(milliseconds(10));
     }
-    return askReadiness() == status;
+    return readinessStatus() == status;
   }
-  static std::optional<std::string> take(UdpPort & port) {
-    std::optional<std::string> taken;
+  static std::optional<std::string> receivePacket(UdpPort & port) {
+    std::optional<std::string> received;
     const TimePoint deadline = steadyNow() + kTimeout;
-    while (!taken && steadyNow() < deadline) {
-      port.receive([&](const Endpoint&, std::string_view bytes) { taken = std::string(bytes); });
+    while (!received && steadyNow() < deadline) {
+      port.receive([&](const Endpoint&, std::string_view bytes) { received = std::string(bytes); });
       std::this_thread::sleep_for(milliseconds(1));
     }
-    return taken;
+    return received;
   }
   /**
    * Sends a packet through the node.
@@ -189,13 +189,13 @@
    */
   std::string forward(const std::string& packet) {
     caller->send(node->data(), packet);
-    return take(*host).value_or("");
+    return receivePacket(*host).value_or("");
   }
 };
 
 TEST(EdgeNode, IsReadyOnceConfigurationAndHostsAreEffectiveAndForwardsAFlow) {
-  CHECK_EQUAL(503, askReadiness());
-  CHECK_EQUAL(404, askReadiness("/other"));
+  CHECK_EQUAL(503, readinessStatus());
+  CHECK_EQUAL(404, readinessStatus("/other"));
   configure();
   CHECK_TRUE(awaitReadiness(200));
   const uint32_t token = flowTokenOf(kIncarnation);
@@ -216,15 +216,15 @@
 TEST(EdgeNode, SendsTheRefusalOfAFlowWithoutAServiceToTheCaller) {
   configure();
   CHECK_TRUE(awaitReadiness(200));
-  const Endpoint answers{0x7F000002, node->data().port};
-  const auto listener = UdpPort::open(answers);
+  const Endpoint callerAddress{0x7F000002, node->data().port};
+  const auto listener = UdpPort::open(callerAddress);
   CHECK_TRUE(isOk(listener));
   std::string packet = packetOf(kSyn, 0, 9);
-  put(packet, 21, answers.address, 4);
+  put(packet, 21, callerAddress.address, 4);
   caller->send(node->data(), packet);
-  const std::string reset = take(*valueOf(listener)).value_or("");
+  const std::string reset = receivePacket(*valueOf(listener)).value_or("");
   LONGS_EQUAL(31, reset.size());
-  LONGS_EQUAL(4, reset[kFlagsAt]);
+  LONGS_EQUAL(4, reset[kFlagsOffset]);
 }
 
 TEST(EdgeNode, ExposesMetricsAtTheMetricsPath) {
@@ -232,7 +232,7 @@
   CHECK_TRUE(awaitReadiness(200));
   forward(packetOf(kSyn, 0));
   CHECK_TRUE(awaitMetric(R"(umberhold_opened_flows_total{pool="s-one",zone="own"} 1)"));
-  const Answer answer = ask(node->metrics(), "/metrics?at=now");
+  const Answer answer = httpGet(node->metrics(), "/metrics?at=now");
   CHECK_EQUAL(200, answer.status);
   for (const char* line :
        {"umberhold_ready 1", "umberhold_config_version 3", "umberhold_hosts 1",
@@ -240,44 +240,44 @@
         R"(umberhold_store_calls_total{outcome="failed"} 0)", "umberhold_store_failing 0"}) {
     STRCMP_CONTAINS(line, answer.body.c_str());
   }
-  CHECK_EQUAL(404, ask(node->metrics(), "/other").status);
-  CHECK_EQUAL(404, ask(node->metrics(), "/").status);
+  CHECK_EQUAL(404, httpGet(node->metrics(), "/other").status);
+  CHECK_EQUAL(404, httpGet(node->metrics(), "/").status);
 }
 
 TEST(EdgeNode, AppliesReloadableSettingsAndRejectsInvalidOnes) {
   configure();
   CHECK_TRUE(awaitReadiness(200));
-  settingsAreFaulty = true;
+  settingsAreInvalid = true;
   node->reload();
   CHECK_TRUE(awaitMetric(R"(umberhold_settings_reloads_total{result="refused"} 1)"));
-  settingsAreFaulty = false;
+  settingsAreInvalid = false;
   node->reload();
   CHECK_TRUE(awaitMetric(R"(umberhold_settings_reloads_total{result="taken"} 1)"));
-  CHECK_EQUAL(200, askReadiness());
+  CHECK_EQUAL(200, readinessStatus());
 }
 
 /** After an outage of the store, a running host may be without an entry for a while. */
 TEST(EdgeNode, ForwardsAFlowWhoseHostRegistersAfterItsPacketArrived) {
   configure();
   CHECK_TRUE(awaitReadiness(200));
-  const auto later = UdpPort::open(kAnyPort);
-  CHECK_TRUE(isOk(later));
+  const auto laterHost = UdpPort::open(kAnyPort);
+  CHECK_TRUE(isOk(laterHost));
   const uint32_t token = flowTokenOf(0xABCD);
   caller->send(node->data(), packetOf(kAck, token));
   CHECK_TRUE(awaitMetric(R"(umberhold_packets_total{decision="held"} 1)"));
-  store->objects().set("servers", "i-abcd", hostEntry(valueOf(later)->local()));
-  const std::string got = take(*valueOf(later)).value_or("");
-  CHECK_TRUE(!got.empty() && got.substr(kIncarnationBytes) == packetOf(kAck, token));
+  store->objects().set("servers", "i-abcd", hostEntry(valueOf(laterHost)->local()));
+  const std::string received = receivePacket(*valueOf(laterHost)).value_or("");
+  CHECK_TRUE(!received.empty() && received.substr(kIncarnationBytes) == packetOf(kAck, token));
 }
 
 /**
- * A host with two slots has eight openings in progress. The ninth waits until one of them, whose
- * caller does not continue, is no longer counted.
+ * A host with two slots may have eight openings in progress. The node holds the ninth until one of
+ * the eight, whose callers send nothing further, is no longer counted.
  */
 TEST(EdgeNode, HoldsAnOpeningUntilTheHostHasCapacity) {
   configure();
   CHECK_TRUE(awaitReadiness(200));
-  const TimePoint begin = steadyNow();
+  const TimePoint startedAt = steadyNow();
   for (uint16_t flow = 0; flow < 9; ++flow) {
     std::string packet = packetOf(kSyn, 0);
     put(packet, 17, kCallerPort + flow, 2);
@@ -286,15 +286,15 @@
       caller->send(node->data(), packet);
     }
   }
-  CHECK_TRUE(take(*host).has_value());
-  CHECK_TRUE(steadyNow() - begin >= milliseconds(150));
+  CHECK_TRUE(receivePacket(*host).has_value());
+  CHECK_TRUE(steadyNow() - startedAt >= milliseconds(150));
 }
 
 /** The log's pipe is full and not being read; packets and requests must still be answered. */
 TEST(EdgeNode, KeepsForwardingWhileItsLogIsNotRead) {
-  std::array<int, 2> ends{-1, -1};
-  LONGS_EQUAL(0, ::pipe(ends.data()));
-  StructuredLog log("edge_node_test", ends[1]);
+  std::array<int, 2> pipeEnds{-1, -1};
+  LONGS_EQUAL(0, ::pipe(pipeEnds.data()));
+  StructuredLog log("edge_node_test", pipeEnds[1]);
   stopNode();
   startNode(&log);
   configure();
@@ -303,14 +303,14 @@
   while (log.output().counters().dropped == 0) {
     LOG(INFO) << "event=filler text=" << filler;
   }
-  const uint64_t lost = log.output().counters().dropped;
+  const uint64_t droppedBefore = log.output().counters().dropped;
   for (int packet = 0; packet < 50; ++packet) {
     CHECK_FALSE(forward(packetOf(kSyn, 0)).empty());
   }
-  CHECK_EQUAL(200, askReadiness());
-  CHECK_TRUE(log.output().counters().dropped > lost);
+  CHECK_EQUAL(200, readinessStatus());
+  CHECK_TRUE(log.output().counters().dropped > droppedBefore);
   stopNode();
   startNode(nullptr);
-  ::close(ends[0]);
-  ::close(ends[1]);
+  ::close(pipeEnds[0]);
+  ::close(pipeEnds[1]);
 }
--- a/test/platform/store/object_store_adapter_test.cc
+++ b/test/platform/store/object_store_adapter_test.cc
@@ -33,7 +33,7 @@
          R"(","max_connections":2000}],"limits":{"idle_timeout_ms":15000}})";
 }
 
-std::string host(const std::string& address, const std::string& state = "ready") {
+std::string makeHostEntry(const std::string& address, const std::string& state = "ready") {
   return R"({"service":"s-one","address":")" + address +
          R"(","zone":"bole","version":"v1","slots":2,"state":")" + state +
          R"(","cold_remaining_ms":0,"sequence":1})";
@@ -44,7 +44,7 @@
 TEST_GROUP_BASE(ObjectStoreAdapter, test::WithoutLeakDetection) {
   std::unique_ptr<test::StandinStore> store = std::make_unique<test::StandinStore>(3);
   std::unique_ptr<ObjectStoreAdapter> adapter;
-  uint64_t seen = 0;
+  uint64_t appliedVersion = 0;
   /** Keeps probes from affecting the call counts of tests that are not about probes. */
   Duration livenessInterval = std::chrono::hours(1);
   Duration maxWatchDuration = seconds(2);
@@ -55,29 +55,29 @@
 
   /** Options with intervals that are short enough for a test. */
   ObjectStoreOptions options() {
-    ObjectStoreOptions made;
-    made.address = store->address();
-    made.region = "addis";
-    made.follower.maxWatchDuration = maxWatchDuration;
-    made.follower.changeBatchDelay = changeBatchDelay;
-    made.follower.retry = {milliseconds(10), milliseconds(50)};
-    made.follower.retryBudget = {10, milliseconds(50)};
-    made.limits.connect = milliseconds(500);
-    made.limits.answer = answerLimit;
-    made.presence.vanishedGrace = milliseconds(400);
-    made.presence.outageGrace = milliseconds(400);
-    made.peerTimeout = milliseconds(300);
-    made.liveness.first = livenessInterval;
-    made.liveness.interval = livenessInterval;
-    made.liveness.intervalAfterMiss = milliseconds(20);
-    made.probeTimeout = milliseconds(200);
-    return made;
+    ObjectStoreOptions result;
+    result.address = store->address();
+    result.region = "addis";
+    result.follower.maxWatchDuration = maxWatchDuration;
+    result.follower.changeBatchDelay = changeBatchDelay;
+    result.follower.retry = {milliseconds(10), milliseconds(50)};
+    result.follower.retryBudget = {10, milliseconds(50)};
+    result.limits.connect = milliseconds(500);
+    result.limits.answer = answerLimit;
+    result.presence.vanishedGrace = milliseconds(400);
+    result.presence.outageGrace = milliseconds(400);
+    result.peerTimeout = milliseconds(300);
+    result.liveness.first = livenessInterval;
+    result.liveness.interval = livenessInterval;
+    result.liveness.intervalAfterMiss = milliseconds(20);
+    result.probeTimeout = milliseconds(200);
+    return result;
   }
   void setHost(int index, const std::string& state = "ready") {
     store->objects().set("servers", "i-" + std::to_string(index),
-                         host("10.0.0." + std::to_string(index) + ":80", state));
+                         makeHostEntry("10.0.0." + std::to_string(index) + ":80", state));
   }
-  void setUp(int hosts) {
+  void storeConfigurationAndHosts(int hosts) {
     store->objects().set("config", "main", configuration(3, "s-one"));
     for (int index = 1; index <= hosts; ++index) {
       setHost(index);
@@ -89,19 +89,19 @@
   }
   void awaitList() {
     auto listed = adapter->list();
-    for (int tries = 0; tries < 20 && !isOk(listed); ++tries) {
+    for (int attempts = 0; attempts < 20 && !isOk(listed); ++attempts) {
       listed = adapter->list();
     }
     CHECK_TRUE(isOk(listed));
-    take(valueOf(listed));
+    applyChanges(valueOf(listed));
   }
-  void take(const CatalogChanges& news) {
-    seen = news.version;
-    for (const CatalogChange& change : news.changes) {
+  void applyChanges(const CatalogChanges& update) {
+    appliedVersion = update.version;
+    for (const CatalogChange& change : update.changes) {
       if (const auto* pool = std::get_if<HostPool>(&change)) {
         pools[pool->name] = *pool;
-      } else if (const auto* gone = std::get_if<DeletedObject>(&change)) {
-        services.erase(gone->name);
+      } else if (const auto* deleted = std::get_if<DeletedObject>(&change)) {
+        services.erase(deleted->name);
       } else {
         services[std::get<Service>(change).name] = std::get<Service>(change);
       }
@@ -115,35 +115,35 @@
   bool follow(const Condition& condition, Duration timeout = seconds(10)) {
     const TimePoint deadline = steadyNow() + timeout;
     while (!condition() && steadyNow() < deadline) {
-      const auto batch = adapter->watch(seen, milliseconds(100));
+      const auto batch = adapter->watch(appliedVersion, milliseconds(100));
       CHECK_TRUE(isOk(batch));
-      take(valueOf(batch));
+      applyChanges(valueOf(batch));
     }
     return condition();
   }
-  size_t active() {
-    size_t found = 0;
+  size_t activeHosts() {
+    size_t count = 0;
     for (const HostSpec& spec : pools["s-one"].hosts) {
-      found += spec.state == HostState::kActive ? 1 : 0;
+      count += spec.state == HostState::kActive ? 1 : 0;
     }
-    return found;
+    return count;
   }
   bool followToActive(size_t count) {
-    return follow([this, count] { return active() == count; });
+    return follow([this, count] { return activeHosts() == count; });
   }
   void setResponseMode(test::StoreResponseMode mode) {
     test::StandinFaults faults;
     faults.responseMode = mode;
     store->setFaults(faults);
   }
-  /** Simulates an outage that the adapter detects, after which the store has lost all hosts. */
-  void outage(test::StoreResponseMode mode) {
+  /** Simulates an outage that the adapter detects and during which the store loses all hosts. */
+  void simulateOutage(test::StoreResponseMode mode) {
     setResponseMode(mode);
     for (int index = 1; index <= 4; ++index) {
       store->objects().remove("servers", "i-" + std::to_string(index), 0);
     }
     CHECK_TRUE(follow([this] { return adapter->status().failing; }));
-    LONGS_EQUAL(4, active());
+    LONGS_EQUAL(4, activeHosts());
     setResponseMode(test::StoreResponseMode::kAnswering);
   }
 
@@ -152,20 +152,20 @@
    * further data.
    * @return the time from the end of the outage until everything is known.
    */
-  Duration timeToStartAfterSilence(Duration silence) {
+  Duration timeToStartAfterOutage(Duration outageDuration) {
     answerLimit = seconds(30);
-    setUp(4);
+    storeConfigurationAndHosts(4);
     test::StandinFaults faults;
     faults.responseMode = test::StoreResponseMode::kSilent;
     faults.staysSilent = true;
     store->setFaults(faults);
     adapter = std::make_unique<ObjectStoreAdapter>(options());
-    std::this_thread::sleep_for(silence);
+    std::this_thread::sleep_for(outageDuration);
     store->setFaults({});
-    const TimePoint returned = steadyNow();
+    const TimePoint restoredAt = steadyNow();
     awaitList();
-    LONGS_EQUAL(4, active());
-    return steadyNow() - returned;
+    LONGS_EQUAL(4, activeHosts());
+    return steadyNow() - restoredAt;
   }
 
   void teardown() override {
@@ -175,9 +175,9 @@
 };
 
 TEST(ObjectStoreAdapter, ListsSeveralPagesAndThenWatchesOverTwoConnections) {
-  setUp(8);
+  storeConfigurationAndHosts(8);
   start();
-  LONGS_EQUAL(8, active());
+  LONGS_EQUAL(8, activeHosts());
   LONGS_EQUAL(1, services.count("r-0"));
   setHost(9);
   CHECK_TRUE(followToActive(9));
@@ -190,7 +190,7 @@
 
 TEST(ObjectStoreAdapter, AppliesRegistrationsAfterAStartOrAnOutageWithoutBatchDelay) {
   changeBatchDelay = seconds(60);
-  setUp(4);
+  storeConfigurationAndHosts(4);
   start();
   setHost(5);
   CHECK_TRUE(followToActive(5));
@@ -211,7 +211,7 @@
  */
 TEST(ObjectStoreAdapter, ALostHistoryRenewsTheWatchesOfBothKinds) {
   maxWatchDuration = seconds(60);
-  setUp(4);
+  storeConfigurationAndHosts(4);
   start();
   setHost(5);
   CHECK_TRUE(followToActive(5));
@@ -234,7 +234,7 @@
  */
 TEST(ObjectStoreAdapter, RenewsAWatchThatFollowsAFailedOne) {
   maxWatchDuration = seconds(60);
-  setUp(4);
+  storeConfigurationAndHosts(4);
   start();
   setHost(5);
   CHECK_TRUE(followToActive(5));
@@ -254,7 +254,7 @@
 }
 
 TEST(ObjectStoreAdapter, AConfigurationAloneEndsAPendingWatch) {
-  setUp(1);
+  storeConfigurationAndHosts(1);
   start();
   std::thread writer([this] {
     std::this_thread::sleep_for(milliseconds(100));
@@ -262,7 +262,7 @@
     std::this_thread::sleep_for(seconds(1));
     setHost(2);
   });
-  const auto batch = adapter->watch(seen, seconds(20));
+  const auto batch = adapter->watch(appliedVersion, seconds(20));
   writer.join();
   CHECK_TRUE(isOk(batch));
   // If the call had returned only because the host changed, the host's pool would be included.
@@ -271,25 +271,25 @@
 }
 
 TEST(ObjectStoreAdapter, IsUnavailableUntilThereIsAConfiguration) {
-  ObjectStoreOptions impatient = options();
-  impatient.firstListTimeout = milliseconds(50);
-  adapter = std::make_unique<ObjectStoreAdapter>(impatient);
+  ObjectStoreOptions shortTimeoutOptions = options();
+  shortTimeoutOptions.firstListTimeout = milliseconds(50);
+  adapter = std::make_unique<ObjectStoreAdapter>(shortTimeoutOptions);
   CHECK_TRUE(errorOf(adapter->list()).code == StoreErrorCode::kUnavailable);
-  setUp(1);
+  storeConfigurationAndHosts(1);
   CHECK_TRUE(follow([this] { return isOk(adapter->list()); }));
 }
 
 TEST(ObjectStoreAdapter, CatchesUpFromAStaleList) {
-  setUp(4);
+  storeConfigurationAndHosts(4);
   store->objects().freezeStaleReads();
   setHost(4, "draining");
   store->objects().set("config", "main", configuration(5, "s-one", 3));
   start();
-  CHECK_TRUE(follow([this] { return services.size() == 3 && active() == 3; }));
+  CHECK_TRUE(follow([this] { return services.size() == 3 && activeHosts() == 3; }));
 }
 
 TEST(ObjectStoreAdapter, RevertsNothingWhenTheHistoryIsLost) {
-  setUp(8);
+  storeConfigurationAndHosts(8);
   start();
   store->objects().freezeStaleReads();
   setResponseMode(test::StoreResponseMode::kBusy);
@@ -299,25 +299,25 @@
   store->objects().forgetHistory();
   setResponseMode(test::StoreResponseMode::kAnswering);
   CHECK_TRUE(follow([this] {
-    return services.size() == 2 && active() == 8 && pools["s-one"].hosts.size() == 9;
+    return services.size() == 2 && activeHosts() == 8 && pools["s-one"].hosts.size() == 9;
   }));
   CHECK_TRUE(store->calls().lists > 0);
 }
 
 TEST(ObjectStoreAdapter, KeepsHostsLostByABusyStoreActiveUntilTheyRegisterAgain) {
-  setUp(4);
+  storeConfigurationAndHosts(4);
   start();
-  outage(test::StoreResponseMode::kBusy);
+  simulateOutage(test::StoreResponseMode::kBusy);
   for (int index = 1; index <= 4; ++index) {
     setHost(index);
   }
-  CHECK_FALSE(follow([this] { return active() < 4; }, seconds(2)));
+  CHECK_FALSE(follow([this] { return activeHosts() < 4; }, seconds(2)));
 }
 
 TEST(ObjectStoreAdapter, DrainsHostsThatDoNotRegisterAgainAfterAnOutage) {
-  setUp(4);
+  storeConfigurationAndHosts(4);
   start();
-  outage(test::StoreResponseMode::kSilent);
+  simulateOutage(test::StoreResponseMode::kSilent);
   setHost(1);
   setHost(2);
   CHECK_TRUE(followToActive(2));
@@ -325,7 +325,7 @@
 }
 
 TEST(ObjectStoreAdapter, OpensNewConnectionsAfterResets) {
-  setUp(4);
+  storeConfigurationAndHosts(4);
   start();
   const uint64_t connections = store->calls().connections;
   setResponseMode(test::StoreResponseMode::kReset);
@@ -340,7 +340,7 @@
 TEST(ObjectStoreAdapter, ReissuesWatchesThatAnUnresponsiveStoreNeverAnswers) {
   livenessInterval = milliseconds(50);
   maxWatchDuration = seconds(60);
-  setUp(4);
+  storeConfigurationAndHosts(4);
   start();
   test::StandinFaults faults;
   faults.responseMode = test::StoreResponseMode::kSilent;
@@ -349,9 +349,9 @@
   setHost(4, "draining");
   store->objects().set("config", "main", configuration(4, "s-one", 2));
   CHECK_TRUE(follow([this] { return adapter->status().failing; }));
-  LONGS_EQUAL(4, active());
+  LONGS_EQUAL(4, activeHosts());
   store->setFaults({});
-  CHECK_TRUE(follow([this] { return active() == 3 && services.size() == 2; }));
+  CHECK_TRUE(follow([this] { return activeHosts() == 3 && services.size() == 2; }));
   CHECK_FALSE(adapter->status().failing);
   LONGS_EQUAL(0, adapter->status().failures);
 }
@@ -362,7 +362,7 @@
  */
 TEST(ObjectStoreAdapter, ReissuesAFirstListThatAnUnresponsiveStoreNeverAnswers) {
   livenessInterval = milliseconds(50);
-  CHECK_TRUE(timeToStartAfterSilence(milliseconds(700)) < seconds(2));
+  CHECK_TRUE(timeToStartAfterOutage(milliseconds(700)) < seconds(2));
 }
 
 /**
@@ -371,11 +371,12 @@
  */
 TEST(ObjectStoreAdapter, ReissuesAFirstListLostBetweenTwoAnsweredProbes) {
   livenessInterval = milliseconds(700);
-  CHECK_TRUE(timeToStartAfterSilence(milliseconds(200)) < seconds(5));
+  CHECK_TRUE(timeToStartAfterOutage(milliseconds(200)) < seconds(5));
 }
 
 /**
- * The peer uses another store with the same objects: nodes answer each other in the store's form.
+ * A node answers peers once it knows both kinds of objects, with the configuration encoded in the
+ * form of the store's answers.
  */
 TEST(ObjectStoreAdapter, AnswersPeersOnceItKnowsBothKinds) {
   setResponseMode(test::StoreResponseMode::kReset);
@@ -386,18 +387,18 @@
   CHECK_FALSE(adapter->answerPeer("/other").has_value());
   adapter.reset();
   setResponseMode(test::StoreResponseMode::kAnswering);
-  setUp(3);
+  storeConfigurationAndHosts(3);
   setHost(2, "draining");
   start();
-  PeerChanges held;
+  PeerChanges peerState;
   const TimePoint deadline = steadyNow() + seconds(10);
-  while (!held.offersCopy() && steadyNow() < deadline) {
-    held = valueOf(decodePeerChanges(adapter->answerPeer(kPeerHeldPath)->body));
+  while (!peerState.offersCopy() && steadyNow() < deadline) {
+    peerState = valueOf(decodePeerChanges(adapter->answerPeer(kPeerHeldPath)->body));
     std::this_thread::sleep_for(milliseconds(5));
   }
-  LONGS_EQUAL(1, held.copy.parts);
-  const auto part =
-      decodeHostCopyPart(adapter->answerPeer(pathOf(HostCopyRequest{held.copy.version, 0}))->body);
+  LONGS_EQUAL(1, peerState.copy.parts);
+  const auto part = decodeHostCopyPart(
+      adapter->answerPeer(pathOf(HostCopyRequest{peerState.copy.version, 0}))->body);
   LONGS_EQUAL(3, valueOf(part).hosts.size());
   const HostEvent& second = valueOf(part).hosts[1];
   STRCMP_EQUAL("i-2", second.host.name.c_str());
@@ -422,10 +423,10 @@
 TEST(ObjectStoreAdapter, TranslatesAListOnceAndNotPerPage) {
   constexpr int kHosts = 30;
   constexpr uint64_t kPages = 10;
-  setUp(kHosts);
+  storeConfigurationAndHosts(kHosts);
   start();
   CHECK_TRUE(followToActive(kHosts));
-  const uint64_t before = seen;
+  const uint64_t before = appliedVersion;
   setResponseMode(test::StoreResponseMode::kBusy);
   for (int index = 1; index <= kHosts; ++index) {
     setHost(index, "draining");
@@ -434,19 +435,19 @@
   setResponseMode(test::StoreResponseMode::kAnswering);
   CHECK_TRUE(followToActive(0));
   // Each page changes the pool, so translating it per page would create a version for each page.
-  CHECK_TRUE(seen - before < kPages / 2);
+  CHECK_TRUE(appliedVersion - before < kPages / 2);
 }
 
 /** The rate limit is 0 at first, so that no call can pass at the boundary of a second. */
 TEST(ObjectStoreAdapter, RetriesCallsBeyondTheRateLimit) {
-  setUp(2);
+  storeConfigurationAndHosts(2);
   test::StandinFaults faults;
   faults.readsPerSecond = 0;
   store->setFaults(faults);
   start();
   setHost(3);
   CHECK_TRUE(follow([this] { return adapter->status().failures > 2; }));
-  LONGS_EQUAL(2, active());
+  LONGS_EQUAL(2, activeHosts());
   store->setFaults({});
   CHECK_TRUE(followToActive(3));
 }
@@ -455,7 +456,7 @@
   test::StandinFaults faults;
   faults.slow = milliseconds(200);
   store->setFaults(faults);
-  setUp(2);
+  storeConfigurationAndHosts(2);
   start();
   setHost(3);
   CHECK_TRUE(followToActive(3));
@@ -463,7 +464,7 @@
 }
 
 TEST(ObjectStoreAdapter, KeepsTheLastReadableVersionOfAnObject) {
-  setUp(2);
+  storeConfigurationAndHosts(2);
   start();
   store->objects().set("config", "main", R"({"version":9,"routes":"none"})");
   store->objects().set("servers", "i-2", R"({"service":7})");
@@ -474,11 +475,11 @@
 }
 
 TEST(ObjectStoreAdapter, EndsPendingCallsWhenStopped) {
-  setUp(1);
+  storeConfigurationAndHosts(1);
   start();
   adapter->stop();
-  const auto batch = adapter->watch(seen, std::chrono::hours(1));
+  const auto batch = adapter->watch(appliedVersion, std::chrono::hours(1));
   CHECK_TRUE(isOk(batch));
-  LONGS_EQUAL(seen, valueOf(batch).version);
+  LONGS_EQUAL(appliedVersion, valueOf(batch).version);
   CHECK_TRUE(valueOf(batch).changes.empty());
 }
--- a/test/platform/store/object_translation_test.cc
+++ b/test/platform/store/object_translation_test.cc
@@ -143,16 +143,16 @@
 
 TEST(TranslatedObjects, IgnoresHostsOfUnconfiguredServices) {
   CHECK_TRUE(objects.setConfiguration(12, sampleConfiguration()));
-  HostPool foreign = pool();
-  foreign.name = "s-nobody";
+  HostPool unconfiguredPool = pool();
+  unconfiguredPool.name = "s-nobody";
   const uint64_t before = objects.version();
-  objects.setPools({foreign});
+  objects.setPools({unconfiguredPool});
   LONGS_EQUAL(before, objects.version());
   Configuration later = sampleConfiguration();
   later.connectionLimits["s-nobody"] = 7;
   CHECK_TRUE(objects.setConfiguration(13, later));
-  const auto news = objects.changesSince(before);
-  CHECK_TRUE(news && std::holds_alternative<HostPool>(news->changes.at(0)));
+  const auto update = objects.changesSince(before);
+  CHECK_TRUE(update && std::holds_alternative<HostPool>(update->changes.at(0)));
 }
 
 TEST(TranslatedObjects, ReportsOnlyChanges) {
@@ -195,30 +195,30 @@
  * A log of the states of a large pool would grow by the whole pool with each change of one host.
  */
 TEST(TranslatedObjects, KeepsTheLatestStateOfAPoolHoweverOftenItChanges) {
-  constexpr int kMany = 5000;
+  constexpr int kChangeCount = 5000;
   CHECK_TRUE(objects.setConfiguration(12, sampleConfiguration()));
   const uint64_t first = objects.version();
-  for (int change = 0; change <= kMany; ++change) {
+  for (int change = 0; change <= kChangeCount; ++change) {
     objects.setPools({pool(change % 2 == 0 ? HostState::kActive : HostState::kDraining)});
   }
   for (const uint64_t since : {first, objects.version() - 1}) {
-    const auto news = objects.changesSince(since);
-    CHECK_TRUE(news.has_value());
-    LONGS_EQUAL(1, news->changes.size());
-    const auto& hosts = std::get<HostPool>(news->changes.front()).hosts;
+    const auto update = objects.changesSince(since);
+    CHECK_TRUE(update.has_value());
+    LONGS_EQUAL(1, update->changes.size());
+    const auto& hosts = std::get<HostPool>(update->changes.front()).hosts;
     CHECK_TRUE(hosts.at(0).state == HostState::kActive);
   }
   CHECK_TRUE(objects.changesSince(objects.version())->changes.empty());
 }
 
 TEST(TranslatedObjects, KeepsOnlyTheLatestDeletedServices) {
-  constexpr int kMany = 5000;
+  constexpr int kChangeCount = 5000;
   Configuration with = sampleConfiguration();
   Configuration without = sampleConfiguration();
   without.routes.pop_back();
   CHECK_TRUE(objects.setConfiguration(1, with));
   const uint64_t first = objects.version();
-  for (uint64_t revision = 2; revision <= kMany * 2; revision += 2) {
+  for (uint64_t revision = 2; revision <= kChangeCount * 2; revision += 2) {
     CHECK_TRUE(objects.setConfiguration(revision, without));
     CHECK_TRUE(objects.setConfiguration(revision + 1, with));
   }
@@ -237,10 +237,10 @@
   const uint64_t before = objects.version();
   CHECK_TRUE(objects.setConfiguration(2, without));
   CHECK_TRUE(objects.setConfiguration(3, sampleConfiguration()));
-  const auto news = objects.changesSince(before);
-  CHECK_TRUE(news.has_value());
-  LONGS_EQUAL(1, news->changes.size());
-  STRCMP_EQUAL("r-b", std::get<Service>(news->changes.front()).name.c_str());
+  const auto update = objects.changesSince(before);
+  CHECK_TRUE(update.has_value());
+  LONGS_EQUAL(1, update->changes.size());
+  STRCMP_EQUAL("r-b", std::get<Service>(update->changes.front()).name.c_str());
 }
 
 TEST(ObjectTranslation, ReportsColdTimeOnlyIfTheServiceHasAColdLimit) {
@@ -250,17 +250,18 @@
     {"name":"s-two","max_connections":9,"cold_start_s":2.0,"cold_per_s":0.0}]}}],
     "more":false,"at":12})");
   CHECK_TRUE(isOk(page));
-  const auto again = decodePage(StoreKind::kConfiguration, encodePage(valueOf(page)));
-  CHECK_TRUE(isOk(again));
-  const auto& read = std::get<Configuration>(valueOf(again).objects.front().specification);
-  CHECK_TRUE(read == std::get<Configuration>(valueOf(page).objects.front().specification));
+  const auto reencodedPage = decodePage(StoreKind::kConfiguration, encodePage(valueOf(page)));
+  CHECK_TRUE(isOk(reencodedPage));
+  const auto& decoded =
+      std::get<Configuration>(valueOf(reencodedPage).objects.front().specification);
+  CHECK_TRUE(decoded == std::get<Configuration>(valueOf(page).objects.front().specification));
   HostSpec host;
   host.coldMilliseconds = 700;
-  const HostPool limited = withLimits({"s-one", {host}}, read);
+  const HostPool limited = withLimits({"s-one", {host}}, decoded);
   DOUBLES_EQUAL(8.0, limited.cold.requestsPerSecond, 1e-9);
   LONGS_EQUAL(2500, limited.cold.startMilliseconds);
   LONGS_EQUAL(700, limited.hosts.front().coldMilliseconds);
-  const HostPool usual = withLimits({"s-two", {host}}, read);
-  CHECK_TRUE(usual.cold == ColdLimit{});
-  LONGS_EQUAL(0, usual.hosts.front().coldMilliseconds);
+  const HostPool unlimited = withLimits({"s-two", {host}}, decoded);
+  CHECK_TRUE(unlimited.cold == ColdLimit{});
+  LONGS_EQUAL(0, unlimited.hosts.front().coldMilliseconds);
 }
--- a/test/platform/store/standin_objects.cc
+++ b/test/platform/store/standin_objects.cc
@@ -5,7 +5,7 @@
 StandinPage StandinObjects::list(const std::string& kind, const std::string& after, size_t limit,
                                  bool stale) const {
   const std::lock_guard lock(mutex_);
-  const Snapshot& snapshot = view(stale);
+  const Snapshot& snapshot = snapshotFor(stale);
   StandinPage page;
   page.at = snapshot.revision;
   for (const auto& [key, object] : snapshot.objects) {
@@ -24,24 +24,24 @@
 std::optional<StandinObject> StandinObjects::get(const std::string& kind, const std::string& name,
                                                  bool stale) const {
   const std::lock_guard lock(mutex_);
-  const auto& objects = view(stale).objects;
+  const auto& objects = snapshotFor(stale).objects;
   const auto found = objects.find({kind, name});
   return found == objects.end() ? std::nullopt : std::optional(found->second);
 }
 
 StandinAnswer StandinObjects::create(const std::string& kind, const StandinObject& object) {
   const std::lock_guard lock(mutex_);
-  const auto found = live_.objects.find({kind, object.name});
-  if (found != live_.objects.end()) {
+  const auto found = current_.objects.find({kind, object.name});
+  if (found != current_.objects.end()) {
     return StandinConflict{found->second};
   }
-  StandinObject made = object;
-  made.revision = ++live_.revision;
-  made.made = made.revision;
-  made.deleting = false;
-  live_.objects[{kind, made.name}] = made;
-  note(kind, made, false);
-  return made;
+  StandinObject created = object;
+  created.revision = ++current_.revision;
+  created.made = created.revision;
+  created.deleting = false;
+  current_.objects[{kind, created.name}] = created;
+  recordEvent(kind, created, false);
+  return created;
 }
 
 StandinAnswer StandinObjects::replace(const std::string& kind, const StandinObject& object) {
@@ -67,8 +67,8 @@
 StandinAnswer StandinObjects::change(const std::string& kind, const StandinObject& required,
                                      const std::function<void(StandinObject&)>& apply) {
   const std::lock_guard lock(mutex_);
-  const auto found = live_.objects.find({kind, required.name});
-  if (found == live_.objects.end()) {
+  const auto found = current_.objects.find({kind, required.name});
+  if (found == current_.objects.end()) {
     return StandinNotFound{};
   }
   if (required.revision != 0 && required.revision != found->second.revision) {
@@ -76,14 +76,14 @@
   }
   StandinObject changed = found->second;
   apply(changed);
-  changed.revision = ++live_.revision;
+  changed.revision = ++current_.revision;
   const bool gone = changed.deleting && changed.finalizers.empty();
   if (gone) {
-    live_.objects.erase(found);
+    current_.objects.erase(found);
   } else {
     found->second = changed;
   }
-  note(kind, changed, gone);
+  recordEvent(kind, changed, gone);
   return changed;
 }
 
@@ -91,10 +91,10 @@
                                                                       uint64_t since,
                                                                       Duration wait) {
   std::unique_lock lock(mutex_);
-  const uint64_t number = ++watches_;
+  const uint64_t number = ++watchCount_;
   const auto collect = [this, &kind, since] {
     StandinEvents found;
-    found.at = live_.revision;
+    found.at = current_.revision;
     for (const StandinEvent& event : history_) {
       if (event.kind == kind && event.object.revision > since) {
         found.events.push_back(event);
@@ -103,11 +103,11 @@
     return found;
   };
   changed_.wait_for(lock, wait, [this, &collect, &kind, since, number] {
-    const auto muted = mutedUpTo_.find(kind);
-    if (muted != mutedUpTo_.end() && number <= muted->second) {
+    const auto muted = lastMutedWatch_.find(kind);
+    if (muted != lastMutedWatch_.end() && number <= muted->second) {
       return stopped_;
     }
-    return stopped_ || number <= endedUpTo_ || since < lastDroppedRevision_ ||
+    return stopped_ || number <= lastEndedWatch_ || since < lastDroppedRevision_ ||
            !collect().events.empty();
   });
   if (since < lastDroppedRevision_) {
@@ -131,24 +131,24 @@
 void StandinObjects::forgetHistory() {
   const std::lock_guard lock(mutex_);
   history_.clear();
-  lastDroppedRevision_ = live_.revision;
+  lastDroppedRevision_ = current_.revision;
   changed_.notify_all();
 }
 
 void StandinObjects::muteWatches(const std::string& kind) {
   const std::lock_guard lock(mutex_);
-  mutedUpTo_[kind] = watches_;
+  lastMutedWatch_[kind] = watchCount_;
 }
 
 void StandinObjects::endWatches() {
   const std::lock_guard lock(mutex_);
-  endedUpTo_ = watches_;
+  lastEndedWatch_ = watchCount_;
   changed_.notify_all();
 }
 
 void StandinObjects::freezeStaleReads() {
   const std::lock_guard lock(mutex_);
-  frozen_ = live_;
+  staleSnapshot_ = current_;
 }
 
 void StandinObjects::stopWatches() {
@@ -157,7 +157,7 @@
   changed_.notify_all();
 }
 
-void StandinObjects::note(const std::string& kind, const StandinObject& object, bool gone) {
+void StandinObjects::recordEvent(const std::string& kind, const StandinObject& object, bool gone) {
   history_.push_back({kind, object, gone});
   changed_.notify_all();
 }
--- a/test/platform/store/standin_objects.h
+++ b/test/platform/store/standin_objects.h
@@ -26,6 +26,7 @@
 struct StandinObject {
   std::string name;
   uint64_t revision = 0;
+  /** Revision at which the object was created. */
   uint64_t made = 0;
   std::vector<std::string> finalizers;
   bool deleting = false;
@@ -52,6 +53,7 @@
 struct StandinEvent {
   std::string kind;
   StandinObject object;
+  /** Whether the object was removed. */
   bool gone = false;
 };
 
@@ -81,6 +83,7 @@
    * @return the new revision.
    */
   uint64_t set(const std::string& kind, const std::string& name, const std::string& spec);
+  /** Drops all events; watches that start before the current revision are answered as gone. */
   void forgetHistory();
   /** Pending watches of the kind receive no events until they time out. */
   void muteWatches(const std::string& kind);
@@ -97,22 +100,24 @@
     uint64_t revision = 0;
   };
 
-  const Snapshot& view(bool stale) const { return stale && frozen_ ? *frozen_ : live_; }
+  const Snapshot& snapshotFor(bool stale) const {
+    return stale && staleSnapshot_ ? *staleSnapshot_ : current_;
+  }
   StandinAnswer change(const std::string& kind, const StandinObject& required,
                        const std::function<void(StandinObject&)>& apply);
-  void note(const std::string& kind, const StandinObject& object, bool gone);
+  void recordEvent(const std::string& kind, const StandinObject& object, bool gone);
 
   mutable std::mutex mutex_;
   std::condition_variable changed_;
-  Snapshot live_;
-  std::optional<Snapshot> frozen_;
+  Snapshot current_;
+  std::optional<Snapshot> staleSnapshot_;
   std::deque<StandinEvent> history_;
   uint64_t lastDroppedRevision_ = 0;
-  uint64_t watches_ = 0;
+  uint64_t watchCount_ = 0;
   /** Number of the last watch that receives no events, by kind. */
-  std::map<std::string, uint64_t> mutedUpTo_;
-  /** Watches up to this number have been ended. */
-  uint64_t endedUpTo_ = 0;
+  std::map<std::string, uint64_t> lastMutedWatch_;
+  /** Number of the last watch that was ended by endWatches(). */
+  uint64_t lastEndedWatch_ = 0;
   bool stopped_ = false;
 };
 
--- a/test/platform/store/standin_store.cc
+++ b/test/platform/store/standin_store.cc
@@ -22,7 +22,7 @@
 namespace umberhold::test {
 namespace {
 
-/** Path segments of "/api/objects/KIND"; a path with a name has one more. */
+/** Number of slashes in "/api/objects/KIND"; a path with a name has at least one more. */
 constexpr int kSlashesOfList = 3;
 
 using Poco::Net::HTTPResponse;
@@ -35,7 +35,7 @@
 
 constexpr int kThreads = 160;
 /** Interval for checking whether the caller of an unanswered call has closed its connection. */
-constexpr auto kGivenUpInterval = std::chrono::milliseconds(100);
+constexpr auto kClientCheckInterval = std::chrono::milliseconds(100);
 
 std::string quoted(const std::string& text) {
   return "\"" + text + "\"";
@@ -102,7 +102,7 @@
 
 }  // namespace
 
-struct StandinStore::Parts {
+struct StandinStore::Implementation {
   /** "/api/objects/KIND[/NAME[/status]]". */
   struct Target {
     std::string kind;
@@ -110,7 +110,7 @@
     bool status = false;
   };
 
-  explicit Parts(size_t size) : pageSize(size), pool(2, kThreads) {}
+  explicit Implementation(size_t size) : pageSize(size), pool(2, kThreads) {}
 
   void handle(HTTPServerRequest& request, HTTPServerResponse& response) {
     if (!admit(request, response)) {
@@ -130,9 +130,9 @@
 
   /** Closes the connection without an answer when the outage ends or the caller gives up. */
   void stayUnanswered(std::unique_lock<std::mutex>& lock, HTTPServerRequest& request) {
-    const bool forever = faults.staysSilent;
-    dropWhen(lock, request, [this, forever] {
-      return !forever && faults.responseMode != StoreResponseMode::kSilent;
+    const bool staysSilent = faults.staysSilent;
+    dropWhen(lock, request, [this, staysSilent] {
+      return !staysSilent && faults.responseMode != StoreResponseMode::kSilent;
     });
   }
 
@@ -141,9 +141,10 @@
    * occupy the store's threads.
    */
   void dropWhen(std::unique_lock<std::mutex>& lock, HTTPServerRequest& request,
-                const std::function<bool()>& isTime) {
-    const auto isOver = [&] { return stopping || isTime(); };
-    while (!moved.wait_for(lock, kGivenUpInterval, isOver) && !isClosedByClient(request)) {
+                const std::function<bool()>& condition) {
+    const auto isDone = [&] { return stopping || condition(); };
+    while (!stateChanged.wait_for(lock, kClientCheckInterval, isDone) &&
+           !isClosedByClient(request)) {
     }
     dropConnection(request);
   }
@@ -160,12 +161,12 @@
       dropConnection(request);
       return false;
     }
-    moved.wait_for(lock, faults.slow, [this] { return stopping; });
+    stateChanged.wait_for(lock, faults.slow, [this] { return stopping; });
     if (faults.responseMode == StoreResponseMode::kBusy) {
       send(response, HTTPResponse::HTTP_SERVICE_UNAVAILABLE, "{}");
       return false;
     }
-    if (request.getMethod() == "GET" && !queryNumber(request, "stale") && overRate()) {
+    if (request.getMethod() == "GET" && !queryNumber(request, "stale") && isOverRateLimit()) {
       send(response, HTTPResponse::HTTP_TOO_MANY_REQUESTS, "{}");
       return false;
     }
@@ -174,7 +175,7 @@
 
   void count(const HTTPServerRequest& request) {
     if (request.getMethod() != "GET") {
-      ++calls.others;
+      ++calls.changes;
     } else if (queryNumber(request, "watch")) {
       ++calls.watches;
     } else if (std::count(request.getURI().begin(), request.getURI().end(), '/') > kSlashesOfList) {
@@ -184,22 +185,22 @@
     }
   }
 
-  bool overRate() {
+  bool isOverRateLimit() {
     const auto now = std::chrono::steady_clock::now();
-    if (now - rateSecond >= std::chrono::seconds(1)) {
-      rateSecond = now;
-      readsInSecond = 0;
+    if (now - rateWindowStart >= std::chrono::seconds(1)) {
+      rateWindowStart = now;
+      readsInWindow = 0;
     }
-    return ++readsInSecond > faults.readsPerSecond;
+    return ++readsInWindow > faults.readsPerSecond;
   }
 
   static Target readTarget(const HTTPServerRequest& request) {
-    std::vector<std::string> parts;
-    Poco::URI(request.getURI()).getPathSegments(parts);
+    std::vector<std::string> segments;
+    Poco::URI(request.getURI()).getPathSegments(segments);
     Target target;
-    target.kind = parts.size() > 2 ? parts[2] : "";
-    target.name = parts.size() > 3 ? parts[3] : "";
-    target.status = parts.size() > 4;
+    target.kind = segments.size() > 2 ? segments[2] : "";
+    target.name = segments.size() > 3 ? segments[3] : "";
+    target.status = segments.size() > 4;
     return target;
   }
 
@@ -237,14 +238,14 @@
   void change(HTTPServerRequest& request, HTTPServerResponse& response, const Target& target) {
     StandinObject object = readObject(request);
     object.name = target.name.empty() ? object.name : target.name;
-    if (take(&StandinFaults::lateChanges)) {
+    if (consumeFault(&StandinFaults::lateChanges)) {
       dropConnection(request);
       std::this_thread::sleep_for(faults.lateBy);
       run(request.getMethod(), target, object);
       return;
     }
     const StandinAnswer answer = run(request.getMethod(), target, object);
-    if (take(&StandinFaults::loseAnswers)) {
+    if (consumeFault(&StandinFaults::loseAnswers)) {
       std::unique_lock lock(mutex);
       dropWhen(lock, request, [] { return false; });
       return;
@@ -269,7 +270,7 @@
                          : objects.replace(target.kind, object);
   }
 
-  bool take(uint32_t StandinFaults::*counter) {
+  bool consumeFault(uint32_t StandinFaults::*counter) {
     const std::lock_guard lock(mutex);
     if (faults.*counter == 0) {
       return false;
@@ -289,12 +290,12 @@
   Poco::ThreadPool pool;
   StandinObjects objects;
   std::mutex mutex;
-  std::condition_variable moved;
+  std::condition_variable stateChanged;
   bool stopping = false;
   StandinFaults faults;
   StandinCalls calls;
-  std::chrono::steady_clock::time_point rateSecond;
-  uint32_t readsInSecond = 0;
+  std::chrono::steady_clock::time_point rateWindowStart;
+  uint32_t readsInWindow = 0;
   Poco::Net::ServerSocket socket;
   std::unique_ptr<Poco::Net::HTTPServer> server;
 };
@@ -330,52 +331,54 @@
 
 }  // namespace
 
-StandinStore::StandinStore(size_t pageSize) : parts_(std::make_unique<Parts>(pageSize)) {
-  parts_->socket.bind(Poco::Net::SocketAddress("127.0.0.1", 0), true);
-  parts_->socket.listen(kThreads);
+StandinStore::StandinStore(size_t pageSize)
+    : implementation_(std::make_unique<Implementation>(pageSize)) {
+  implementation_->socket.bind(Poco::Net::SocketAddress("127.0.0.1", 0), true);
+  implementation_->socket.listen(kThreads);
   Poco::Net::HTTPServerParams::Ptr parameters = new Poco::Net::HTTPServerParams;
   parameters->setMaxThreads(kThreads);
   parameters->setKeepAlive(true);
   parameters->setMaxKeepAliveRequests(0);
-  const auto handle = [parts = parts_.get()](auto& request, auto& response) {
-    parts->handle(request, response);
+  const auto handle = [implementation = implementation_.get()](auto& request, auto& response) {
+    implementation->handle(request, response);
   };
-  parts_->server = std::make_unique<Poco::Net::HTTPServer>(
-      new FunctionHandlerFactory(handle), parts_->pool, parts_->socket, parameters);
-  parts_->server->start();
+  implementation_->server = std::make_unique<Poco::Net::HTTPServer>(
+      new FunctionHandlerFactory(handle), implementation_->pool, implementation_->socket,
+      parameters);
+  implementation_->server->start();
 }
 
 StandinStore::~StandinStore() {
   {
-    const std::lock_guard lock(parts_->mutex);
-    parts_->stopping = true;
-    parts_->moved.notify_all();
+    const std::lock_guard lock(implementation_->mutex);
+    implementation_->stopping = true;
+    implementation_->stateChanged.notify_all();
   }
-  parts_->objects.stopWatches();
-  parts_->server->stopAll(true);
-  parts_->pool.joinAll();
-  parts_->server.reset();
+  implementation_->objects.stopWatches();
+  implementation_->server->stopAll(true);
+  implementation_->pool.joinAll();
+  implementation_->server.reset();
 }
 
 Endpoint StandinStore::address() const {
-  return Endpoint{0x7F000001, parts_->socket.address().port()};
+  return Endpoint{0x7F000001, implementation_->socket.address().port()};
 }
 
 StandinObjects& StandinStore::objects() {
-  return parts_->objects;
+  return implementation_->objects;
 }
 
 void StandinStore::setFaults(const StandinFaults& faults) {
-  const std::lock_guard lock(parts_->mutex);
-  parts_->faults = faults;
-  parts_->moved.notify_all();
+  const std::lock_guard lock(implementation_->mutex);
+  implementation_->faults = faults;
+  implementation_->stateChanged.notify_all();
 }
 
 StandinCalls StandinStore::calls() const {
-  const std::lock_guard lock(parts_->mutex);
-  StandinCalls calls = parts_->calls;
-  calls.connections = static_cast<uint64_t>(parts_->server->totalConnections());
-  calls.queued = static_cast<uint64_t>(parts_->server->queuedConnections());
+  const std::lock_guard lock(implementation_->mutex);
+  StandinCalls calls = implementation_->calls;
+  calls.connections = static_cast<uint64_t>(implementation_->server->totalConnections());
+  calls.queued = static_cast<uint64_t>(implementation_->server->queuedConnections());
   return calls;
 }
 
--- a/test/platform/store/standin_store.h
+++ b/test/platform/store/standin_store.h
@@ -29,7 +29,7 @@
   StoreResponseMode responseMode = StoreResponseMode::kAnswering;
   /** Calls made in kSilent remain unanswered and open, even after the response mode changes. */
   bool staysSilent = false;
-  /** Delay of every answer. */
+  /** Delay before each call is processed. */
   Duration slow{0};
   /** Number of next changes that are executed but not answered. */
   uint32_t loseAnswers = 0;
@@ -40,14 +40,16 @@
   uint32_t readsPerSecond = 2000;
 };
 
-/** Number of calls so far, including rejected ones. */
+/** Numbers of calls so far, including rejected ones. */
 struct StandinCalls {
+  /** Lists without `stale`. */
   uint64_t lists = 0;
   uint64_t staleLists = 0;
   uint64_t watches = 0;
   /** Reads of single objects, by name. */
   uint64_t reads = 0;
-  uint64_t others = 0;
+  /** Calls that are not GET: creations, replacements and deletions. */
+  uint64_t changes = 0;
   uint64_t connections = 0;
   /** Calls that currently wait for a thread. */
   uint64_t queued = 0;
@@ -69,8 +71,8 @@
   StandinCalls calls() const;
 
  private:
-  struct Parts;
-  std::unique_ptr<Parts> parts_;
+  struct Implementation;
+  std::unique_ptr<Implementation> implementation_;
 };
 
 }  // namespace umberhold::test
--- a/test/platform/store/standin_store_test.cc
+++ b/test/platform/store/standin_store_test.cc
@@ -89,10 +89,10 @@
  */
 TEST(StandinStore, RespondsAfterAnOutageDespiteManyAbandonedCalls) {
   store.objects().set("config", "main", "7");
-  test::StandinFaults silent;
-  silent.responseMode = test::StoreResponseMode::kSilent;
-  silent.staysSilent = true;
-  store.setFaults(silent);
+  test::StandinFaults faults;
+  faults.responseMode = test::StoreResponseMode::kSilent;
+  faults.staysSilent = true;
+  store.setFaults(faults);
   constexpr int kCalls = 200;
   CallLimits limits;
   limits.answer = milliseconds(10);
--- a/test/platform/store/store_copy_property.cc
+++ b/test/platform/store/store_copy_property.cc
@@ -52,7 +52,7 @@
     changes.push_back(next);
   }
   uint64_t revision() const { return revision_; }
-  /** @return the host's last change up to the revision. */
+  /** @return the last change of the host up to the revision. */
   std::optional<Change> at(uint64_t host, uint64_t revision) const {
     std::optional<Change> last;
     const auto changes = hosts_.find(host);
@@ -140,8 +140,8 @@
     version = history.revision();
   }
   /**
-   * An offer is valid as long as the changes after it are known, and only for nodes with an older
-   * version.
+   * An offer is valid as long as all changes after it are known, and only for nodes whose version
+   * is not newer than the offer.
    */
   void prepareOffer(uint64_t since) {
     if (!copy.reaches(offeredVersion) || offeredVersion < since) {
@@ -149,7 +149,7 @@
       offeredVersion = version;
     }
   }
-  void ask(TimePoint now, Copy& peer) {
+  void requestChangesFrom(TimePoint now, Copy& peer) {
     PeerChanges changes;
     changes.hostsVersion = peer.version;
     uint64_t since = version;
@@ -163,23 +163,23 @@
     version = std::max(version, peer.version);
   }
   /** @return whether the copy holds what the store had at its version, or something newer. */
-  bool holds(const History& history) const {
+  bool isUpToDate(const History& history) const {
     std::map<std::string, uint64_t> held;
     for (const StoreObject& object : copy.page(StoreKind::kHosts).objects) {
       held[object.name] = object.revision;
     }
     for (uint64_t host = 0; host < kHosts; ++host) {
-      const auto there = history.at(host, version);
+      const auto expected = history.at(host, version);
       const auto found = held.find(hostName(host));
-      const bool newer = found != held.end() && there && found->second > there->revision;
+      const bool newer = found != held.end() && expected && found->second > expected->revision;
       const bool same =
-          found != held.end() && there && !there->gone && found->second == there->revision;
-      const bool absent = found == held.end() && (!there || there->gone);
+          found != held.end() && expected && !expected->gone && found->second == expected->revision;
+      const bool absent = found == held.end() && (!expected || expected->gone);
       // It may already have received the removal of a host after its version.
-      const auto now = history.at(host, history.revision());
-      const bool endedLater = found == held.end() && now && now->gone;
-      const bool appearedLater = found != held.end() && !there;
-      if (!newer && !same && !absent && !endedLater && !appearedLater) {
+      const auto newest = history.at(host, history.revision());
+      const bool removedLater = found == held.end() && newest && newest->gone;
+      const bool createdLater = found != held.end() && !expected;
+      if (!newer && !same && !absent && !removedLater && !createdLater) {
         return false;
       }
     }
@@ -188,7 +188,7 @@
 };
 
 /** @return whether every copy satisfied the invariant after every step. */
-bool keepsInvariant(uint64_t seed) {
+bool isInvariantKept(uint64_t seed) {
   RandomSource random(seed);
   History history;
   std::vector<Copy> copies(kCopies);
@@ -212,11 +212,11 @@
     } else {
       Copy& peer = copies[random.below(kCopies)];
       if (&peer != &copy) {
-        copy.ask(now, peer);
+        copy.requestChangesFrom(now, peer);
       }
     }
     for (const Copy& each : copies) {
-      if (!each.holds(history)) {
+      if (!each.isUpToDate(history)) {
         return false;
       }
     }
@@ -230,6 +230,6 @@
 
 TEST(StoreCopyProperty, NoCopyIsOlderThanItsClaimedVersion) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    CHECK_TRUE_TEXT(keepsInvariant(seed), ("seed " + std::to_string(seed)).c_str());
+    CHECK_TRUE_TEXT(isInvariantKept(seed), ("seed " + std::to_string(seed)).c_str());
   }
 }
--- a/test/platform/store/store_copy_test.cc
+++ b/test/platform/store/store_copy_test.cc
@@ -27,12 +27,12 @@
                                              R"(","address":"10.0.0.)" + std::to_string(revision) +
                                              R"(:80","zone":"z",)" + fields + R"(}}}],"at":9})");
     CHECK_TRUE(isOk(changes));
-    const bool isRead = copy.apply(now, valueOf(changes).events.at(0));
+    const bool isReadable = copy.apply(now, valueOf(changes).events.at(0));
     copy.settle(now);
-    return isRead;
+    return isReadable;
   }
-  /** The hosts i-1 and i-2 have been removed. */
-  static PeerChanges bothEnded() {
+  /** @return changes of a peer in which the hosts i-1 and i-2 have been removed. */
+  static PeerChanges removalOfBothHosts() {
     PeerChanges changes;
     changes.hostsVersion = 5;
     for (uint64_t number = 1; number <= 2; ++number) {
@@ -77,7 +77,7 @@
   none.hostsVersion = 3;
   copy.apply(now, now, 3, none);
   now += std::chrono::milliseconds(1500);
-  copy.apply(now, now, 3, bothEnded());
+  copy.apply(now, now, 3, removalOfBothHosts());
   copy.settle(now);
   LONGS_EQUAL(2, activeHosts());
   now += std::chrono::milliseconds(500);
@@ -90,7 +90,7 @@
   copy.apply(now, now, 3, PeerChanges{});
   copy.onOwnReading();
   now += std::chrono::seconds(10);
-  copy.apply(now, now, 3, bothEnded());
+  copy.apply(now, now, 3, removalOfBothHosts());
   copy.settle(now);
   LONGS_EQUAL(2, activeHosts());
 }
--- a/test/platform/store/store_messages_property.cc
+++ b/test/platform/store/store_messages_property.cc
@@ -23,8 +23,8 @@
          R"("slots":2,"state":"ready","cold_remaining_ms":0,"born":1796264498000}})";
 }
 
-/** Entries of another writer. */
-const std::vector<std::string> kForeign = {
+/** Entries that are invalid or name no valid host. */
+const std::vector<std::string> kInvalidEntries = {
     "7",
     "null",
     "[[]]",
@@ -61,7 +61,8 @@
     std::string items;
     std::string events;
     for (const int pick : picks) {
-      const std::string element = pick < 0 ? entryOf(-pick) : kForeign[static_cast<size_t>(pick)];
+      const std::string element =
+          pick < 0 ? entryOf(-pick) : kInvalidEntries[static_cast<size_t>(pick)];
       if (pick < 0) {
         valid.insert("i-" + std::to_string(-pick));
       }
--- a/test/platform/store/store_messages_test.cc
+++ b/test/platform/store/store_messages_test.cc
@@ -53,14 +53,16 @@
 }
 
 TEST(StoreMessages, AnInvalidElementDoesNotAffectTheOthers) {
-  const std::string good = R"({"meta":{"name":"i-1","revision":7,"made":3},"spec":)" + kHost + "}";
-  for (const std::string& bad :
+  const std::string validElement =
+      R"({"meta":{"name":"i-1","revision":7,"made":3},"spec":)" + kHost + "}";
+  for (const std::string& invalidElement :
        {std::string("7"), std::string("null"), std::string("[]"), std::string("{}"),
         std::string(R"({"meta":{"name":""}})"), std::string(R"({"meta":7})"),
         std::string(R"({"meta":{"name":7}})"), std::string("\"\xFF\""),
         std::string(R"({"meta":{"name":"i-2"},"spec":"\ud800"})"),
         std::string(R"({"meta":{"name":"i-2"},"spec":1e999})"), std::string(R"({"a":nonsense})")}) {
-    for (const std::string& items : {bad + "," + good, good + "," + bad}) {
+    for (const std::string& items :
+         {invalidElement + "," + validElement, validElement + "," + invalidElement}) {
       const auto decoded =
           decodePage(StoreKind::kHosts, R"({"items":[)" + items + R"(],"more":false,"at":9})");
       CHECK_TRUE(isOk(decoded));
@@ -69,10 +71,10 @@
       STRCMP_EQUAL("i-1", valueOf(decoded).objects[0].name.c_str());
       CHECK_TRUE(std::holds_alternative<RegisteredHost>(valueOf(decoded).objects[0].specification));
     }
-    const std::string event = R"({"gone":false,"object":)" + good + "}";
+    const std::string event = R"({"gone":false,"object":)" + validElement + "}";
     const auto changes =
-        decodeChanges(StoreKind::kHosts, R"({"events":[{"gone":false,"object":)" + bad + "}," +
-                                             bad + "," + event + R"(],"at":9})");
+        decodeChanges(StoreKind::kHosts, R"({"events":[{"gone":false,"object":)" + invalidElement +
+                                             "}," + invalidElement + "," + event + R"(],"at":9})");
     CHECK_TRUE(isOk(changes));
     LONGS_EQUAL(1, valueOf(changes).events.size());
     LONGS_EQUAL(2, valueOf(changes).malformed.count);
@@ -108,16 +110,16 @@
 }
 
 TEST(StoreMessages, ReadsTheStartTimeFromEitherOfItsPlaces) {
-  const auto birthIn = [](const std::string& body) {
+  const auto startTimeIn = [](const std::string& body) {
     const auto decoded = decodePage(StoreKind::kHosts, body);
     return std::get<RegisteredHost>(valueOf(decoded).objects.at(0).specification)
         .startedAtMilliseconds;
   };
   const std::string spec = kHost.substr(0, kHost.size() - 1);
-  CHECK_TRUE(birthIn(page(kHost)) == 0);
-  CHECK_TRUE(birthIn(page(spec + R"(,"born":null})")) == 0);
-  CHECK_TRUE(birthIn(page(spec + R"(,"born":1796264498000})")) == 1796264498000);
-  CHECK_TRUE(birthIn(page(kHost + R"(,"born":1796264498000)")) == 1796264498000);
+  CHECK_TRUE(startTimeIn(page(kHost)) == 0);
+  CHECK_TRUE(startTimeIn(page(spec + R"(,"born":null})")) == 0);
+  CHECK_TRUE(startTimeIn(page(spec + R"(,"born":1796264498000})")) == 1796264498000);
+  CHECK_TRUE(startTimeIn(page(kHost + R"(,"born":1796264498000)")) == 1796264498000);
   for (const char* born : {"\"1796264498000\"", "-1", "1.5", "[]", "true", "{}"}) {
     CHECK_TRUE(isUnreadable(StoreKind::kHosts, spec + R"(,"born":)" + born + "}"));
   }
--- a/test/platform/store/zone_reader_test.cc
+++ b/test/platform/store/zone_reader_test.cc
@@ -30,9 +30,9 @@
 constexpr Duration kChangeBound = milliseconds(1500);
 /** Objects per page of the store's list. */
 constexpr size_t kPageSize = 100;
-/** Number of nodes in zones that start all at once. */
-constexpr size_t kNodesPerReaderOfStart = 4;
-constexpr size_t kReadersOfStart = 4;
+/** Nodes per reader, and readers, in the tests that start 16 nodes at the same time. */
+constexpr size_t kNodesPerReaderAtStart = 4;
+constexpr size_t kReadersAtStart = 4;
 
 std::string configuration(uint64_t version) {
   return R"({"version":)" + std::to_string(version) +
@@ -41,9 +41,9 @@
 }
 
 std::string hostEntry(uint32_t index, const std::string& state = "ready") {
-  constexpr uint32_t kHostsOfNetwork = 250;
-  return R"({"service":"s-one","address":"10.0.)" + std::to_string(index / kHostsOfNetwork) + "." +
-         std::to_string(index % kHostsOfNetwork) +
+  constexpr uint32_t kHostsPerNetwork = 250;
+  return R"({"service":"s-one","address":"10.0.)" + std::to_string(index / kHostsPerNetwork) + "." +
+         std::to_string(index % kHostsPerNetwork) +
          R"(:80","zone":"bole","version":"v1","slots":2,"state":")" + state +
          R"(","cold_remaining_ms":0,"sequence":1})";
 }
@@ -68,7 +68,7 @@
     loop_.watch(mailbox_.wakeDescriptor(), [this] { mailbox_.drain(); });
   }
   ~Node() {
-    silent_ = false;
+    unresponsive_ = false;
     mailbox_.post([this] { loop_.stop(); });
     if (thread_.joinable()) {
       thread_.join();
@@ -78,30 +78,30 @@
   Node& operator=(const Node&) = delete;
 
   Endpoint peerAddress() const { return port_->local(); }
-  /** Seeds: nodes it sends requests to while the store is unresponsive. */
+  /** @param seeds nodes to which this one sends requests while the store is unresponsive. */
   void setSeeds(std::vector<Endpoint> seeds) { options_.peers = std::move(seeds); }
-  /** How long it waits for peers before it lists the store, per step of its rank. */
+  /** @param peerWait time per rank for which the node waits for peers before it lists the store. */
   void setPeerWait(Duration peerWait) { options_.firstList.peerWait = peerWait; }
-  void begin() {
+  void start() {
     adapter_ = std::make_unique<ObjectStoreAdapter>(options_);
     thread_ = std::thread([this] { loop_.run(); });
   }
-  /** @return its entry in the list of the zone's nodes. */
+  /** @return the entry of the node in the list of the zone's nodes. */
   std::string entry() const {
     return R"({"zone":"bole","peer_address":")" + toString(port_->local()) + R"(","capacity":)" +
            std::to_string(options_.self->capacity) + "}";
   }
-  /** Requests from peers get no answer, but their connections stay open. */
-  void stopAnswering() { silent_ = true; }
+  /** Leaves requests from peers unanswered, with their connections open. */
+  void stopAnswering() { unresponsive_ = true; }
   bool readsStore() const { return adapter_->status().readsStore; }
   uint64_t configurationVersion() const { return adapter_->status().configurationVersion; }
   uint64_t failures() const { return adapter_->status().failures; }
   uint64_t peerConfirmations() const { return adapter_->status().peerConfirmations; }
   ObservationExchange& observations() { return observations_; }
-  /** Number of pages it listed from the store, except those of nodes. */
+  /** @return the number of pages listed from the store, except pages of the list of nodes. */
   uint64_t lists() const { return adapter_->status().lists; }
   uint64_t answeredPeerRequests() const { return adapter_->status().answeredPeerRequests; }
-  /** How many times it encoded all hosts for other nodes. */
+  /** @return how many times the node encoded all hosts for other nodes. */
   uint64_t hostCopies() const { return adapter_->status().hostCopies; }
 
   EvacuatedZones evacuated() {
@@ -134,7 +134,7 @@
   }
 
  private:
-  static Duration part(int percent) { return kChangeBound * percent / 100; }
+  static Duration percentOfBound(int percent) { return kChangeBound * percent / 100; }
 
   ObjectStoreOptions optionsOf(uint32_t number, const Endpoint& store) {
     ObjectStoreOptions options;
@@ -148,10 +148,10 @@
         RosterNode{"node-" + std::to_string(number), "bole", port_->local(), 1000 - number};
     options.follower.changeBatchDelay = milliseconds(20);
     options.servingBatchDelay = milliseconds(10);
-    options.peerTimeout = part(15);
-    options.source.pollInterval = part(10);
-    options.source.maxConfirmationAge = part(25);
-    options.source.unconfirmedTimeout = part(40);
+    options.peerTimeout = percentOfBound(15);
+    options.source.pollInterval = percentOfBound(10);
+    options.source.maxConfirmationAge = percentOfBound(25);
+    options.source.unconfirmedTimeout = percentOfBound(40);
     options.source.startingPeerRetry = milliseconds(20);
     options.source.initialPenalty = milliseconds(500);
     options.source.unconfirmedPenalty = milliseconds(300);
@@ -161,8 +161,8 @@
     options.recoveryDelay = milliseconds(300);
     options.roster.nodesPerReader = nodesPerReader_;
     options.liveness.first = milliseconds(100);
-    options.liveness.interval = part(10);
-    options.liveness.servingInterval = part(5);
+    options.liveness.interval = percentOfBound(10);
+    options.liveness.servingInterval = percentOfBound(5);
     options.liveness.intervalAfterMiss = milliseconds(50);
     options.probeTimeout = milliseconds(200);
     options.limits.connect = milliseconds(300);
@@ -171,7 +171,7 @@
   }
 
   std::optional<TextAnswer> answer(const std::string& path) {
-    while (silent_) {
+    while (unresponsive_) {
       std::this_thread::sleep_for(milliseconds(10));
     }
     return adapter_ ? adapter_->answerPeer(path) : std::nullopt;
@@ -185,7 +185,7 @@
   std::unique_ptr<PollHttpPort> port_;
   ObjectStoreOptions options_;
   std::unique_ptr<ObjectStoreAdapter> adapter_;
-  std::atomic<bool> silent_{false};
+  std::atomic<bool> unresponsive_{false};
   std::thread thread_;
 };
 
@@ -194,41 +194,42 @@
 TEST_GROUP_BASE(ZoneReader, test::WithoutLeakDetection) {
   test::StandinStore store{kPageSize};
   /** A store used only by the reader, in tests that cut off only the reader. */
-  test::StandinStore readersStore{kPageSize};
+  test::StandinStore storeOfReader{kPageSize};
   std::vector<std::unique_ptr<Node>> nodes;
   bool followsEvacuations = false;
 
   void setup() override {
-    for (test::StandinStore* each : {&store, &readersStore}) {
-      each->objects().set("config", "main", configuration(3));
+    for (test::StandinStore* standin : {&store, &storeOfReader}) {
+      standin->objects().set("config", "main", configuration(3));
       for (uint32_t index = 1; index <= 4; ++index) {
-        each->objects().set("servers", hostName(index), hostEntry(index));
+        standin->objects().set("servers", hostName(index), hostEntry(index));
       }
     }
   }
   void startAll(uint32_t count = kNodes) {
     for (uint32_t number = 1; number <= count; ++number) {
       nodes.push_back(std::make_unique<Node>(number, store.address(), followsEvacuations));
-      nodes.back()->begin();
+      nodes.back()->start();
     }
     // Every node has registered itself, has listed the others, and has been answered by the reader.
-    CHECK_TRUE(holdsWithin([&] { return store.calls().others == count; }));
-    CHECK_TRUE(holdsWithin(
-        [&] { return readers() == 1 && nodes.front()->readsStore() && confirmed() == count - 1; }));
+    CHECK_TRUE(holdsWithin([&] { return store.calls().changes == count; }));
+    CHECK_TRUE(holdsWithin([&] {
+      return readers() == 1 && nodes.front()->readsStore() && confirmedNodes() == count - 1;
+    }));
   }
-  size_t confirmed() {
-    size_t following = 0;
+  size_t confirmedNodes() {
+    size_t confirmed = 0;
     for (const auto& node : nodes) {
-      following += node->peerConfirmations() > 0 ? 1 : 0;
+      confirmed += node->peerConfirmations() > 0 ? 1 : 0;
     }
-    return following;
+    return confirmed;
   }
   size_t readers() {
-    size_t reading = 0;
+    size_t count = 0;
     for (const auto& node : nodes) {
-      reading += node->readsStore() ? 1 : 0;
+      count += node->readsStore() ? 1 : 0;
     }
-    return reading;
+    return count;
   }
   template <class Condition>
   bool holdsWithin(const Condition& condition, Duration timeout = seconds(10)) {
@@ -242,7 +243,7 @@
   void registerNodes(uint32_t count) {
     for (uint32_t number = 1; number <= count; ++number) {
       nodes.push_back(
-          std::make_unique<Node>(number, store.address(), false, kNodesPerReaderOfStart));
+          std::make_unique<Node>(number, store.address(), false, kNodesPerReaderAtStart));
       store.objects().set("balancers-bole", "node-" + std::to_string(number),
                           nodes.back()->entry());
     }
@@ -257,8 +258,8 @@
     });
   }
   bool allHaveEvacuated(const EvacuatedZones& zones, Duration timeout) {
-    const auto knows = [&](const auto& node) { return node->evacuated() == zones; };
-    return holdsWithin([&] { return std::all_of(nodes.begin(), nodes.end(), knows); }, timeout);
+    const auto hasZones = [&](const auto& node) { return node->evacuated() == zones; };
+    return holdsWithin([&] { return std::all_of(nodes.begin(), nodes.end(), hasZones); }, timeout);
   }
   void drain(uint32_t index) {
     store.objects().set("servers", hostName(index), hostEntry(index, "draining"));
@@ -282,16 +283,16 @@
 
 TEST(ZoneReader, NodesReceiveObservationsOfOtherNodes) {
   startAll();
-  constexpr uint32_t kLateHost = 77;
+  constexpr uint32_t kSlowHost = 77;
   bool received = false;
   const auto isReceived = [&] {
-    // Each node observes the host occasionally, but no single node often enough to judge it.
+    // Each node has few samples of the host; only those of several nodes suffice to call it slow.
     for (size_t index = 1; index < 4; ++index) {
-      nodes[index]->observations().add(steadyNow(), {{kLateHost, 5.0}}, {});
+      nodes[index]->observations().add(steadyNow(), {{kSlowHost, 5.0}}, {});
     }
-    const auto news = nodes.back()->observations().takeUpdate();
-    received = received ||
-               (news && news->slowHosts.size() == 1 && news->slowHosts.front().token == kLateHost);
+    const auto update = nodes.back()->observations().takeUpdate();
+    received = received || (update && update->slowHosts.size() == 1 &&
+                            update->slowHosts.front().token == kSlowHost);
     return received;
   };
   CHECK_TRUE(holdsWithin(isReceived));
@@ -299,17 +300,18 @@
 
 TEST(ZoneReader, NodesQuicklyLearnOfAHostUnresponsiveToTwoOfThem) {
   startAll();
-  constexpr uint32_t kSilentHost = 78;
+  constexpr uint32_t kUnresponsiveHost = 78;
   bool received = false;
-  const TimePoint began = steadyNow();
+  const TimePoint startedAt = steadyNow();
   for (uint32_t index = 1; index <= 2; ++index) {
     nodes[index]->observations().add(
-        began, {}, {{kSilentHost, std::nullopt, 2, {index}, began - milliseconds(200), began}});
+        startedAt, {},
+        {{kUnresponsiveHost, std::nullopt, 2, {index}, startedAt - milliseconds(200), startedAt}});
   }
   const auto isReceived = [&] {
-    const auto news = nodes.back()->observations().takeUpdate();
-    received = received || (news && news->silentHosts.size() == 1 &&
-                            news->silentHosts.front().token == kSilentHost);
+    const auto update = nodes.back()->observations().takeUpdate();
+    received = received || (update && update->silentHosts.size() == 1 &&
+                            update->silentHosts.front().token == kUnresponsiveHost);
     return received;
   };
   CHECK_TRUE(holdsWithin(isReceived));
@@ -318,62 +320,63 @@
 TEST(ZoneReader, AStoppedReaderIsReplacedWithinTheBound) {
   startAll();
   nodes.erase(nodes.begin());
-  const TimePoint lost = steadyNow();
+  const TimePoint stoppedAt = steadyNow();
   drain(1);
   CHECK_TRUE(allHaveActiveHosts(3));
-  CHECK_TRUE(steadyNow() - lost < kChangeBound);
+  CHECK_TRUE(steadyNow() - stoppedAt < kChangeBound);
   CHECK_TRUE(holdsWithin([this] { return readers() == 1; }, seconds(20)));
 }
 
 TEST(ZoneReader, AnUnresponsiveReaderIsReplacedWithinTheBound) {
   startAll();
   nodes.front()->stopAnswering();
-  const TimePoint lost = steadyNow();
+  const TimePoint stoppedAt = steadyNow();
   drain(1);
   CHECK_TRUE(allHaveActiveHosts(3));
-  CHECK_TRUE(steadyNow() - lost < kChangeBound);
+  CHECK_TRUE(steadyNow() - stoppedAt < kChangeBound);
 }
 
 /** The reader responds, but its state becomes stale. */
 TEST(ZoneReader, AReaderDisconnectedFromTheStoreIsNotFollowed) {
-  nodes.push_back(std::make_unique<Node>(1, readersStore.address()));
-  nodes.back()->begin();
+  nodes.push_back(std::make_unique<Node>(1, storeOfReader.address()));
+  nodes.back()->start();
   for (uint32_t number = 2; number <= kNodes; ++number) {
     nodes.push_back(std::make_unique<Node>(number, store.address()));
-    nodes.back()->begin();
-    readersStore.objects().set("balancers-bole", "node-" + std::to_string(number),
-                               R"({"zone":"bole","peer_address":"127.0.0.1:9","capacity":1})");
+    nodes.back()->start();
+    storeOfReader.objects().set("balancers-bole", "node-" + std::to_string(number),
+                                R"({"zone":"bole","peer_address":"127.0.0.1:9","capacity":1})");
   }
   CHECK_TRUE(holdsWithin([this] { return nodes.front()->readsStore(); }));
-  test::StandinFaults cut;
-  cut.responseMode = test::StoreResponseMode::kSilent;
-  readersStore.setFaults(cut);
+  test::StandinFaults faults;
+  faults.responseMode = test::StoreResponseMode::kSilent;
+  storeOfReader.setFaults(faults);
   std::this_thread::sleep_for(kChangeBound);
-  const TimePoint changed = steadyNow();
+  const TimePoint changedAt = steadyNow();
   drain(1);
   nodes.erase(nodes.begin());
   CHECK_TRUE(allHaveActiveHosts(3));
-  CHECK_TRUE(steadyNow() - changed < kChangeBound);
+  CHECK_TRUE(steadyNow() - changedAt < kChangeBound);
 }
 
 TEST(ZoneReader, AStoreOutageRevertsNothingAndAllNodesRecover) {
   startAll();
-  test::StandinFaults down;
-  down.responseMode = test::StoreResponseMode::kReset;
-  store.setFaults(down);
+  test::StandinFaults faults;
+  faults.responseMode = test::StoreResponseMode::kReset;
+  store.setFaults(faults);
   std::this_thread::sleep_for(kChangeBound);
   CHECK_TRUE(allHaveActiveHosts(4));
-  // All nodes only probe, except the reader and the two that may have been asked in its place.
-  size_t calling = 0;
+  // Only the reader, and up to two nodes that the others contacted in its place, call the store;
+  // all others only probe it.
+  size_t callingNodes = 0;
   for (const auto& node : nodes) {
-    calling += node->failures() > 0 ? 1 : 0;
+    callingNodes += node->failures() > 0 ? 1 : 0;
   }
-  CHECK_TRUE(calling <= 3);
+  CHECK_TRUE(callingNodes <= 3);
   drain(2);
-  const TimePoint back = steadyNow();
+  const TimePoint restoredAt = steadyNow();
   store.setFaults({});
   CHECK_TRUE(allHaveActiveHosts(3));
-  CHECK_TRUE(steadyNow() - back < kChangeBound);
+  CHECK_TRUE(steadyNow() - restoredAt < kChangeBound);
   CHECK_TRUE(holdsWithin([this] { return readers() == 1; }, seconds(20)));
 }
 
@@ -384,9 +387,9 @@
 TEST(ZoneReader, TheReaderIsFollowedAgainSoonAfterAnOutageWithoutChanges) {
   // More connections would exceed POCO's buffer pool, which the leak detection would report.
   startAll(kMinNodes);
-  test::StandinFaults down;
-  down.responseMode = test::StoreResponseMode::kReset;
-  store.setFaults(down);
+  test::StandinFaults faults;
+  faults.responseMode = test::StoreResponseMode::kReset;
+  store.setFaults(faults);
   store.objects().endWatches();
   std::this_thread::sleep_for(kChangeBound / 2);
   std::vector<uint64_t> before;
@@ -412,7 +415,7 @@
   store.objects().remove("servers", hostName(2), 0);
   CHECK_TRUE(allHaveActiveHosts(2));
   nodes.push_back(std::make_unique<Node>(kNodes + 1, store.address()));
-  nodes.back()->begin();
+  nodes.back()->start();
   CHECK_TRUE(allHaveActiveHosts(2));
   CHECK_TRUE(holdsWithin([this] { return !nodes.back()->readsStore(); }));
   store.objects().set("servers", hostName(9), hostEntry(9));
@@ -425,7 +428,7 @@
   drain(1);
   CHECK_TRUE(allHaveActiveHosts(3));
   nodes.push_back(std::make_unique<Node>(kNodes + 1, store.address()));
-  nodes.back()->begin();
+  nodes.back()->start();
   CHECK_TRUE(allHaveActiveHosts(3));
   LONGS_EQUAL(0, nodes.back()->lists());
   LONGS_EQUAL(3, nodes.back()->configurationVersion());
@@ -436,18 +439,18 @@
  * each.
  */
 TEST(ZoneReader, NodesThatStartTogetherListTheStoreOnce) {
-  constexpr uint32_t kStarting = 16;
+  constexpr uint32_t kStartingNodes = 16;
   constexpr uint32_t kHosts = 3000;
   constexpr size_t kPages = kHosts / kPageSize;
-  registerNodes(kStarting);
+  registerNodes(kStartingNodes);
   for (uint32_t index = 5; index <= kHosts; ++index) {
     store.objects().set("servers", hostName(index), hostEntry(index));
   }
-  test::StandinFaults slow;
-  slow.slow = milliseconds(30);
-  store.setFaults(slow);
+  test::StandinFaults faults;
+  faults.slow = milliseconds(30);
+  store.setFaults(faults);
   for (const auto& node : nodes) {
-    node->begin();
+    node->start();
   }
   CHECK_TRUE(allHaveActiveHosts(kHosts));
   uint64_t pages = 0;
@@ -456,10 +459,10 @@
     pages += node->lists();
     copies += node->hostCopies();
   }
-  // The configuration is also one page. Four nodes read and pass on what one of them listed; each
+  // The configuration adds one page. Four nodes read and pass on what one of them listed; each
   // of them encodes it once.
   LONGS_EQUAL(kPages + 1, pages);
-  CHECK_TRUE(copies <= kReadersOfStart);
+  CHECK_TRUE(copies <= kReadersAtStart);
 }
 
 /**
@@ -467,20 +470,20 @@
  * others.
  */
 TEST(ZoneReader, WithoutAnsweringPeersNodesListInOrderOfRank) {
-  constexpr uint32_t kStarting = 16;
+  constexpr uint32_t kStartingNodes = 16;
   constexpr Duration kPeerWait = seconds(2);
-  registerNodes(kStarting);
+  registerNodes(kStartingNodes);
   for (const auto& node : nodes) {
     node->stopAnswering();
     node->setPeerWait(kPeerWait);
-    node->begin();
+    node->start();
   }
   const auto listing = [this] {
     return std::count_if(nodes.begin(), nodes.end(),
                          [](const auto& node) { return node->lists() > 0; });
   };
   std::this_thread::sleep_for(kPeerWait * 3 / 2);
-  CHECK_EQUAL(2 * static_cast<std::ptrdiff_t>(kReadersOfStart), listing());
+  CHECK_EQUAL(2 * static_cast<std::ptrdiff_t>(kReadersAtStart), listing());
   CHECK_TRUE(allHaveActiveHosts(4));
 }
 
@@ -488,21 +491,21 @@
   startAll();
   nodes.erase(nodes.begin(), nodes.end() - 1);
   nodes.push_back(std::make_unique<Node>(kNodes + 1, store.address()));
-  nodes.back()->begin();
+  nodes.back()->start();
   CHECK_TRUE(allHaveActiveHosts(4));
 }
 
 /** One seed rejects the request, the other holds the state from before the outage. */
 TEST(ZoneReader, CopiesFromASeedInAnOutageAndLaterDropsWhatTheStoreLacks) {
   startAll(kMinNodes);
-  test::StandinFaults silent;
-  silent.responseMode = test::StoreResponseMode::kSilent;
-  store.setFaults(silent);
+  test::StandinFaults faults;
+  faults.responseMode = test::StoreResponseMode::kSilent;
+  store.setFaults(faults);
   store.objects().remove("servers", hostName(4), 0);
   nodes.push_back(std::make_unique<Node>(kMinNodes + 1, store.address()));
   constexpr Endpoint kRefusing{0x7F000001, 9};
   nodes.back()->setSeeds({kRefusing, nodes.front()->peerAddress()});
-  nodes.back()->begin();
+  nodes.back()->start();
   CHECK_TRUE(holdsWithin([this] { return nodes.back()->activeHosts() == 4; }));
   LONGS_EQUAL(3, nodes.back()->configurationVersion());
   LONGS_EQUAL(0, nodes.back()->lists());
@@ -514,15 +517,15 @@
   followsEvacuations = true;
   // More connections would exceed POCO's buffer pool, which the leak detection would report.
   startAll(kMinNodes);
-  const EvacuatedZones both{{"bole", "merkato"}};
+  const EvacuatedZones bothZones{{"bole", "merkato"}};
   store.objects().set("evacuations", "bole", "{}");
   store.objects().set("evacuations", "merkato", "{}");
-  CHECK_TRUE(allHaveEvacuated(both, kChangeBound));
+  CHECK_TRUE(allHaveEvacuated(bothZones, kChangeBound));
   // A node that starts knows the evacuations before it is ready.
   nodes.push_back(std::make_unique<Node>(kMinNodes + 1, store.address(), true));
-  nodes.back()->begin();
+  nodes.back()->start();
   CHECK_TRUE(holdsWithin([&] { return nodes.back()->activeHosts() == 4; }));
-  CHECK_TRUE(nodes.back()->evacuated() == both);
+  CHECK_TRUE(nodes.back()->evacuated() == bothZones);
   store.objects().remove("evacuations", "bole", 0);
   CHECK_TRUE(allHaveEvacuated({{"merkato"}}, kChangeBound));
 }
@@ -533,9 +536,9 @@
   store.objects().set("evacuations", "merkato", "{}");
   CHECK_TRUE(allHaveEvacuated({{"merkato"}}, kChangeBound));
   // Removed and created again while no node receives updates.
-  test::StandinFaults outage;
-  outage.responseMode = test::StoreResponseMode::kSilent;
-  store.setFaults(outage);
+  test::StandinFaults faults;
+  faults.responseMode = test::StoreResponseMode::kSilent;
+  store.setFaults(faults);
   store.objects().remove("evacuations", "merkato", 0);
   store.objects().set("evacuations", "bole", "{}");
   std::this_thread::sleep_for(milliseconds(300));
@@ -549,9 +552,9 @@
  */
 TEST(ZoneReader, FollowersKeepListingTheZonesNodesAfterAnOutage) {
   startAll(kMinNodes);
-  test::StandinFaults down;
-  down.responseMode = test::StoreResponseMode::kReset;
-  store.setFaults(down);
+  test::StandinFaults faults;
+  faults.responseMode = test::StoreResponseMode::kReset;
+  store.setFaults(faults);
   std::this_thread::sleep_for(2 * kChangeBound);
   store.setFaults({});
   CHECK_TRUE(holdsWithin([this] { return readers() == 1; }, seconds(20)));
@@ -564,7 +567,7 @@
 TEST(ZoneReader, ASmallZoneHasNoReader) {
   for (uint32_t number = 1; number <= 5; ++number) {
     nodes.push_back(std::make_unique<Node>(number, store.address()));
-    nodes.back()->begin();
+    nodes.back()->start();
   }
   std::this_thread::sleep_for(seconds(1));
   CHECK_EQUAL(5U, readers());
@@ -577,13 +580,13 @@
 
 TEST(ZoneReader, ARegistryEntryIsCreatedOnceAndReplacedIfItDiffers) {
   startAll();
-  const uint64_t calls = store.calls().others;
+  const uint64_t calls = store.calls().changes;
   LONGS_EQUAL(kNodes, calls);
   nodes.pop_back();
   nodes.push_back(std::make_unique<Node>(kNodes, store.address()));
-  nodes.back()->begin();
+  nodes.back()->start();
   // Its port differs: the list contains the old entry, so creating the entry is rejected and the
   // entry is replaced.
-  CHECK_TRUE(holdsWithin([&] { return store.calls().others == calls + 2; }));
+  CHECK_TRUE(holdsWithin([&] { return store.calls().changes == calls + 2; }));
   CHECK_TRUE(allHaveActiveHosts(4));
 }
