--- a/bench/experiment/experiment_run.cc
+++ b/bench/experiment/experiment_run.cc
@@ -152,7 +152,7 @@
 bool ExperimentRun::restartNode(const NodePlan& node) {
   const std::string name = Environment::nodeName(node);
   environment_.beginNodeStop(node);
-  const bool ended = environment_.processes().waitForEnd(name, kStopPatienceMillis);
+  const bool ended = environment_.processes().waitForExit(name, kStopPatienceMillis);
   if (!ended) {
     environment_.processes().kill(name);
   }
--- a/bench/support/process_group.cc
+++ b/bench/support/process_group.cc
@@ -141,7 +141,7 @@
   return found != entries_.end() && found->second->running();
 }
 
-bool ProcessGroup::waitForEnd(const std::string& name, int milliseconds) {
+bool ProcessGroup::waitForExit(const std::string& name, int milliseconds) {
   for (int waited = 0; running(name); waited += kPollMillis) {
     if (waited >= milliseconds) {
       return false;
@@ -153,7 +153,7 @@
 
 void ProcessGroup::kill(const std::string& name) {
   signal(name, SIGKILL);
-  waitForEnd(name, kEndPatienceMillis);
+  waitForExit(name, kEndPatienceMillis);
 }
 
 std::optional<ProcessUsage> ProcessGroup::usage(const std::string& name) const {
@@ -168,7 +168,7 @@
                       statusMegabytes(process, "RssFile"), descriptorsOf(process)};
 }
 
-std::optional<std::chrono::nanoseconds> ProcessGroup::waitedForProcessor(
+std::optional<std::chrono::nanoseconds> ProcessGroup::processorWaitTime(
     const std::string& name) const {
   const std::lock_guard lock(mutex_);
   const auto found = entries_.find(name);
--- a/bench/support/process_group.h
+++ b/bench/support/process_group.h
@@ -40,14 +40,14 @@
   void signal(const std::string& name, int signal);
   bool running(const std::string& name);
   /** @return whether it ended within that time. */
-  bool waitForEnd(const std::string& name, int milliseconds);
+  bool waitForExit(const std::string& name, int milliseconds);
   /** Ends a process at once. */
   void kill(const std::string& name);
   /** @return nothing where it has ended, or does not execute its program yet. */
   std::optional<ProcessUsage> usage(const std::string& name) const;
   /** @return for how long its first thread was ready to run and got no processor since its start;
    * nothing where that is not known. */
-  std::optional<std::chrono::nanoseconds> waitedForProcessor(const std::string& name) const;
+  std::optional<std::chrono::nanoseconds> processorWaitTime(const std::string& name) const;
 
  private:
   struct Entry;
--- a/test/soak/world/node_processes.cc
+++ b/test/soak/world/node_processes.cc
@@ -97,7 +97,7 @@
 
 void NodeProcesses::measureWaits(TimePoint now, WaitWatch& waits) const {
   for (const NodePlan& node : plan_.nodes()) {
-    if (const auto waited = processes_.waitedForProcessor(node.name)) {
+    if (const auto waited = processes_.processorWaitTime(node.name)) {
       waits.onTotal(now, node.name, std::chrono::duration_cast<Duration>(*waited));
     }
   }
@@ -109,7 +109,7 @@
     processes_.signal(node.name, SIGTERM);
   }
   for (const NodePlan& node : plan_.nodes()) {
-    processes_.waitForEnd(node.name, kEndPatienceMillis);
+    processes_.waitForExit(node.name, kEndPatienceMillis);
   }
 }
 
