--- a/bench/experiment/experiment_run.cc
+++ b/bench/experiment/experiment_run.cc
@@ -17,6 +17,7 @@
 constexpr std::chrono::milliseconds kPollInterval(25);
 constexpr std::chrono::seconds kFlowOpenTimeout(20);
 constexpr std::chrono::seconds kFinishTimeout(20);
+/** Timeout for a node to become ready or to apply a configuration version. */
 constexpr std::chrono::seconds kNodeTimeout(15);
 constexpr std::chrono::seconds kReloadTimeout(5);
 constexpr int kStopTimeoutMillis = 30000;
--- a/bench/experiment/operator_client.h
+++ b/bench/experiment/operator_client.h
@@ -24,12 +24,13 @@
   kUnknown,
 };
 
-/** What an operator does after another one changed the service between its read and its
+/** Reaction of an operator to a conflict: another one changed the service between its read and its
  * write. */
 enum class ConflictPolicy : uint8_t {
   /** Applies its change to the current service. */
   kReapply,
-  /** Overwrites the current service with its earlier result, which loses the other change. */
+  /** Overwrites the current service with its earlier result and thereby discards the other change;
+   * shows the effect of ignoring versions. */
   kOverwrite,
 };
 
--- a/bench/support/process_group.h
+++ b/bench/support/process_group.h
@@ -44,7 +44,7 @@
   bool running(const std::string& name);
   /** @return whether the process exited within this time. */
   bool waitForExit(const std::string& name, int timeoutMillis);
-  /** Sends SIGKILL and waits for the exit, at most 3 s. */
+  /** Sends SIGKILL and waits up to 3 s for the exit. */
   void kill(const std::string& name);
   /** @return nullopt if the process has exited or doesn't execute its program yet. */
   std::optional<ProcessUsage> usage(const std::string& name) const;
