--- a/source/standins/flows/caller_load.cc
+++ b/source/standins/flows/caller_load.cc
@@ -6,7 +6,8 @@
 namespace umberhold {
 namespace {
 
-/** Transmissions of a caller's first packet; retransmitted after 1, 2 and 4 s (RFC 6298). */
+/** Maximum number of transmissions of a caller's first packet: the first one, and retransmissions
+ * after 1, 2 and 4 s (RFC 6298). */
 constexpr int kFirstPacketAttempts = 4;
 constexpr uint32_t kFirstCaller = 0x0A000000;
 constexpr uint32_t kPortsPerCaller = 16;
@@ -43,11 +44,11 @@
 
 uint32_t CallerLoad::openFlow() {
   FlowKey key;
-  key.caller.address = kFirstCaller + opened_ / kPortsPerCaller;
-  key.caller.port = static_cast<uint16_t>(kFirstPort + opened_ % kPortsPerCaller);
+  key.caller.address = kFirstCaller + openedFlows_ / kPortsPerCaller;
+  key.caller.port = static_cast<uint16_t>(kFirstPort + openedFlows_ % kPortsPerCaller);
   key.service = Endpoint{region_.service().address, region_.service().port};
   key.protocol = options_.protocol;
-  ++opened_;
+  ++openedFlows_;
   const uint32_t flow = region_.oracle().open(key);
   sendFirst(flow, 0);
   return flow;
@@ -64,14 +65,15 @@
     return;
   }
   region_.sendFromCaller(flow, phaseOf(PacketPhase::kOpening));
-  // An answer arrives within some milliseconds or is lost.
-  const Duration patience = std::chrono::seconds(1) * (1 << attempt);
-  const Duration answer = std::chrono::milliseconds(20);
-  region_.after(answer, [this, flow, attempt, patience, answer] {
+  // A caller receives an answer within 20 ms; without one, it retransmits after the timeout.
+  const Duration retransmissionTimeout = std::chrono::seconds(1) * (1 << attempt);
+  const Duration answerDelay = std::chrono::milliseconds(20);
+  region_.after(answerDelay, [this, flow, attempt, retransmissionTimeout, answerDelay] {
     if (region_.oracle().flow(flow).host) {
       sendFirst(flow, attempt + 1);
     } else {
-      region_.after(patience - answer, [this, flow, attempt] { sendFirst(flow, attempt + 1); });
+      region_.after(retransmissionTimeout - answerDelay,
+                    [this, flow, attempt] { sendFirst(flow, attempt + 1); });
     }
   });
 }
@@ -87,8 +89,8 @@
     return;
   }
   region_.sendFromCaller(flow, phaseOf(PacketPhase::kContinuing));
-  const Duration rest = std::max(end - region_.now(), Duration(1));
-  region_.after(std::min<Duration>(exponential(options_.meanPacketGap), rest),
+  const Duration remaining = std::max(end - region_.now(), Duration(1));
+  region_.after(std::min<Duration>(exponential(options_.meanPacketGap), remaining),
                 [this, flow, end] { sendNext(flow, end); });
 }
 
--- a/source/standins/flows/flow_oracle.cc
+++ b/source/standins/flows/flow_oracle.cc
@@ -5,7 +5,8 @@
 namespace umberhold {
 namespace {
 
-/** Grace period, from the start of a drain, after which no new flow may reach the host. */
+/** Grace period of a drain: new flows may reach the host for this long after the drain is in
+ * effect on all nodes; see setDraining(). */
 constexpr Duration kDrainGrace = std::chrono::seconds(3);
 
 }  // namespace
@@ -40,8 +41,8 @@
     }
     return;
   }
-  const bool first = phase == PacketPhase::kOpening || phase == PacketPhase::kUnmarked;
-  if (!first) {
+  const bool opensFlow = phase == PacketPhase::kOpening || phase == PacketPhase::kUnmarked;
+  if (!opensFlow) {
     return;
   }
   flow.host = host;
@@ -96,18 +97,18 @@
 }
 
 double FlowOracle::imbalance() const {
-  double sum = 0.0;
-  double most = 0.0;
-  double hosts = 0.0;
+  double totalFlows = 0.0;
+  double busiestFlows = 0.0;
+  double hostCount = 0.0;
   for (const auto& [host, count] : liveFlows()) {
     if (stoppedHosts_.contains(host) || draining_.contains(host)) {
       continue;
     }
-    sum += count;
-    most = std::max(most, static_cast<double>(count));
-    hosts += 1.0;
+    totalFlows += count;
+    busiestFlows = std::max(busiestFlows, static_cast<double>(count));
+    hostCount += 1.0;
   }
-  return sum > 0.0 ? most * hosts / sum : 0.0;
+  return totalFlows > 0.0 ? busiestFlows * hostCount / totalFlows : 0.0;
 }
 
 }  // namespace umberhold
--- a/source/standins/flows/flow_oracle.h
+++ b/source/standins/flows/flow_oracle.h
@@ -47,14 +47,17 @@
 /** Checks the packets of hosts and callers. Not thread safe. */
 class FlowOracle {
  public:
+  /** Adds a flow. @return its number. */
   uint32_t open(const FlowKey& key);
+  /** Checks a packet that was forwarded to a host. */
   void onHost(TimePoint now, uint32_t flow, const Endpoint& host, PacketPhase phase);
+  /** Checks a refusal of a flow. */
   void onRefused(TimePoint now, uint32_t flow, PacketPhase phase);
   void end(uint32_t flow) { flows_[flow].ended = true; }
   /** Records that the host stopped; the loss of its flows is no violation. */
   void removeHost(const Endpoint& host);
   void addHost(const Endpoint& host) { stoppedHosts_.erase(host); }
-  /** Sets the start of the host's drain; std::nullopt clears it. */
+  /** @param since when the host's drain is in effect on all nodes; nullopt: it is not draining. */
   void setDraining(const Endpoint& host, std::optional<TimePoint> since);
 
   const OracleFlow& flow(uint32_t flow) const { return flows_[flow]; }
@@ -66,7 +69,8 @@
   uint64_t broken() const { return broken_; }
   /** @return the number of live flows of each host. */
   std::map<Endpoint, uint32_t> liveFlows() const;
-  /** @return maximum over mean of live flows per host, without stopped and draining hosts. */
+  /** @return the ratio of the maximum to the mean of live flows per host, without stopped and
+   * draining hosts; 0 if there are no flows. */
   double imbalance() const;
 
  private:
--- a/source/standins/flows/shard_traffic.cc
+++ b/source/standins/flows/shard_traffic.cc
@@ -8,10 +8,10 @@
 namespace umberhold {
 namespace {
 
-/** Envelope of wire/envelope.h, UDP and IP headers; see docs/CAPACITY.md. */
+/** UDP and IP headers, and the envelope of wire/envelope.h; see docs/CAPACITY.md. */
 constexpr uint64_t kDatagramOverhead = 28 + 45;
 
-bool isLoad(const Message& message) {
+bool isLoadMessage(const Message& message) {
   return std::holds_alternative<LoadShare>(message.body) ||
          std::holds_alternative<PermitRequest>(message.body) ||
          std::holds_alternative<PermitGrant>(message.body);
@@ -22,7 +22,7 @@
 void ShardTraffic::count(TimePoint now, uint32_t from, const Message& message) {
   const auto encoded = encode(message);
   const uint64_t bytes = valueOf(encoded).size() + kDatagramOverhead;
-  if (isLoad(message)) {
+  if (isLoadMessage(message)) {
     load_ += bytes;
   } else if (std::holds_alternative<ReplicaAck>(message.body)) {
     acknowledgements_ += bytes;
--- a/source/standins/flows/simulated_node.h
+++ b/source/standins/flows/simulated_node.h
@@ -17,7 +17,7 @@
 
 namespace umberhold {
 
-/** The stand-in for an inner IP packet. */
+/** Replaces the inner IP packet in simulations. */
 struct SimulatedPacket {
   static constexpr uint8_t kTimeToLive = 64;
 
@@ -37,7 +37,7 @@
   }
 };
 
-/** A member list; updates may be applied in any order. */
+/** A member list; updates may be applied in any order, as those that are not newer are ignored. */
 class SimulatedView : public MembershipView {
  public:
   explicit SimulatedView(const Member& self) : self_(self.id) { members_[self.id] = self; }
@@ -45,10 +45,10 @@
   /** @return whether the update changed the list. */
   bool apply(const Member& member) {
     const auto known = members_.find(member.id);
-    const bool older =
+    const bool isStale =
         known != members_.end() && std::tie(member.incarnation, member.state) <=
                                        std::tie(known->second.incarnation, known->second.state);
-    if (older) {
+    if (isStale) {
       return false;
     }
     members_[member.id] = member;
--- a/source/standins/flows/simulated_region.cc
+++ b/source/standins/flows/simulated_region.cc
@@ -8,7 +8,9 @@
 namespace umberhold {
 namespace {
 
+/** Interval at which all nodes run their tick. */
 constexpr Duration kTick = std::chrono::milliseconds(10);
+/** Time for which a leaving node continues to run after its handover. */
 constexpr Duration kLinger = std::chrono::seconds(2);
 constexpr UnixSeconds kUnixStart = 1'800'000'000;
 
@@ -18,7 +20,7 @@
     : options_(std::move(options)),
       random_(options_.seed),
       nextTick_(now_),
-      configuredEverywhere_(now_) {
+      configuredEverywhereAt_(now_) {
   scheduleViewExchange();
 }
 
@@ -33,7 +35,7 @@
   return serviceIdOf(service_.name);
 }
 
-Duration SimulatedRegion::between(Duration shortest, Duration longest) {
+Duration SimulatedRegion::randomDuration(Duration shortest, Duration longest) {
   const auto span = static_cast<uint64_t>((longest - shortest).count()) + 1;
   return shortest + Duration(static_cast<Duration::rep>(random_.below(span)));
 }
@@ -82,7 +84,7 @@
 void SimulatedRegion::endNode(uint32_t id) {
   const auto known = nodes_.find(id);
   if (known != nodes_.end()) {
-    // Its frames may still be on the call stack.
+    // Functions of the node may still be on the call stack, so it is destroyed later.
     ended_.push_back(std::move(known->second));
     nodes_.erase(known);
   }
@@ -91,19 +93,20 @@
 void SimulatedRegion::configure(const Service& service) {
   service_ = service;
   const uint64_t version = ++configurationVersion_;
-  configuredEverywhere_ = now_ + options_.lags.configuration;
+  configuredEverywhereAt_ = now_ + options_.lags.configuration;
   for (const auto& [id, node] : nodes_) {
-    after(between(Duration(0), options_.lags.configuration), [this, id = id, version, service] {
-      const auto known = nodes_.find(id);
-      if (known != nodes_.end()) {
-        known->second->onService(version, serviceIdOf(service.name), service);
-      }
-    });
+    after(randomDuration(Duration(0), options_.lags.configuration),
+          [this, id = id, version, service] {
+            const auto known = nodes_.find(id);
+            if (known != nodes_.end()) {
+              known->second->onService(version, serviceIdOf(service.name), service);
+            }
+          });
   }
 }
 
 Duration SimulatedRegion::configurationAge() const {
-  return now_ - configuredEverywhere_;
+  return now_ - configuredEverywhereAt_;
 }
 
 void SimulatedRegion::sendFromCaller(uint32_t flow, PacketPhase phase) {
@@ -113,15 +116,16 @@
   }
   const uint32_t id = ready[random_.below(ready.size())];
   const SimulatedPacket packet{flow, phase, SimulatedPacket::kTimeToLive};
-  after(between(options_.faults.shortestDelay, options_.faults.longestDelay), [this, id, packet] {
-    if (Node* node = runningNode(id)) {
-      node->onPacket(now_, packet.encode(), PacketSource::kFabric);
-    }
-  });
+  after(randomDuration(options_.faults.shortestDelay, options_.faults.longestDelay),
+        [this, id, packet] {
+          if (Node* node = runningNode(id)) {
+            node->onPacket(now_, packet.encode(), PacketSource::kFabric);
+          }
+        });
 }
 
 void SimulatedRegion::tickNodes() {
-  std::vector<uint32_t> gone;
+  std::vector<uint32_t> endedNodes;
   for (const auto& [id, node] : nodes_) {
     if (node->pausedUntil > now_) {
       continue;
@@ -130,35 +134,35 @@
     if (!node->leaving) {
       continue;
     }
-    const bool handedOver = !node->owned || node->owned->handedOver();
+    const bool handedOver = !node->shardDirector || node->shardDirector->handedOver();
     if (!handedOver) {
       node->handedOverSince = TimePoint{};
     } else if (node->handedOverSince == TimePoint{}) {
       node->handedOverSince = now_;
     } else if (now_ - node->handedOverSince >= kLinger) {
-      gone.push_back(id);
+      endedNodes.push_back(id);
     }
   }
-  for (const uint32_t id : gone) {
+  for (const uint32_t id : endedNodes) {
     Member member = nodes_.at(id)->self();
     member.state = MemberState::kDead;
     endNode(id);
     for (const auto& [otherId, other] : nodes_) {
-      sendMemberUpdate(otherId, member, between(Duration(0), options_.lags.membership));
+      sendMemberUpdate(otherId, member, randomDuration(Duration(0), options_.lags.membership));
     }
   }
 }
 
 void SimulatedRegion::runUntil(TimePoint end) {
   while (now_ < end) {
-    const bool eventFirst = !events_.empty() && events_.top().when <= nextTick_;
-    const TimePoint next = eventFirst ? events_.top().when : nextTick_;
+    const bool eventBeforeTick = !events_.empty() && events_.top().when <= nextTick_;
+    const TimePoint next = eventBeforeTick ? events_.top().when : nextTick_;
     if (next > end) {
       now_ = end;
       return;
     }
     now_ = std::max(now_, next);
-    if (eventFirst) {
+    if (eventBeforeTick) {
       const std::function<void()> action = events_.top().action;
       events_.pop();
       action();
@@ -171,14 +175,14 @@
 
 const ShardDirector* SimulatedRegion::director(uint32_t id) const {
   const auto known = nodes_.find(id);
-  return known == nodes_.end() ? nullptr : known->second->owned.get();
+  return known == nodes_.end() ? nullptr : known->second->shardDirector.get();
 }
 
 uint32_t SimulatedRegion::shardsWithOneOwner() const {
   std::map<ShardId, uint32_t> owners;
   for (const auto& [id, node] : nodes_) {
     for (const ShardStats& stats :
-         node->owned ? node->owned->shardStats(now_) : std::vector<ShardStats>{}) {
+         node->shardDirector ? node->shardDirector->shardStats(now_) : std::vector<ShardStats>{}) {
       owners[stats.shard] += stats.role == ShardRole::kOwner ? 1 : 0;
     }
   }
--- a/source/standins/flows/simulated_region.h
+++ b/source/standins/flows/simulated_region.h
@@ -42,7 +42,8 @@
 struct Lags {
   Duration membership = std::chrono::milliseconds(500);
   Duration configuration = std::chrono::milliseconds(1000);
-  /** From receipt of the member list to state alive; a joining node fetches the configuration. */
+  /** From receipt of the member list to state alive; the node fetches the configuration meanwhile.
+   */
   Duration catchUp = std::chrono::milliseconds(1000);
   /** From a node's failure to its state dead in another view; drawn for each view. */
   Duration shortestDetection = std::chrono::milliseconds(2000);
@@ -97,6 +98,7 @@
   ServiceId serviceId() const;
   bool isRunning(uint32_t id) const;
   bool hasEnded(uint32_t id) const;
+  /** @return the nodes that have not ended, including paused ones. */
   std::vector<uint32_t> runningNodes() const;
   /** @return the time since which all running nodes have had the current configuration. */
   Duration configurationAge() const;
@@ -120,9 +122,12 @@
     }
   };
 
+  /** @return the node, or nullptr if it has ended or is paused. */
   Node* runningNode(uint32_t id);
-  Duration between(Duration shortest, Duration longest);
+  /** @return a uniformly distributed duration. */
+  Duration randomDuration(Duration shortest, Duration longest);
   bool connected(uint32_t left, uint32_t right) const;
+  /** Sends over the network, with its faults; `deliver` runs once for each copy that arrives. */
   void transmit(uint32_t from, uint32_t to, const std::function<void(Node&)>& deliver);
   void sendMessage(uint32_t from, const Endpoint& to, Message message);
   void sendRelay(uint32_t from, NodeId to, std::string bytes, uint8_t timeToLive);
@@ -150,10 +155,12 @@
   uint64_t nextOrder_ = 0;
   TimePoint nextTick_;
   std::map<uint32_t, std::unique_ptr<Node>> nodes_;
+  /** Kept, because a node may end while its own code runs. */
   std::vector<std::unique_ptr<Node>> ended_;
   std::set<uint32_t> cutZones_;
   Service service_;
-  TimePoint configuredEverywhere_;
+  /** When all nodes have the current configuration at the latest. */
+  TimePoint configuredEverywhereAt_;
   uint64_t configurationVersion_ = 0;
   uint64_t incarnation_ = 1;
   ShardTraffic traffic_;
--- a/source/standins/flows/simulated_region_membership.cc
+++ b/source/standins/flows/simulated_region_membership.cc
@@ -31,13 +31,13 @@
 }
 
 void SimulatedRegion::announce(const Member& member, Duration shortest, Duration longest) {
-  const uint32_t about = member.id.value;
+  const uint32_t subject = member.id.value;
   // Applied to the node itself without delay, because any later update about it, including its
   // death, is derived from its own entry and must supersede this one.
-  nodes_.at(about)->onMember(member);
+  nodes_.at(subject)->onMember(member);
   for (const auto& [id, node] : nodes_) {
-    if (id != about && connected(id, about)) {
-      sendMemberUpdate(id, member, between(shortest, longest));
+    if (id != subject && connected(id, subject)) {
+      sendMemberUpdate(id, member, randomDuration(shortest, longest));
     }
   }
 }
@@ -57,9 +57,9 @@
     node.services.apply(configurationVersion_, serviceId(), service_);
   }
   node.start();
-  if (!service_.name.empty() && node.owned) {
+  if (!service_.name.empty() && node.shardDirector) {
     // Received before the node was ready, so the service is not new to it.
-    node.owned->onServiceChanged(now_, serviceId());
+    node.shardDirector->onServiceChanged(now_, serviceId());
   }
   join(id, self.incarnation);
 }
@@ -80,7 +80,7 @@
     after(kJoinRetry, [this, id, startIncarnation] { join(id, startIncarnation); });
     return;
   }
-  after(between(Duration(0), options_.lags.catchUp),
+  after(randomDuration(Duration(0), options_.lags.catchUp),
         [this, id, startIncarnation] { markAlive(id, startIncarnation); });
 }
 
@@ -101,7 +101,7 @@
   for (const Node* other : joining) {
     newcomer.applyMembersOf(*other);
   }
-  // Unresponsive nodes may have joined.
+  // A node that did not answer may have joined already; the caller then retries.
   return joining.size() + 1 == nodes_.size();
 }
 
@@ -114,8 +114,8 @@
     after(kJoinRetry, [this, id, startIncarnation] { markAlive(id, startIncarnation); });
     return;
   }
-  if (newcomer->owned) {
-    newcomer->owned->setCaughtUp();
+  if (newcomer->shardDirector) {
+    newcomer->shardDirector->setCaughtUp();
   }
   Member self = newcomer->self();
   self.state = MemberState::kAlive;
@@ -149,7 +149,7 @@
   endNode(id);
   for (const auto& [otherId, other] : nodes_) {
     const Duration detection =
-        between(options_.lags.shortestDetection, options_.lags.longestDetection);
+        randomDuration(options_.lags.shortestDetection, options_.lags.longestDetection);
     member.state = MemberState::kSuspect;
     sendMemberUpdate(otherId, member, detection / 2);
     member.state = MemberState::kDead;
@@ -162,8 +162,8 @@
   Member member = node.self();
   member.state = MemberState::kLeaving;
   node.leaving = true;
-  if (node.owned) {
-    node.owned->leave(now_);
+  if (node.shardDirector) {
+    node.shardDirector->leave(now_);
   }
   announce(member, Duration(0), options_.lags.membership);
 }
@@ -174,18 +174,19 @@
   node.pausedUntil = now_ + pause;
   for (const auto& [otherId, other] : nodes_) {
     const Duration detection =
-        between(options_.lags.shortestDetection, options_.lags.longestDetection);
+        randomDuration(options_.lags.shortestDetection, options_.lags.longestDetection);
     if (otherId != id && detection < pause) {
       member.state = MemberState::kDead;
       sendMemberUpdate(otherId, member, detection);
     }
   }
+  // The resumed node refutes its death with a higher incarnation.
   after(pause + std::chrono::milliseconds(100), [this, id] {
     const auto known = nodes_.find(id);
     if (known != nodes_.end() && !known->second->leaving) {
-      Member back = known->second->self();
-      back.incarnation = ++incarnation_;
-      announce(back, Duration(0), options_.lags.membership);
+      Member self = known->second->self();
+      self.incarnation = ++incarnation_;
+      announce(self, Duration(0), options_.lags.membership);
     }
   });
 }
@@ -195,13 +196,14 @@
   for (const auto& [id, node] : nodes_) {
     for (const auto& [otherId, other] : nodes_) {
       if (id != otherId && !connected(id, otherId)) {
-        Member lost = other->self();
-        lost.state = MemberState::kDead;
+        Member deadMember = other->self();
+        deadMember.state = MemberState::kDead;
         const Duration detection =
-            between(options_.lags.shortestDetection, options_.lags.longestDetection);
-        after(detection, [this, to = id, about = otherId, lost] {
-          if (nodes_.contains(to) && nodes_.contains(about) && !connected(to, about)) {
-            sendMemberUpdate(to, lost, Duration(0));
+            randomDuration(options_.lags.shortestDetection, options_.lags.longestDetection);
+        after(detection, [this, observer = id, subject = otherId, deadMember] {
+          if (nodes_.contains(observer) && nodes_.contains(subject) &&
+              !connected(observer, subject)) {
+            sendMemberUpdate(observer, deadMember, Duration(0));
           }
         });
       }
--- a/source/standins/flows/simulated_region_network.cc
+++ b/source/standins/flows/simulated_region_network.cc
@@ -7,12 +7,13 @@
 namespace umberhold {
 
 bool SimulatedRegion::connected(uint32_t left, uint32_t right) const {
-  const auto one = nodes_.find(left);
-  const auto other = nodes_.find(right);
-  if (one == nodes_.end() || other == nodes_.end()) {
+  const auto leftNode = nodes_.find(left);
+  const auto rightNode = nodes_.find(right);
+  if (leftNode == nodes_.end() || rightNode == nodes_.end()) {
     return true;
   }
-  return cutZones_.contains(one->second->zone()) == cutZones_.contains(other->second->zone());
+  return cutZones_.contains(leftNode->second->zone()) ==
+         cutZones_.contains(rightNode->second->zone());
 }
 
 void SimulatedRegion::transmit(uint32_t from, uint32_t to,
@@ -22,7 +23,7 @@
     if (random_.unit() < options_.faults.loss) {
       continue;
     }
-    after(between(options_.faults.shortestDelay, options_.faults.longestDelay),
+    after(randomDuration(options_.faults.shortestDelay, options_.faults.longestDelay),
           [this, from, to, deliver] {
             Node* node = runningNode(to);
             if (node != nullptr && connected(from, to)) {
@@ -35,8 +36,8 @@
 void SimulatedRegion::sendMessage(uint32_t from, const Endpoint& to, Message message) {
   traffic_.count(now_, from, message);
   transmit(from, to.address, [this, from, message = std::move(message)](Node& node) {
-    if (node.owned) {
-      node.owned->onMessage(now_, Endpoint{from, kControlPort}, NodeId{from}, message);
+    if (node.shardDirector) {
+      node.shardDirector->onMessage(now_, Endpoint{from, kControlPort}, NodeId{from}, message);
     }
   });
 }
--- a/source/standins/flows/simulated_region_node.h
+++ b/source/standins/flows/simulated_region_node.h
@@ -48,17 +48,19 @@
       localTable = table.get();
       baseline = std::move(table);
     } else {
-      owned = std::make_unique<ShardDirector>(
+      shardDirector = std::make_unique<ShardDirector>(
           region.options_.director, ShardDirectorParts{view, services, flows, messages, held},
           region.random_.engine()());
     }
   }
 
-  FlowDirector& director() { return owned ? static_cast<FlowDirector&>(*owned) : *baseline; }
+  FlowDirector& director() {
+    return shardDirector ? static_cast<FlowDirector&>(*shardDirector) : *baseline;
+  }
 
   void onMember(const Member& member) {
-    if (view.apply(member) && owned) {
-      owned->onMemberChanged(member);
+    if (view.apply(member) && shardDirector) {
+      shardDirector->onMemberChanged(member);
     }
   }
 
@@ -75,16 +77,16 @@
     if (!services.apply(version, service, value)) {
       return;
     }
-    if (owned) {
-      owned->onServiceChanged(region.now_, service);
+    if (shardDirector) {
+      shardDirector->onServiceChanged(region.now_, service);
     } else if (localTable != nullptr) {
       localTable->onServiceChanged(service);
     }
   }
 
   void tick() {
-    if (owned) {
-      owned->tick(region.now_, region.unixNow());
+    if (shardDirector) {
+      shardDirector->tick(region.now_, region.unixNow());
     } else {
       flows.tick(region.now_);
     }
@@ -127,7 +129,7 @@
   SimulatedHeldSink held;
   std::unique_ptr<FlowDirector> baseline;
   LocalTableDirector* localTable = nullptr;
-  std::unique_ptr<ShardDirector> owned;
+  std::unique_ptr<ShardDirector> shardDirector;
   TimePoint pausedUntil{};
   bool leaving = false;
   TimePoint handedOverSince{};
--- a/source/standins/oracle/oracle.cc
+++ b/source/standins/oracle/oracle.cc
@@ -14,7 +14,8 @@
       [at](const UnplannedEvent& event) { return at >= event.at && at <= event.until; });
 }
 
-bool drainedBefore(const RunEvidence& evidence, const HostStop& stop) {
+/** @return whether the host's drain had been requested when it stopped. */
+bool drainRequestedBefore(const RunEvidence& evidence, const HostStop& stop) {
   return std::any_of(evidence.drains.begin(), evidence.drains.end(), [&](const DrainEvent& drain) {
     return drain.host == stop.host && drain.at <= stop.at;
   });
@@ -41,7 +42,7 @@
  * after the first answer; before that, the host's own record decides.
  */
 template <class Event>
-bool wasHeldBy(const RunEvidence& evidence, const HostStop& stop, const Event& event) {
+bool wasOpenOn(const RunEvidence& evidence, const HostStop& stop, const Event& event) {
   if (event.host.empty()) {
     return hostRecordedLoss(evidence, stop.host, event);
   }
@@ -51,12 +52,13 @@
 /** @return whether the flow's host stopped without a drain while the flow was open on it. */
 template <class Event>
 bool wasLostWithHost(const RunEvidence& evidence, const Event& event) {
-  return std::any_of(evidence.hostStops.begin(), evidence.hostStops.end(),
-                     [&](const HostStop& stop) {
-                       return wasHeldBy(evidence, stop, event) && !drainedBefore(evidence, stop);
-                     });
+  return std::any_of(
+      evidence.hostStops.begin(), evidence.hostStops.end(), [&](const HostStop& stop) {
+        return wasOpenOn(evidence, stop, event) && !drainRequestedBefore(evidence, stop);
+      });
 }
 
+/** @return whether an unplanned event or the stop of the flow's host accounts for the loss. */
 template <class Event>
 bool isAttributed(const RunEvidence& evidence, const Event& event) {
   return isDuringUnplannedEvent(evidence, event.at) || wasLostWithHost(evidence, event);
@@ -134,7 +136,7 @@
   }
 }
 
-bool settled(const RunEvidence& evidence, const HostRecord& host) {
+bool isSettled(const RunEvidence& evidence, const HostRecord& host) {
   const auto& unsettled = evidence.unsettledHosts;
   return std::find(unsettled.begin(), unsettled.end(), host.host) == unsettled.end();
 }
@@ -151,7 +153,7 @@
 void judgeBalances(const RunEvidence& evidence, Verdict& verdict) {
   std::map<std::string, ServiceBalance> balances;
   for (const HostRecord& host : evidence.hosts) {
-    if (!settled(evidence, host)) {
+    if (!isSettled(evidence, host)) {
       continue;
     }
     ServiceBalance& balance = balances[host.service];
@@ -174,9 +176,10 @@
   for (const DrainEvent& drain : evidence.drains) {
     for (const HostRecord& host : evidence.hosts) {
       if (host.host == drain.host) {
-        const UnixMillis stop = std::max<UnixMillis>(0, host.counters.lastOpenedAt - drain.at);
-        verdict.drains.push_back(DrainFinding{drain.host, stop});
-        verdict.drainStopMillis = std::max(verdict.drainStopMillis.value_or(0), stop);
+        const UnixMillis stopMillis =
+            std::max<UnixMillis>(0, host.counters.lastOpenedAt - drain.at);
+        verdict.drains.push_back(DrainFinding{drain.host, stopMillis});
+        verdict.drainStopMillis = std::max(verdict.drainStopMillis.value_or(0), stopMillis);
       }
     }
   }
@@ -185,19 +188,19 @@
 }  // namespace
 
 std::optional<double> Verdict::imbalance() const {
-  std::optional<double> worst;
+  std::optional<double> maxImbalance;
   for (const ServiceBalance& balance : balances) {
-    worst = std::max(worst.value_or(0), balance.imbalance());
+    maxImbalance = std::max(maxImbalance.value_or(0), balance.imbalance());
   }
-  return worst;
+  return maxImbalance;
 }
 
 bool Verdict::promiseBroken() const {
   const bool drainTooSlow = drainStopMillis.value_or(0) > kDrainStopLimitMillis;
   const bool flowOrAnswerLost =
       brokenFlowsPlanned > 0 || cutRequestsPlanned > 0 || incompleteAnswersPlanned > 0;
-  const bool wrongRun = misroutedPackets > 0 || refusedButRun > 0 || duplicateRuns > 0;
-  return flowOrAnswerLost || wrongRun || drainTooSlow;
+  const bool deliveredOrRunWrongly = misroutedPackets > 0 || refusedButRun > 0 || duplicateRuns > 0;
+  return flowOrAnswerLost || deliveredOrRunWrongly || drainTooSlow;
 }
 
 Verdict judge(const RunEvidence& evidence) {
--- a/source/standins/oracle/oracle.h
+++ b/source/standins/oracle/oracle.h
@@ -40,13 +40,15 @@
   std::vector<UnplannedEvent> unplanned;
   std::vector<HostStop> hostStops;
   std::vector<DrainEvent> drains;
-  /** Hosts excluded from the imbalance: drained, removed, stopped, cold or not yet added. */
+  /** Names of hosts excluded from the imbalance: drained, removed, stopped, cold or not yet added.
+   */
   std::vector<std::string> unsettledHosts;
 };
 
-/** Time for which a draining host continued to receive new flows. */
+/** Result for one draining host. */
 struct DrainFinding {
   std::string host;
+  /** Time from the change that requested the drain to the last new flow on the host. */
   UnixMillis stopMillis = 0;
 };
 
@@ -59,7 +61,7 @@
   uint64_t busiestFlows = 0;
 
   double mean() const { return static_cast<double>(flows) / static_cast<double>(hosts); }
-  /** Flows of the busiest host over the mean. */
+  /** @return flows of the busiest host divided by the mean. */
   double imbalance() const { return static_cast<double>(busiestFlows) / mean(); }
 };
 
@@ -74,46 +76,49 @@
   uint64_t misroutedPackets = 0;
   /** Answers with missing parts and requests without an answer. */
   uint64_t incompleteAnswers = 0;
-  /** The part of them that is not attributed to an unplanned event. */
+  /**
+   * Requests without an answer, and answers with missing parts that are attributed neither to an
+   * unplanned event nor to the stop of their host.
+   */
   uint64_t incompleteAnswersPlanned = 0;
-  /** Requests that ran although their answer excluded execution. */
+  /** Requests that ran although they were answered with a status that excludes execution. */
   uint64_t refusedButRun = 0;
   /** Second runs of requests that must not run twice. */
   uint64_t duplicateRuns = 0;
   /** Requests in progress when their flow broke. */
   uint64_t cutRequests = 0;
-  /** The part of them that is not attributed to an unplanned event. */
+  /** Those attributed neither to an unplanned event nor to the stop of their host. */
   uint64_t cutRequestsPlanned = 0;
-  /** Packets of callers that reached their retransmission timeout. */
+  /** Retransmission timeouts of openings and requests, counted by callers. */
   uint64_t unansweredPackets = 0;
-  /** The part of them that is not attributed to an unplanned event. */
+  /** Those outside the times of the unplanned events. */
   uint64_t unansweredPacketsPlanned = 0;
-  /** Maximum time in milliseconds for which an open flow waited without receiving a packet. */
+  /** Maximum time in milliseconds for which an open flow waited for an answer without one. */
   std::optional<uint64_t> longestSilenceMillis;
   /** Unsolicited messages that hosts sent. */
   uint64_t pushes = 0;
-  /** The part of them that callers received, each id counted once. */
+  /** Those that callers received, each id counted once. */
   uint64_t pushesReceived = 0;
-  /** The part of them that hosts abandoned while the flow was open. */
+  /** Those that hosts stopped retransmitting, without a receipt, while the flow was open. */
   uint64_t pushesLost = 0;
   /** The broken flows of brokenFlowsPlanned. */
   std::vector<BrokenFlow> plannedBreaks;
   /** One entry for each service that has flows on settled hosts. */
   std::vector<ServiceBalance> balances;
-  /** Time from the change to the last new flow on the drained host; maximum over all hosts. */
+  /** Maximum of DrainFinding::stopMillis. */
   std::optional<UnixMillis> drainStopMillis;
   std::vector<DrainFinding> drains;
 
-  /** @return maximum over mean of flows per host of a service; maximum over all services. */
+  /** @return the maximum of ServiceBalance::imbalance(). */
   std::optional<double> imbalance() const;
-  /** @return whether a guarantee that covers all planned changes is violated. */
+  /** @return whether a guarantee that holds during all planned changes is violated. */
   bool promiseBroken() const;
 };
 
 /** Maximum time for which a draining host may receive new flows. */
 constexpr UnixMillis kDrainStopLimitMillis = 5000;
 
-/** Evaluates a run. */
+/** @return the result of the evaluation of a run. */
 Verdict judge(const RunEvidence& evidence);
 
 }  // namespace umberhold::standins
