--- a/source/standins/platform/control_handler.cc
+++ b/source/standins/platform/control_handler.cc
@@ -15,29 +15,30 @@
 using Poco::Net::HTTPServerRequest;
 using Poco::Net::HTTPServerResponse;
 
-constexpr size_t kSubjectPart = 1;
-constexpr size_t kIdPart = 2;
+/** Positions in the path of the segments after /control. */
+constexpr size_t kSubjectIndex = 1;
+constexpr size_t kIdIndex = 2;
 
 std::string encodeCounters(const RequestCounters& counters) {
   Poco::JSON::Object object;
-  const auto set = [&object](const char* key, const std::atomic<uint64_t>& value) {
+  const auto setCounter = [&object](const char* key, const std::atomic<uint64_t>& value) {
     object.set(key, static_cast<Poco::UInt64>(value.load()));
   };
-  set("list", counters.list);
-  set("get", counters.get);
-  set("put", counters.put);
-  set("delete", counters.remove);
-  set("watch", counters.watch);
-  set("machines", counters.machines);
-  set("conflicts", counters.conflicts);
-  set("open_watches", counters.openWatches);
-  set("most_open_watches", counters.maximumOpenWatches);
+  setCounter("list", counters.list);
+  setCounter("get", counters.get);
+  setCounter("put", counters.put);
+  setCounter("delete", counters.remove);
+  setCounter("watch", counters.watch);
+  setCounter("machines", counters.machines);
+  setCounter("conflicts", counters.conflicts);
+  setCounter("open_watches", counters.openWatches);
+  setCounter("most_open_watches", counters.maximumOpenWatches);
   std::ostringstream text;
   object.stringify(text);
   return text.str();
 }
 
-void sendDone(HTTPServerResponse& response) {
+void sendEmptyOk(HTTPServerResponse& response) {
   sendJson(response, HTTPResponse::HTTP_OK, "{}");
 }
 
@@ -48,10 +49,10 @@
 }  // namespace
 
 void ControlHandler::handleRequest(HTTPServerRequest& request, HTTPServerResponse& response) {
-  const std::string subject = path_.size() > kSubjectPart ? path_[kSubjectPart] : "";
+  const std::string subject = path_.size() > kSubjectIndex ? path_[kSubjectIndex] : "";
   if (subject == "faults") {
     faults(request, response);
-  } else if (subject == "machines" && path_.size() == kIdPart + 1) {
+  } else if (subject == "machines" && path_.size() == kIdIndex + 1) {
     machine(request, response);
   } else if (subject == "settings" && request.getMethod() == "PUT") {
     settings(request, response);
@@ -63,33 +64,33 @@
 }
 
 void ControlHandler::faults(HTTPServerRequest& request, HTTPServerResponse& response) {
-  FaultSettings wanted = state_.faults.settings();
+  FaultSettings requested = state_.faults.settings();
   if (request.getMethod() == "PUT") {
-    const auto merged = mergeFaults(wanted, readBody(request));
+    const auto merged = mergeFaults(requested, readBody(request));
     if (!isOk(merged)) {
       sendBadRequest(response, errorOf(merged).detail);
       return;
     }
-    wanted = valueOf(merged);
+    requested = valueOf(merged);
   } else if (request.getMethod() == "DELETE") {
-    wanted = FaultSettings{};
+    requested = FaultSettings{};
   }
-  if (request.getMethod() != "GET" && !applyFaults_(wanted)) {
+  if (request.getMethod() != "GET" && !applyFaults_(requested)) {
     sendBadRequest(response, "outage 'refused' can be set through the control port only");
     return;
   }
-  sendJson(response, HTTPResponse::HTTP_OK, encodeFaults(wanted));
+  sendJson(response, HTTPResponse::HTTP_OK, encodeFaults(requested));
 }
 
 void ControlHandler::machine(HTTPServerRequest& request, HTTPServerResponse& response) {
   unsigned nodeId = 0;
-  if (!Poco::NumberParser::tryParseUnsigned(path_[kIdPart], nodeId)) {
-    sendBadRequest(response, "the node id is no number");
+  if (!Poco::NumberParser::tryParseUnsigned(path_[kIdIndex], nodeId)) {
+    sendBadRequest(response, "the node id is not a number");
     return;
   }
   if (request.getMethod() == "DELETE") {
     state_.machines.remove(nodeId);
-    sendDone(response);
+    sendEmptyOk(response);
     return;
   }
   const auto machine = decodeMachine(readBody(request));
@@ -98,7 +99,7 @@
     return;
   }
   state_.machines.put(valueOf(machine));
-  sendDone(response);
+  sendEmptyOk(response);
 }
 
 void ControlHandler::settings(HTTPServerRequest& request, HTTPServerResponse& response) {
@@ -112,7 +113,7 @@
       state_.machines.setLag(
           std::chrono::milliseconds(object->getValue<Poco::UInt32>("machines_lag_ms")));
     }
-    sendDone(response);
+    sendEmptyOk(response);
   } catch (const Poco::Exception& error) {
     sendBadRequest(response, error.displayText());
   }
--- a/source/standins/platform/fault_switches.cc
+++ b/source/standins/platform/fault_switches.cc
@@ -11,9 +11,9 @@
 
 using Poco::JSON::Object;
 
-Duration readMilliseconds(const Object& object, const std::string& key, Duration otherwise) {
+Duration readMilliseconds(const Object& object, const std::string& key, Duration defaultValue) {
   if (!object.has(key)) {
-    return otherwise;
+    return defaultValue;
   }
   return std::chrono::milliseconds(object.getValue<Poco::UInt32>(key));
 }
@@ -69,8 +69,8 @@
     --settings_.loseAnswersNext;
     return ChangeFault::kAnswerLost;
   }
-  std::bernoulli_distribution lose(settings_.loseAnswersProbability);
-  return lose(random_) ? ChangeFault::kAnswerLost : ChangeFault::kNormal;
+  std::bernoulli_distribution answerIsLost(settings_.loseAnswersProbability);
+  return answerIsLost(random_) ? ChangeFault::kAnswerLost : ChangeFault::kNormal;
 }
 
 Result<FaultSettings, FaultError> mergeFaults(FaultSettings settings, const std::string& json) {
--- a/source/standins/platform/fault_switches.h
+++ b/source/standins/platform/fault_switches.h
@@ -22,17 +22,20 @@
 
 /** Settings of the switches; see docs/PLATFORM_API.md. */
 struct FaultSettings {
+  /** Delay before the API handles a request. */
   Duration slow{0};
   Outage outage = Outage::kNone;
+  /** Retry-After of kUnavailable. */
   uint32_t retryAfterSeconds = 1;
-  /** Number of next changes that take effect but whose answers are lost. */
+  /** The answers to this many next changes are lost; the changes take effect. */
   uint32_t loseAnswersNext = 0;
-  /** Probability with which the answer of any other change is lost. */
+  /** Probability that the answer to a change without a counted fault is lost; the change takes
+   * effect. */
   double loseAnswersProbability = 0;
-  /** Number of next changes that are lost before they take effect. */
+  /** This many next changes are lost before they take effect. */
   uint32_t loseRequestsNext = 0;
-  /** Number of next changes whose connection is closed at once and that take effect after `lateBy`.
-   */
+  /** The connections of this many next changes are closed immediately; the changes take effect
+   * after `lateBy`. */
   uint32_t lateChangesNext = 0;
   Duration lateBy = std::chrono::seconds(1);
 };
--- a/source/standins/platform/machine_list.cc
+++ b/source/standins/platform/machine_list.cc
@@ -19,8 +19,8 @@
 
 std::vector<Machine> MachineList::visible() {
   const std::lock_guard lock(mutex_);
-  const auto horizon = std::chrono::steady_clock::now() - lag_;
-  while (!pending_.empty() && pending_.front().at <= horizon) {
+  const auto visibleUntil = std::chrono::steady_clock::now() - lag_;
+  while (!pending_.empty() && pending_.front().at <= visibleUntil) {
     const Change& change = pending_.front();
     if (change.machine) {
       visible_[change.nodeId] = *change.machine;
--- a/source/standins/platform/machine_list.h
+++ b/source/standins/platform/machine_list.h
@@ -27,6 +27,7 @@
 
  private:
   struct Change {
+    /** When the change was made; it becomes visible after the lag. */
     std::chrono::steady_clock::time_point at;
     uint32_t nodeId = 0;
     /** Empty for a removal. */
@@ -35,6 +36,7 @@
 
   std::mutex mutex_;
   Duration lag_;
+  /** Changes that are not applied to visible_ yet, oldest first. */
   std::deque<Change> pending_;
   std::map<uint32_t, Machine> visible_;
 };
--- a/source/standins/platform/object_api_handler.cc
+++ b/source/standins/platform/object_api_handler.cc
@@ -11,10 +11,11 @@
 using Poco::Net::HTTPServerRequest;
 using Poco::Net::HTTPServerResponse;
 
-constexpr size_t kCollectionPart = 2;
-constexpr size_t kNamePart = 3;
-constexpr uint64_t kDefaultPage = 500;
-constexpr uint64_t kMaximumWaitMilliseconds = 60000;
+/** Positions in the path of the segments after /api/v1. */
+constexpr size_t kCollectionIndex = 2;
+constexpr size_t kNameIndex = 3;
+constexpr uint64_t kDefaultPageSize = 500;
+constexpr uint64_t kMaxWaitMilliseconds = 60000;
 
 void sendChangeAnswer(HTTPServerResponse& response, const ObjectStore::ChangeAnswer& answer,
                       bool isRemoval) {
@@ -46,19 +47,19 @@
 
 void ObjectApiHandler::route(HTTPServerRequest& request, HTTPServerResponse& response) {
   const std::string& method = request.getMethod();
-  const std::string part = path_.size() > kCollectionPart ? path_[kCollectionPart] : "";
-  const bool whole = path_.size() == kCollectionPart + 1;
-  const auto collection = parseCollection(part);
-  if (whole && method == "GET" && part == "watch") {
+  const std::string segment = path_.size() > kCollectionIndex ? path_[kCollectionIndex] : "";
+  const bool isCollectionPath = path_.size() == kCollectionIndex + 1;
+  const auto collection = parseCollection(segment);
+  if (isCollectionPath && method == "GET" && segment == "watch") {
     watch(request, response);
-  } else if (whole && method == "GET" && part == "machines") {
+  } else if (isCollectionPath && method == "GET" && segment == "machines") {
     ++state_.counters.machines;
     sendJson(response, HTTPResponse::HTTP_OK, encodeMachines(state_.machines.visible()));
-  } else if (whole && method == "GET" && collection) {
+  } else if (isCollectionPath && method == "GET" && collection) {
     list(*collection, request, response);
-  } else if (collection && path_.size() == kNamePart + 1 && method == "GET") {
+  } else if (collection && path_.size() == kNameIndex + 1 && method == "GET") {
     get(*collection, response);
-  } else if (collection && path_.size() == kNamePart + 1 &&
+  } else if (collection && path_.size() == kNameIndex + 1 &&
              (method == "PUT" || method == "DELETE")) {
     change(*collection, request, response);
   } else {
@@ -74,9 +75,9 @@
     sendError(response, HTTPResponse::HTTP_BAD_REQUEST, "bad_request", "since is missing");
     return;
   }
-  const OpenWatch open(state_.counters);
-  const auto answer = state_.objects.watch(
-      *since, std::chrono::milliseconds(std::min(wait, kMaximumWaitMilliseconds)));
+  const OpenWatch openWatch(state_.counters);
+  const auto answer =
+      state_.objects.watch(*since, std::chrono::milliseconds(std::min(wait, kMaxWaitMilliseconds)));
   if (const auto* batch = std::get_if<WatchBatch>(&answer)) {
     sendJson(response, HTTPResponse::HTTP_OK, encodeWatchBatch(*batch));
     return;
@@ -90,7 +91,7 @@
                             HTTPServerResponse& response) {
   ++state_.counters.list;
   const uint64_t limit =
-      std::max<uint64_t>(1, queryNumber(request, "limit").value_or(kDefaultPage));
+      std::max<uint64_t>(1, queryNumber(request, "limit").value_or(kDefaultPageSize));
   const std::string after = queryText(request, "after").value_or("");
   sendJson(response, HTTPResponse::HTTP_OK,
            encodeObjectPage(state_.objects.list(collection, after, limit)));
@@ -98,7 +99,7 @@
 
 void ObjectApiHandler::get(Collection collection, HTTPServerResponse& response) {
   ++state_.counters.get;
-  const auto object = state_.objects.get(collection, path_[kNamePart]);
+  const auto object = state_.objects.get(collection, path_[kNameIndex]);
   if (!object) {
     sendError(response, HTTPResponse::HTTP_NOT_FOUND, "not_found", "no such object");
     return;
@@ -117,24 +118,24 @@
               isOk(body) ? "expected_version is missing" : errorOf(body).detail);
     return;
   }
-  const ChangeFault fate = state_.faults.nextChangeFault();
-  if (fate == ChangeFault::kRequestLost || fate == ChangeFault::kLate) {
+  const ChangeFault fault = state_.faults.nextChangeFault();
+  if (fault == ChangeFault::kRequestLost || fault == ChangeFault::kLate) {
     dropConnection(request);
   }
-  if (fate == ChangeFault::kRequestLost) {
+  if (fault == ChangeFault::kRequestLost) {
     return;
   }
-  if (fate == ChangeFault::kLate) {
+  if (fault == ChangeFault::kLate) {
     std::this_thread::sleep_for(state_.faults.settings().lateBy);
   }
-  const auto answer = isRemoval ? state_.objects.remove(collection, path_[kNamePart], *expected)
-                                : state_.objects.put(collection, path_[kNamePart], valueOf(body));
+  const auto answer = isRemoval ? state_.objects.remove(collection, path_[kNameIndex], *expected)
+                                : state_.objects.put(collection, path_[kNameIndex], valueOf(body));
   if (std::holds_alternative<VersionConflict>(answer)) {
     ++state_.counters.conflicts;
   }
-  if (fate == ChangeFault::kNormal) {
+  if (fault == ChangeFault::kNormal) {
     sendChangeAnswer(response, answer, isRemoval);
-  } else if (fate == ChangeFault::kAnswerLost) {
+  } else if (fault == ChangeFault::kAnswerLost) {
     dropConnection(request);
   }
 }
--- a/source/standins/platform/object_store.cc
+++ b/source/standins/platform/object_store.cc
@@ -10,25 +10,25 @@
   const std::lock_guard lock(mutex_);
   ObjectPage page;
   page.version = version_;
-  auto place = after.empty() ? objects_.lower_bound(Key{collection, ""})
+  auto entry = after.empty() ? objects_.lower_bound(Key{collection, ""})
                              : objects_.upper_bound(Key{collection, after});
-  for (; place != objects_.end() && place->first.first == collection; ++place) {
+  for (; entry != objects_.end() && entry->first.first == collection; ++entry) {
     if (page.objects.size() == limit) {
       page.next = page.objects.back().name;
       break;
     }
-    page.objects.push_back(place->second);
+    page.objects.push_back(entry->second);
   }
   return page;
 }
 
 std::optional<StoredObject> ObjectStore::get(Collection collection, const std::string& name) const {
   const std::lock_guard lock(mutex_);
-  const auto place = objects_.find(Key{collection, name});
-  if (place == objects_.end()) {
+  const auto entry = objects_.find(Key{collection, name});
+  if (entry == objects_.end()) {
     return std::nullopt;
   }
-  return place->second;
+  return entry->second;
 }
 
 ObjectStore::ChangeAnswer ObjectStore::put(Collection collection, const std::string& name,
@@ -52,13 +52,13 @@
 ObjectStore::ChangeAnswer ObjectStore::remove(Collection collection, const std::string& name,
                                               uint64_t expectedVersion) {
   const std::lock_guard lock(mutex_);
-  const auto place = objects_.find(Key{collection, name});
-  const uint64_t current = place == objects_.end() ? 0 : place->second.version;
+  const auto entry = objects_.find(Key{collection, name});
+  const uint64_t current = entry == objects_.end() ? 0 : entry->second.version;
   if (current == 0 || current != expectedVersion) {
     return VersionConflict{current};
   }
-  StoredObject event = std::move(place->second);
-  objects_.erase(place);
+  StoredObject event = std::move(entry->second);
+  objects_.erase(entry);
   event.version = ++version_;
   event.deleted = true;
   record(event);
@@ -67,9 +67,10 @@
 
 ObjectStore::WatchAnswer ObjectStore::watch(uint64_t since, Duration wait) {
   std::unique_lock lock(mutex_);
-  const uint64_t interruptions = interruptions_;
+  const uint64_t previousInterruptions = interruptions_;
   changed_.wait_for(lock, wait, [&] {
-    return since < truncatedVersion_ || hasEventAfter(since) || interruptions_ != interruptions;
+    return since < truncatedVersion_ || hasEventAfter(since) ||
+           interruptions_ != previousInterruptions;
   });
   if (since < truncatedVersion_) {
     return HistoryTruncated{truncatedVersion_};
@@ -97,8 +98,8 @@
 }
 
 uint64_t ObjectStore::currentVersion(const Key& key) const {
-  const auto place = objects_.find(key);
-  return place == objects_.end() ? 0 : place->second.version;
+  const auto entry = objects_.find(key);
+  return entry == objects_.end() ? 0 : entry->second.version;
 }
 
 void ObjectStore::record(const StoredObject& event) {
--- a/source/standins/platform/object_store.h
+++ b/source/standins/platform/object_store.h
@@ -24,6 +24,7 @@
 
 /** The watch starts before the oldest event in the history. */
 struct HistoryTruncated {
+  /** Earliest version from which a watch can start. */
   uint64_t oldestVersion = 0;
 };
 
@@ -36,10 +37,12 @@
   /** @param historyLimit maximum number of past events that a watch can replay. */
   explicit ObjectStore(size_t historyLimit);
 
+  /** @return at most `limit` objects of a collection by name, starting after the name `after`. */
   ObjectPage list(Collection collection, const std::string& after, size_t limit) const;
   std::optional<StoredObject> get(Collection collection, const std::string& name) const;
   /** Writes if the current version is the expected one (0: does not exist). */
   ChangeAnswer put(Collection collection, const std::string& name, const PutBody& body);
+  /** Removes the object if its current version is the expected one. */
   ChangeAnswer remove(Collection collection, const std::string& name, uint64_t expectedVersion);
   /** Returns events of services and policies after `since`; blocks for at most `wait`. */
   WatchAnswer watch(uint64_t since, Duration wait);
@@ -63,6 +66,7 @@
   uint64_t version_ = 0;
   /** Version of the newest event that was removed from the history. */
   uint64_t truncatedVersion_ = 0;
+  /** Number of calls of interruptWatches(). */
   uint64_t interruptions_ = 0;
 };
 
--- a/source/standins/platform/platform_handlers.h
+++ b/source/standins/platform/platform_handlers.h
@@ -12,12 +12,13 @@
 namespace umberhold::standins {
 
 /** Unescaped segments of a request path. */
-using PathParts = std::vector<std::string>;
+using PathSegments = std::vector<std::string>;
 
 /** Handles /api/v1/... */
 class ObjectApiHandler : public Poco::Net::HTTPRequestHandler {
  public:
-  ObjectApiHandler(PlatformState& state, PathParts path) : state_(state), path_(std::move(path)) {}
+  ObjectApiHandler(PlatformState& state, PathSegments path)
+      : state_(state), path_(std::move(path)) {}
   void handleRequest(Poco::Net::HTTPServerRequest& request,
                      Poco::Net::HTTPServerResponse& response) override;
 
@@ -31,7 +32,7 @@
               Poco::Net::HTTPServerResponse& response);
 
   PlatformState& state_;
-  const PathParts path_;
+  const PathSegments path_;
 };
 
 /** Handles /control/... */
@@ -40,7 +41,7 @@
   /** Applies new fault settings; @return false if they can't be set through this port. */
   using ApplyFaults = std::function<bool(const FaultSettings&)>;
 
-  ControlHandler(PlatformState& state, PathParts path, ApplyFaults applyFaults)
+  ControlHandler(PlatformState& state, PathSegments path, ApplyFaults applyFaults)
       : state_(state), path_(std::move(path)), applyFaults_(std::move(applyFaults)) {}
   void handleRequest(Poco::Net::HTTPServerRequest& request,
                      Poco::Net::HTTPServerResponse& response) override;
@@ -51,7 +52,7 @@
   void settings(Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response);
 
   PlatformState& state_;
-  const PathParts path_;
+  const PathSegments path_;
   const ApplyFaults applyFaults_;
 };
 
--- a/source/standins/platform/platform_main.cc
+++ b/source/standins/platform/platform_main.cc
@@ -17,7 +17,7 @@
 constexpr int kUsageError = 2;
 constexpr int kStartError = 1;
 
-/** Blocks the stop signals in all threads started later; waitForStop receives them. */
+/** Blocks the stop signals in all threads started later, so that sigwait() receives them. */
 sigset_t blockStopSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -58,18 +58,20 @@
                                    "port", commandLine);
     TCLAP::ValueArg<uint16_t> controlPort("", "control-port", "Port of /control; 0 for any", false,
                                           0, "port", commandLine);
-    TCLAP::ValueArg<int> threads("", "threads", "Requests served at once", false, options.threads,
-                                 "count", commandLine);
-    TCLAP::ValueArg<size_t> history("", "history-limit", "Events that a watch can go back by",
-                                    false, options.historyLimit, "count", commandLine);
-    TCLAP::ValueArg<int64_t> lag("", "machines-lag-ms", "Lag of the machine list", false, 0,
+    TCLAP::ValueArg<int> threads("", "threads", "Maximum number of concurrent requests", false,
+                                 options.threads, "count", commandLine);
+    TCLAP::ValueArg<size_t> history("", "history-limit",
+                                    "Maximum number of past events that a watch can replay", false,
+                                    options.historyLimit, "count", commandLine);
+    TCLAP::ValueArg<int64_t> lag("", "machines-lag-ms",
+                                 "Delay until changes of the machine list are visible", false, 0,
                                  "milliseconds", commandLine);
-    TCLAP::ValueArg<uint64_t> seed("", "seed", "Seed of the lost answers", false, options.seed,
-                                   "number", commandLine);
+    TCLAP::ValueArg<uint64_t> seed("", "seed", "Seed for the random loss of answers", false,
+                                   options.seed, "number", commandLine);
     commandLine.parse(argc, argv);
     const auto parsed = umberhold::parseAddress(address.getValue());
     if (!parsed) {
-      std::cerr << "--address is no IPv4 address\n";
+      std::cerr << "--address is not an IPv4 address\n";
       return kUsageError;
     }
     options.address = *parsed;
--- a/source/standins/platform/platform_server.cc
+++ b/source/standins/platform/platform_server.cc
@@ -22,22 +22,22 @@
 constexpr int kBacklog = 1024;
 constexpr int kControlThreads = 4;
 
-using MakeHandler = std::function<Poco::Net::HTTPRequestHandler*(PathParts)>;
+using MakeHandler = std::function<Poco::Net::HTTPRequestHandler*(PathSegments)>;
 
-/** Splits before unescaping, so that a name may contain an escaped slash. */
-PathParts splitPath(const std::string& target) {
-  PathParts parts;
+/** Splits the path before unescaping, so that a name may contain an escaped slash. */
+PathSegments splitPath(const std::string& target) {
+  PathSegments segments;
   std::istringstream path(target.substr(0, target.find('?')));
-  for (std::string part; std::getline(path, part, '/');) {
-    if (!part.empty()) {
-      parts.emplace_back();
-      Poco::URI::decode(part, parts.back());
+  for (std::string segment; std::getline(path, segment, '/');) {
+    if (!segment.empty()) {
+      segments.emplace_back();
+      Poco::URI::decode(segment, segments.back());
     }
   }
-  return parts;
+  return segments;
 }
 
-/** Splits the path and creates the handler with a function. */
+/** Splits the path and passes it to the function that creates the handler. */
 class HandlerFactory : public Poco::Net::HTTPRequestHandlerFactory {
  public:
   explicit HandlerFactory(MakeHandler make) : make_(std::move(make)) {}
@@ -107,8 +107,9 @@
 }  // namespace
 
 struct PlatformServer::Parts {
-  explicit Parts(const PlatformServerOptions& given)
-      : options(given), state(given.historyLimit, given.machinesLag, given.seed) {}
+  explicit Parts(const PlatformServerOptions& serverOptions)
+      : options(serverOptions),
+        state(serverOptions.historyLimit, serverOptions.machinesLag, serverOptions.seed) {}
 
   void applyFaults(const FaultSettings& settings) {
     const std::lock_guard lock(mutex);
@@ -121,8 +122,8 @@
     }
   }
 
-  /** Rejects opening or closing the API port through that port itself. */
-  bool applyFaultsThroughApi(const FaultSettings& settings) {
+  /** Rejects outage `refused`, because a request can't close the port that serves it. */
+  bool applyFaultsFromApiPort(const FaultSettings& settings) {
     if (settings.outage == Outage::kRefused) {
       return false;
     }
@@ -130,13 +131,13 @@
     return true;
   }
 
-  Poco::Net::HTTPRequestHandler* makeHandler(PathParts path, bool throughApi) {
-    const std::string first = path.empty() ? "" : path.front();
-    if (first == "control" || !throughApi) {
+  Poco::Net::HTTPRequestHandler* makeHandler(PathSegments path, bool onApiPort) {
+    const std::string firstSegment = path.empty() ? "" : path.front();
+    if (firstSegment == "control" || !onApiPort) {
       return new ControlHandler(state, std::move(path),
-                                [this, throughApi](const FaultSettings& settings) {
-                                  if (throughApi) {
-                                    return applyFaultsThroughApi(settings);
+                                [this, onApiPort](const FaultSettings& settings) {
+                                  if (onApiPort) {
+                                    return applyFaultsFromApiPort(settings);
                                   }
                                   applyFaults(settings);
                                   return true;
@@ -145,10 +146,10 @@
     return new ObjectApiHandler(state, std::move(path));
   }
 
-  std::unique_ptr<Listener> listen(uint16_t port, int threads, bool throughApi) {
+  std::unique_ptr<Listener> listen(uint16_t port, int threads, bool onApiPort) {
     const Poco::Net::SocketAddress address(addressToString(options.address), port);
-    return std::make_unique<Listener>(address, threads, [this, throughApi](PathParts path) {
-      return makeHandler(std::move(path), throughApi);
+    return std::make_unique<Listener>(address, threads, [this, onApiPort](PathSegments path) {
+      return makeHandler(std::move(path), onApiPort);
     });
   }
 
--- a/source/standins/platform/platform_server.h
+++ b/source/standins/platform/platform_server.h
@@ -18,7 +18,7 @@
   uint32_t address = 0x7F000001;
   /** Port of the object API (and of /control); 0 selects a free port. */
   uint16_t port = 0;
-  /** Port of /control alone, open even while the API port is closed; 0 selects a free port. */
+  /** Port that serves only /control, also while the API port is closed; 0 selects a free port. */
   uint16_t controlPort = 0;
   /** Maximum number of concurrent requests, including open watches. */
   int threads = 64;
@@ -41,7 +41,7 @@
   Endpoint api() const;
   Endpoint control() const;
   PlatformState& state();
-  /** Applies fault settings, closing or opening the API port if required. */
+  /** Applies fault settings; closes the API port on outage `refused` and opens it otherwise. */
   void setFaults(const FaultSettings& settings);
 
  private:
--- a/source/standins/platform/request_counters.h
+++ b/source/standins/platform/request_counters.h
@@ -24,8 +24,9 @@
  public:
   explicit OpenWatch(RequestCounters& counters) : counters_(counters) {
     const uint64_t open = ++counters_.openWatches;
-    uint64_t most = counters_.maximumOpenWatches;
-    while (open > most && !counters_.maximumOpenWatches.compare_exchange_weak(most, open)) {
+    uint64_t previousMax = counters_.maximumOpenWatches;
+    while (open > previousMax &&
+           !counters_.maximumOpenWatches.compare_exchange_weak(previousMax, open)) {
     }
   }
   ~OpenWatch() { --counters_.openWatches; }
