--- a/source/standins/proxy/fault_proxy.cc
+++ b/source/standins/proxy/fault_proxy.cc
@@ -58,31 +58,31 @@
 SocketIndex FaultProxy::pairSocket(size_t node, uint16_t port, SocketIndex front,
                                    const Endpoint& from) {
   const PairKey key{from, Endpoint{nodes_[node].address, port}};
-  const auto found = pairs_.find(key);
-  if (found != pairs_.end()) {
+  const auto found = pairSockets_.find(key);
+  if (found != pairSockets_.end()) {
     return found->second;
   }
-  const Endpoint anyPort{nodes_[node].address, 0};
+  const Endpoint freePort{nodes_[node].address, 0};
   const SocketIndex socket =
-      loop_.open(anyPort, [this, node, front, from](const Endpoint&, auto bytes) {
-        pass(nodes_[node].party, partyOf(from), front, from, bytes);
+      loop_.open(freePort, [this, node, front, from](const Endpoint&, auto bytes) {
+        forward(nodes_[node].party, partyOf(from), front, from, bytes);
       });
-  pairs_[key] = socket;
+  pairSockets_[key] = socket;
   return socket;
 }
 
 void FaultProxy::onFront(size_t node, uint16_t port, SocketIndex front, const Endpoint& from,
                          std::string_view bytes) {
   const SocketIndex socket = pairSocket(node, port, front, from);
-  pass(partyOf(from), nodes_[node].party, socket, Endpoint{nodes_[node].address, port}, bytes);
+  forward(partyOf(from), nodes_[node].party, socket, Endpoint{nodes_[node].address, port}, bytes);
 }
 
-void FaultProxy::pass(const ProxyParty& from, const ProxyParty& to, SocketIndex socket,
-                      const Endpoint& endpoint, std::string_view bytes) {
+void FaultProxy::forward(const ProxyParty& from, const ProxyParty& to, SocketIndex socket,
+                         const Endpoint& endpoint, std::string_view bytes) {
   const std::vector<uint32_t> delays = rules_.deliveryDelays(from, to, random_);
-  lost_ += delays.empty() ? 1 : 0;
+  dropped_ += delays.empty() ? 1 : 0;
   for (const uint32_t delay : delays) {
-    ++passed_;
+    ++forwarded_;
     delayLine_.send(delay, socket, endpoint, bytes);
   }
 }
@@ -99,18 +99,18 @@
 
 void FaultProxy::addPlatformFront(size_t node, uint16_t port, const Endpoint& platform) {
   const ProxyParty& party = nodes_[node].party;
-  const ProxyParty target{"platform", "platform"};
-  const auto isCut = [this, party, target] {
+  const ProxyParty platformParty{"platform", "platform"};
+  const auto isCut = [this, party, platformParty] {
     const std::lock_guard lock(loop_.mutex());
-    return rules_.isCut(party, target);
+    return rules_.isCut(party, platformParty);
   };
   fronts_.push_back(
       std::make_unique<TcpFront>(Endpoint{nodes_[node].address, port}, platform, isCut));
 }
 
-uint64_t FaultProxy::lostCount() {
+uint64_t FaultProxy::droppedCount() {
   const std::lock_guard lock(loop_.mutex());
-  return lost_;
+  return dropped_;
 }
 
 ControlResponse FaultProxy::onControl(const ControlRequest& request) {
@@ -131,8 +131,8 @@
   }
   if (request.path == "/control/stats") {
     const std::lock_guard lock(loop_.mutex());
-    return {kOk,
-            "{\"passed\":" + std::to_string(passed_) + ",\"lost\":" + std::to_string(lost_) + "}"};
+    return {kOk, "{\"passed\":" + std::to_string(forwarded_) +
+                     ",\"lost\":" + std::to_string(dropped_) + "}"};
   }
   return {kNotFound, "{}"};
 }
--- a/source/standins/proxy/fault_proxy.h
+++ b/source/standins/proxy/fault_proxy.h
@@ -37,7 +37,7 @@
   std::vector<ProxiedPort> ports;
 };
 
-/** The proxy. */
+/** See the file comment. */
 class FaultProxy {
  public:
   FaultProxy(const Endpoint& control, std::vector<ProxiedNode> nodes, uint64_t seed);
@@ -57,17 +57,22 @@
    */
   void addPlatformFront(size_t node, uint16_t port, const Endpoint& platform);
   /** @return the number of dropped datagrams. Thread safe. */
-  uint64_t lostCount();
+  uint64_t droppedCount();
 
  private:
-  /** Sender and destination port of a node. */
+  /** Sender, and endpoint of the destination node. */
   using PairKey = std::pair<Endpoint, Endpoint>;
 
   void onFront(size_t node, uint16_t port, SocketIndex front, const Endpoint& from,
                std::string_view bytes);
+  /**
+   * @return the socket that forwards the sender's datagrams to the port of the node, opened on
+   * first use. Replies to it return to the sender through the front socket.
+   */
   SocketIndex pairSocket(size_t node, uint16_t port, SocketIndex front, const Endpoint& from);
-  void pass(const ProxyParty& from, const ProxyParty& to, SocketIndex socket,
-            const Endpoint& endpoint, std::string_view bytes);
+  void forward(const ProxyParty& from, const ProxyParty& to, SocketIndex socket,
+               const Endpoint& endpoint, std::string_view bytes);
+  /** @return the node with the source address; an empty party if there is none. */
   ProxyParty partyOf(const Endpoint& source) const;
   ControlResponse onControl(const ControlRequest& request);
 
@@ -76,9 +81,9 @@
   DatagramLoop loop_;
   DelayLine delayLine_;
   FaultRules rules_;
-  std::map<PairKey, SocketIndex> pairs_;
-  uint64_t lost_ = 0;
-  uint64_t passed_ = 0;
+  std::map<PairKey, SocketIndex> pairSockets_;
+  uint64_t dropped_ = 0;
+  uint64_t forwarded_ = 0;
   std::vector<std::unique_ptr<TcpFront>> fronts_;
   std::unique_ptr<ControlServer> control_;
 };
--- a/source/standins/proxy/fault_rules.cc
+++ b/source/standins/proxy/fault_rules.cc
@@ -7,19 +7,20 @@
 
 constexpr uint32_t kMicrosPerMilli = 1000;
 
-bool names(const std::string& end, const ProxyParty& party) {
+bool includes(const std::string& end, const ProxyParty& party) {
   return end == "*" || end == party.name || end == party.zone;
 }
 
 bool matches(const FaultRule& rule, const ProxyParty& from, const ProxyParty& to) {
-  return names(rule.from, from) && names(rule.to, to);
+  return includes(rule.from, from) && includes(rule.to, to);
 }
 
 }  // namespace
 
 void FaultRules::set(const FaultRule& rule) {
-  std::erase_if(rules_,
-                [&](const FaultRule& old) { return old.from == rule.from && old.to == rule.to; });
+  std::erase_if(rules_, [&](const FaultRule& existing) {
+    return existing.from == rule.from && existing.to == rule.to;
+  });
   rules_.push_back(rule);
 }
 
--- a/source/standins/proxy/fault_rules.h
+++ b/source/standins/proxy/fault_rules.h
@@ -21,7 +21,9 @@
   std::string to = "*";
   /** Drops everything. */
   bool cut = false;
+  /** Share of datagrams that are dropped. */
   double dropShare = 0;
+  /** Share of datagrams that are duplicated. */
   double repeatShare = 0;
   /** Share of datagrams that are reordered by a delay of up to reorderMillis. */
   double reorderShare = 0;
@@ -39,7 +41,7 @@
   /** @return the delay in microseconds of each delivered copy; empty if the datagram is lost. */
   std::vector<uint32_t> deliveryDelays(const ProxyParty& from, const ProxyParty& to,
                                        RandomSource& random) const;
-  /** @return whether all traffic is dropped. */
+  /** @return whether a rule drops all traffic between the parties. */
   bool isCut(const ProxyParty& from, const ProxyParty& to) const;
 
  private:
--- a/source/standins/proxy/proxy_main.cc
+++ b/source/standins/proxy/proxy_main.cc
@@ -33,12 +33,12 @@
   std::string ports;
   while (std::getline(fields, ports, '/')) {
     const size_t colon = std::min(ports.find(':'), ports.size() - 1);
-    const uint16_t front = portOf(ports.substr(0, colon));
-    const uint16_t real = portOf(ports.substr(colon + 1));
-    if (front == 0 || real == 0) {
+    const uint16_t frontPort = portOf(ports.substr(0, colon));
+    const uint16_t nodePort = portOf(ports.substr(colon + 1));
+    if (frontPort == 0 || nodePort == 0) {
       return false;
     }
-    node.ports.push_back({front, real});
+    node.ports.push_back({frontPort, nodePort});
   }
   return parsed.has_value() && !node.ports.empty();
 }
@@ -54,9 +54,9 @@
                                        command);
   TCLAP::ValueArg<std::string> platform("", "platform", "object API of the platform", false, "",
                                         "address:port", command);
-  TCLAP::ValueArg<uint16_t> platformFront("", "platform-front",
-                                          "port on each node's address that leads to it", false, 0,
-                                          "port", command);
+  TCLAP::ValueArg<uint16_t> platformFront(
+      "", "platform-front", "port on each node's address that forwards to the platform", false, 0,
+      "port", command);
   TCLAP::ValueArg<uint64_t> seed("", "seed", "random seed", false, 1, "number", command);
   command.parse(argc, argv);
   startLogging(argv[0]);
--- a/source/standins/proxy/tcp_front.cc
+++ b/source/standins/proxy/tcp_front.cc
@@ -32,8 +32,11 @@
   std::atomic<bool> stop{false};
 };
 
-/** @return whether both ends are still open. */
-bool passBytes(Poco::Net::StreamSocket& from, Poco::Net::StreamSocket& to) {
+/**
+ * Forwards the bytes that arrive within the poll timeout.
+ * @return whether `from` is still open.
+ */
+bool forwardBytes(Poco::Net::StreamSocket& from, Poco::Net::StreamSocket& to) {
   if (!from.poll(Poco::Timespan(kPollMicroseconds), Poco::Net::Socket::SELECT_READ)) {
     return true;
   }
@@ -57,7 +60,7 @@
       bool open = true;
       while (open && !state_.stop) {
         waitWhileCut();
-        open = passBytes(socket(), platform) && passBytes(platform, socket());
+        open = forwardBytes(socket(), platform) && forwardBytes(platform, socket());
       }
     } catch (const Poco::Exception&) {
       // One end is closed; returning closes the other.
--- a/test/standins/fault_proxy_test.cc
+++ b/test/standins/fault_proxy_test.cc
@@ -164,14 +164,14 @@
   cut.cut = true;
   proxy.setRule(cut);
   first.send(front);
-  CHECK(eventually([&] { return proxy.lostCount() == 1; }));
+  CHECK(eventually([&] { return proxy.droppedCount() == 1; }));
   LONGS_EQUAL(2, second.received());
   LONGS_EQUAL(1, first.received());
   proxy.clearRules();
   first.send(front);
   CHECK(eventually([&] { return first.received() == 2; }));
   LONGS_EQUAL(3, second.received());
-  LONGS_EQUAL(1, proxy.lostCount());
+  LONGS_EQUAL(1, proxy.droppedCount());
 }
 
 TEST(FaultProxy, CutsTheConnectionToThePlatform) {
