--- a/source/standins/caller/caller_flow.cc
+++ b/source/standins/caller/caller_flow.cc
@@ -7,15 +7,15 @@
 namespace {
 
 constexpr UnixMillis kInitialRetransmitMillis = 300;
-constexpr UnixMillis kMaximumRetransmitMillis = 1600;
+constexpr UnixMillis kMaxRetransmitMillis = 1600;
 /** Maximum number of transmissions of one SYN or request. */
-constexpr uint32_t kMaximumSends = 9;
-constexpr uint32_t kMaximumFinSends = 4;
+constexpr uint32_t kMaxSends = 9;
+constexpr uint32_t kMaxFinSends = 4;
 constexpr uint32_t kLargeAnswerEvery = 4;
 
 UnixMillis retransmitDelay(uint32_t sends) {
   const UnixMillis doubled = kInitialRetransmitMillis << std::min<uint32_t>(sends, 8);
-  return std::min(doubled, kMaximumRetransmitMillis);
+  return std::min(doubled, kMaxRetransmitMillis);
 }
 
 }  // namespace
@@ -36,7 +36,7 @@
   onTick(now, context);
 }
 
-UnixMillis CallerFlow::pause(FlowContext& context) const {
+UnixMillis CallerFlow::randomPause(FlowContext& context) const {
   const uint32_t mean = std::max<uint32_t>(1, profile_->requestPauseMillis);
   return mean / 2 + static_cast<UnixMillis>(context.random.below(mean));
 }
@@ -92,10 +92,10 @@
 }
 
 void CallerFlow::retransmitOpening(UnixMillis now, FlowContext& context) {
-  if (now < nextControl_) {
+  if (now < nextControlSend_) {
     return;
   }
-  if (controlSends_ >= kMaximumSends) {
+  if (controlSends_ >= kMaxSends) {
     context.report.unansweredAt.push_back(now);
     ++context.report.unansweredOpenings;
     state_ = State::kEnded;
@@ -106,25 +106,25 @@
     context.report.unansweredAt.push_back(now);
   }
   send(PacketKind::kSyn, "", context);
-  nextControl_ = now + retransmitDelay(controlSends_++);
+  nextControlSend_ = now + retransmitDelay(controlSends_++);
 }
 
 void CallerFlow::retransmitFin(UnixMillis now, FlowContext& context) {
-  if (now < nextControl_) {
+  if (now < nextControlSend_) {
     return;
   }
-  if (controlSends_ >= kMaximumFinSends) {
+  if (controlSends_ >= kMaxFinSends) {
     state_ = State::kEnded;
     return;
   }
   send(PacketKind::kFin, "", context);
-  nextControl_ = now + retransmitDelay(controlSends_++);
+  nextControlSend_ = now + retransmitDelay(controlSends_++);
 }
 
 void CallerFlow::startRequest(UnixMillis now, FlowContext& context) {
-  nextRequest_ = now + pause(context);
+  nextRequest_ = now + randomPause(context);
   Exchange exchange;
-  exchange.request.id = context.ids.take();
+  exchange.request.id = context.ids.next();
   exchange.request.repeatable = context.random.unit() >= profile_->singleRunShare;
   exchange.request.deadline = now + profile_->deadlineMillis;
   exchange.request.answerParts =
@@ -162,7 +162,7 @@
     }
     context.report.unansweredAt.push_back(now);
     context.report.delayedRequests += exchange.sends == 1 ? 1 : 0;
-    if (exchange.sends >= kMaximumSends) {
+    if (exchange.sends >= kMaxSends) {
       return breakFlow(now, BreakReason::kSilence, context);
     }
     ++context.report.repeatedPackets;
@@ -177,7 +177,7 @@
         state_ = State::kOpen;
         establishedAt_ = now;
         controlSends_ = 0;
-        nextControl_ = 0;
+        nextControlSend_ = 0;
         ++sequence_;
         acknowledgement_ = packet.sequence + 1;
         nextRequest_ = now;
--- a/source/standins/caller/caller_flow.h
+++ b/source/standins/caller/caller_flow.h
@@ -20,7 +20,7 @@
   std::string service;
   Endpoint target;
   TransportProtocol protocol = TransportProtocol::kTcp;
-  /** Mean interval between two requests of a flow. */
+  /** Mean time between the starts of two requests of a flow. */
   uint32_t requestPauseMillis = 2000;
   /** Mean lifetime of a flow; 0: until the run ends. */
   uint32_t lifeMillis = 0;
@@ -30,7 +30,7 @@
   double cancelShare = 0.01;
   /** Segments of a large answer; every fourth request has one. */
   uint16_t largeAnswerParts = 6;
-  /** Deadline of a request after its start. */
+  /** Time from the start of a request to its deadline. */
   uint32_t deadlineMillis = 10000;
 };
 
@@ -38,7 +38,7 @@
 class RequestIds {
  public:
   explicit RequestIds(uint32_t process) : next_(uint64_t{process} << 40) {}
-  uint64_t take() { return ++next_; }
+  uint64_t next() { return ++next_; }
 
  private:
   uint64_t next_;
@@ -97,12 +97,12 @@
   void retransmitRequests(UnixMillis now, FlowContext& context);
   void retransmitOpening(UnixMillis now, FlowContext& context);
   void retransmitFin(UnixMillis now, FlowContext& context);
-  /** Starts the time without a response, unless it is running already. */
+  /** Starts measuring the time without an answer, unless it is being measured already. */
   void startWaiting(UnixMillis now);
-  /** Records the time without a response; called on a packet from the host and on giving up. */
+  /** Records the time without an answer; called on an answer and when the flow breaks. */
   void endWaiting(UnixMillis now, FlowContext& context);
   void send(PacketKind kind, std::string payload, FlowContext& context);
-  UnixMillis pause(FlowContext& context) const;
+  UnixMillis randomPause(FlowContext& context) const;
   bool isTcp() const { return profile_->protocol == TransportProtocol::kTcp; }
 
   const FlowProfile* profile_;
@@ -112,15 +112,17 @@
   uint32_t acknowledgement_ = 0;
   std::string host_;
   UnixMillis establishedAt_ = 0;
-  /** Start of the time without a response; empty if nothing is outstanding. */
+  /** Start of the time without an answer; empty if no answer is outstanding. */
   std::optional<UnixMillis> waitingSince_;
   UnixMillis nextRequest_;
   UnixMillis endsAt_;
-  UnixMillis nextControl_ = 0;
+  /** When the next SYN or FIN is due, and the number of those sent. */
+  UnixMillis nextControlSend_ = 0;
   uint32_t controlSends_ = 0;
   uint32_t requestCount_ = 0;
   bool finishing_ = false;
   std::map<uint64_t, Exchange> exchanges_;
+  /** Ids of the received pushes. */
   std::set<uint64_t> pushes_;
 };
 
--- a/source/standins/caller/caller_pool.cc
+++ b/source/standins/caller/caller_pool.cc
@@ -5,7 +5,7 @@
 namespace umberhold::standins {
 namespace {
 
-/** 172.16.0.0; each process has its own block of 16 bits of addresses from here. */
+/** 172.16.0.0; each process has its own block of kAddressesPerProcess addresses from here. */
 constexpr uint32_t kFirstCallerAddress = 0xAC100000;
 constexpr uint32_t kFirstPort = 1024;
 constexpr uint32_t kAddressesPerProcess = 256;
@@ -39,9 +39,9 @@
   return loop_.localEndpoint(socket_);
 }
 
-/** Consecutive flows have different addresses, like flows of real callers. */
-Endpoint CallerPool::nextLocal() {
-  const uint64_t number = nextLocal_++;
+/** Assigns different addresses to consecutive flows, like those of real callers. */
+Endpoint CallerPool::nextLocalEndpoint() {
+  const uint64_t number = nextLocalIndex_++;
   const auto address =
       static_cast<uint32_t>(kFirstCallerAddress + options_.process * kAddressesPerProcess +
                             number % kAddressesPerProcess);
@@ -50,7 +50,7 @@
 }
 
 void CallerPool::openFlow(UnixMillis now, Target& target) {
-  const Endpoint local = nextLocal();
+  const Endpoint local = nextLocalEndpoint();
   flows_.emplace(local, LiveFlow{CallerFlow(now, local, target.plan.profile, context_), &target});
   ++target.live;
 }
@@ -86,7 +86,7 @@
       ++entry;
     }
   }
-  flush();
+  sendPackets();
 }
 
 void CallerPool::onPacket(std::string_view bytes) {
@@ -96,16 +96,17 @@
     return;
   }
   const InnerPacket& packet = valueOf(parsed);
-  const bool quoted = packet.kind == PacketKind::kUnreachable;
-  const auto found = flows_.find(quoted ? packet.source : packet.destination);
+  // An ICMP unreachable message quotes the packet that the flow sent.
+  const bool isUnreachable = packet.kind == PacketKind::kUnreachable;
+  const auto found = flows_.find(isUnreachable ? packet.source : packet.destination);
   if (found == flows_.end()) {
     return;  // Late packet of a flow that has ended.
   }
   found->second.flow.onPacket(currentMillis(), packet, context_);
-  flush();
+  sendPackets();
 }
 
-void CallerPool::flush() {
+void CallerPool::sendPackets() {
   for (const std::string& packet : out_) {
     loop_.send(socket_, options_.fabric, packet);
   }
--- a/source/standins/caller/caller_pool.h
+++ b/source/standins/caller/caller_pool.h
@@ -20,7 +20,7 @@
   uint32_t flows = 100;
 };
 
-/** A caller process. */
+/** Options of a caller process. */
 struct CallerPoolOptions {
   /** Receives answers (the return gateway). */
   Endpoint listen;
@@ -29,7 +29,7 @@
   Endpoint control;
   /** New flows per second over all targets. */
   uint32_t openPerSecond = 1000;
-  /** Process number that makes request ids and addresses unique; 1 to 4,095. */
+  /** Number of this process; makes request ids and addresses unique in a run; 1 to 4,095. */
   uint32_t process = 1;
   uint64_t seed = 1;
 };
@@ -54,6 +54,7 @@
  private:
   struct Target {
     TargetPlan plan;
+    /** Number of flows that have not ended. */
     uint32_t live = 0;
   };
   struct LiveFlow {
@@ -65,8 +66,8 @@
   void openFlows(UnixMillis now);
   void openFlow(UnixMillis now, Target& target);
   void onPacket(std::string_view bytes);
-  void flush();
-  Endpoint nextLocal();
+  void sendPackets();
+  Endpoint nextLocalEndpoint();
   ControlResponse onControl(const ControlRequest& request);
   CallerReport reportLocked();
   void finishLocked();
@@ -81,7 +82,7 @@
   SocketIndex socket_ = 0;
   std::vector<std::unique_ptr<Target>> targets_;
   std::unordered_map<Endpoint, LiveFlow> flows_;
-  uint64_t nextLocal_ = 0;
+  uint64_t nextLocalIndex_ = 0;
   double openBudget_ = 0;
   UnixMillis lastTick_ = 0;
   bool finishing_ = false;
--- a/source/standins/caller/caller_report.cc
+++ b/source/standins/caller/caller_report.cc
@@ -56,7 +56,7 @@
   return object;
 }
 
-BrokenFlow brokenOf(const Array& flows, unsigned index) {
+BrokenFlow brokenFlowOf(const Array& flows, unsigned index) {
   const Object& object = *flows.getObject(index);
   BrokenFlow flow;
   flow.at = object.getValue<Poco::Int64>("at");
@@ -68,7 +68,7 @@
   return flow;
 }
 
-CutRequest cutOf(const Array& requests, unsigned index) {
+CutRequest cutRequestOf(const Array& requests, unsigned index) {
   const Object& object = *requests.getObject(index);
   CutRequest request;
   request.at = object.getValue<Poco::Int64>("at");
@@ -109,8 +109,8 @@
     for (const auto& [host, flows] : *object->getObject("open_flows_by_host")) {
       report.openFlowsByHost[host] = flows.convert<Poco::UInt64>();
     }
-    report.broken = itemsOf<BrokenFlow>(*object->getArray("broken"), brokenOf);
-    report.cut = itemsOf<CutRequest>(*object->getArray("cut"), cutOf);
+    report.broken = itemsOf<BrokenFlow>(*object->getArray("broken"), brokenFlowOf);
+    report.cut = itemsOf<CutRequest>(*object->getArray("cut"), cutRequestOf);
     report.refusedIds = numbersOf<uint64_t>(*object->getArray("refused_ids"));
     report.singleRunIds = numbersOf<uint64_t>(*object->getArray("single_run_ids"));
     report.unansweredAt = numbersOf<UnixMillis>(*object->getArray("unanswered_at"));
--- a/source/standins/caller/caller_report.h
+++ b/source/standins/caller/caller_report.h
@@ -1,4 +1,4 @@
-/** @file What a caller saw, for the oracle. */
+/** @file Counts and events that a caller process recorded; input of the oracle. */
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 enum class BreakReason : uint8_t {
   /** RST, ICMP unreachable or status "unknown flow" on an established flow. */
   kReset = 0,
-  /** An answer came from another host than the flow's. */
+  /** An answer or push came from a host other than the flow's. */
   kOtherHost = 1,
   /** No answer after all retransmissions. */
   kSilence = 2,
@@ -60,12 +60,13 @@
   uint64_t shedRequests = 0;
   uint64_t expiredRequests = 0;
   uint64_t cancelledRequests = 0;
+  /** Retransmitted openings and requests. */
   uint64_t repeatedPackets = 0;
   /** Unsolicited messages received from hosts, each id counted once. */
   uint64_t pushes = 0;
-  /** Requests with at least one retransmission timeout. */
+  /** Requests that reached their first retransmission timeout. */
   uint64_t delayedRequests = 0;
-  /** Maximum time in milliseconds for which an open flow waited without receiving a packet. */
+  /** Maximum time in milliseconds for which an open flow waited for an answer without one. */
   uint64_t longestSilenceMillis = 0;
   uint64_t unexpectedPackets = 0;
   /** Requests that were unanswered when the report was created. */
@@ -78,7 +79,7 @@
   std::vector<uint64_t> refusedIds;
   /** Requests that must not run twice. */
   std::vector<uint64_t> singleRunIds;
-  /** Times of retransmission timeouts of openings and requests. */
+  /** Times at which an opening, a request or its retransmission reached its timeout unanswered. */
   std::vector<UnixMillis> unansweredAt;
 };
 
