--- a/source/standins/backend/backend_main.cc
+++ b/source/standins/backend/backend_main.cc
@@ -16,7 +16,7 @@
 
 /** Appends the hosts of "name=address:port/tcp|udp/hosts". @return whether the text has this form.
  */
-bool appendHosts(const std::string& text, const HostProfile& pattern,
+bool appendHosts(const std::string& text, const HostProfile& commonProfile,
                  std::vector<HostProfile>& hosts) {
   const size_t equals = text.find('=');
   const size_t firstSlash = text.find('/');
@@ -31,7 +31,7 @@
   if (!address || count < 1 || (protocol != "tcp" && protocol != "udp")) {
     return false;
   }
-  HostProfile profile = pattern;
+  HostProfile profile = commonProfile;
   profile.service = text.substr(0, equals);
   profile.virtualAddress = *address;
   profile.protocol =
@@ -52,34 +52,34 @@
                                         "service", command);
   TCLAP::ValueArg<std::string> control("", "control", "control server", false, "127.0.0.1:0",
                                        "address:port", command);
-  TCLAP::ValueArg<std::string> gateway("", "gateway", "where answers go", true, "", "address:port",
-                                       command);
-  TCLAP::ValueArg<uint32_t> serviceMillis("", "service-ms", "shortest time of a request", false, 5,
-                                          "ms", command);
-  TCLAP::ValueArg<uint32_t> coldMillis("", "cold-ms", "slow time after the start", false, 0, "ms",
-                                       command);
-  TCLAP::ValueArg<uint32_t> limit("", "connection-limit", "connections a host bears", false, 2000,
-                                  "count", command);
-  TCLAP::ValueArg<double> lateShare("", "late-share", "share of answers sent late", false, 0.02,
-                                    "0..1", command);
-  TCLAP::ValueArg<uint32_t> push("", "push-ms",
-                                 "mean pause of unasked messages on a TCP flow; 0: none", false, 0,
-                                 "ms", command);
-  TCLAP::ValueArg<uint32_t> latency("", "latency-us", "from hosts to callers, one way", false, 0,
-                                    "us", command);
+  TCLAP::ValueArg<std::string> gateway("", "gateway", "receives the answers to callers", true, "",
+                                       "address:port", command);
+  TCLAP::ValueArg<uint32_t> serviceMillis("", "service-ms", "minimum service time of a request",
+                                          false, 5, "ms", command);
+  TCLAP::ValueArg<uint32_t> coldMillis("", "cold-ms", "duration of the cold phase after the start",
+                                       false, 0, "ms", command);
+  TCLAP::ValueArg<uint32_t> limit("", "connection-limit", "maximum number of connections of a host",
+                                  false, 2000, "count", command);
+  TCLAP::ValueArg<double> lateShare("", "late-share", "share of answer segments that are delayed",
+                                    false, 0.02, "0..1", command);
+  TCLAP::ValueArg<uint32_t> push(
+      "", "push-ms", "mean interval between unsolicited messages on a TCP flow; 0: none", false, 0,
+      "ms", command);
+  TCLAP::ValueArg<uint32_t> latency("", "latency-us", "one-way latency from hosts to callers",
+                                    false, 0, "us", command);
   TCLAP::ValueArg<uint64_t> seed("", "seed", "random seed", false, 1, "number", command);
   command.parse(argc, argv);
   startLogging(argv[0]);
 
-  HostProfile pattern;
-  pattern.serviceMillis = serviceMillis.getValue();
-  pattern.coldMillis = coldMillis.getValue();
-  pattern.connectionLimit = limit.getValue();
-  pattern.pushMillis = push.getValue();
-  pattern.lateShare = lateShare.getValue();
+  HostProfile commonProfile;
+  commonProfile.serviceMillis = serviceMillis.getValue();
+  commonProfile.coldMillis = coldMillis.getValue();
+  commonProfile.connectionLimit = limit.getValue();
+  commonProfile.pushMillis = push.getValue();
+  commonProfile.lateShare = lateShare.getValue();
   std::vector<HostProfile> hosts;
   for (const std::string& service : services.getValue()) {
-    if (!appendHosts(service, pattern, hosts)) {
+    if (!appendHosts(service, commonProfile, hosts)) {
       std::cerr << "--service: '" << service << "' is not name=address:port/tcp|udp/hosts\n";
       return kUsageStatus;
     }
--- a/source/standins/backend/backend_pool.cc
+++ b/source/standins/backend/backend_pool.cc
@@ -20,9 +20,9 @@
   loop_.onTick(
       [this] {
         const UnixMillis now = currentMillis();
-        for (const auto& member : members_) {
-          member->host->onTick(now);
-          flush(*member);
+        for (const auto& poolHost : hosts_) {
+          poolHost->host->onTick(now);
+          sendDuePackets(*poolHost);
         }
         delayLine_.deliverDue();
       },
@@ -34,26 +34,26 @@
 BackendPool::~BackendPool() = default;
 
 void BackendPool::addHost(const HostProfile& profile, uint64_t seed) {
-  members_.push_back(std::make_unique<Member>());
-  Member& member = *members_.back();
-  member.host = std::make_unique<VirtualHost>(profile, currentMillis(), seed);
-  member.socket =
-      loop_.open(Endpoint{options_.address, 0}, [this, &member](const Endpoint&, auto bytes) {
-        if (member.stopped) {
+  hosts_.push_back(std::make_unique<PoolHost>());
+  PoolHost& poolHost = *hosts_.back();
+  poolHost.host = std::make_unique<VirtualHost>(profile, currentMillis(), seed);
+  poolHost.socket =
+      loop_.open(Endpoint{options_.address, 0}, [this, &poolHost](const Endpoint&, auto bytes) {
+        if (poolHost.stopped) {
           return;
         }
-        member.host->onPacket(currentMillis(), bytes);
-        flush(member);
+        poolHost.host->onPacket(currentMillis(), bytes);
+        sendDuePackets(poolHost);
       });
-  member.probe = std::make_unique<ControlServer>(
+  poolHost.probe = std::make_unique<ControlServer>(
       Endpoint{options_.address, 0},
-      [this, &member](const ControlRequest& request) { return onProbe(member, request); });
+      [this, &poolHost](const ControlRequest& request) { return onProbe(poolHost, request); });
 }
 
-void BackendPool::flush(Member& member) {
-  for (const std::string& packet : member.host->takeDue(currentMillis())) {
-    if (!member.stopped) {
-      delayLine_.send(options_.latencyMicros, member.socket, options_.gateway, packet);
+void BackendPool::sendDuePackets(PoolHost& poolHost) {
+  for (const std::string& packet : poolHost.host->takeDue(currentMillis())) {
+    if (!poolHost.stopped) {
+      delayLine_.send(options_.latencyMicros, poolHost.socket, options_.gateway, packet);
     }
   }
 }
@@ -67,19 +67,19 @@
 }
 
 Endpoint BackendPool::hostEndpoint(size_t index) const {
-  return loop_.localEndpoint(members_[index]->socket);
+  return loop_.localEndpoint(hosts_[index]->socket);
 }
 
-ControlResponse BackendPool::onProbe(Member& member, const ControlRequest& request) {
+ControlResponse BackendPool::onProbe(PoolHost& poolHost, const ControlRequest& request) {
   const std::lock_guard lock(loop_.mutex());
-  if (member.stopped) {
+  if (poolHost.stopped) {
     return {kUnavailable, "{}"};
   }
   if (request.path == "/health") {
-    return {member.host->reportsHealthy() ? kOk : kUnavailable, "{}"};
+    return {poolHost.host->reportsHealthy() ? kOk : kUnavailable, "{}"};
   }
   if (request.path == "/load") {
-    return {kOk, "{\"load_percent\":" + std::to_string(member.host->reportedLoad()) + "}"};
+    return {kOk, "{\"load_percent\":" + std::to_string(poolHost.host->reportedLoad()) + "}"};
   }
   return {kNotFound, "{}"};
 }
@@ -95,29 +95,29 @@
   if (request.path != "/control/host") {
     return {kNotFound, "{}"};
   }
-  for (const auto& member : members_) {
-    if (member->host->profile().name == request.text("name")) {
-      return applyAction(*member, request);
+  for (const auto& poolHost : hosts_) {
+    if (poolHost->host->profile().name == request.text("name")) {
+      return applyAction(*poolHost, request);
     }
   }
   return {kNotFound, "{}"};
 }
 
-ControlResponse BackendPool::applyAction(Member& member, const ControlRequest& request) {
+ControlResponse BackendPool::applyAction(PoolHost& poolHost, const ControlRequest& request) {
   const std::string action = request.text("action");
   if (action == "stop") {
-    member.stopped = true;
-    member.host->restart(currentMillis());
+    poolHost.stopped = true;
+    poolHost.host->restart(currentMillis());
   } else if (action == "start") {
-    member.host->setCold(static_cast<uint32_t>(request.number("cold_ms", 0)));
-    member.host->restart(currentMillis());
-    member.stopped = false;
+    poolHost.host->setCold(static_cast<uint32_t>(request.number("cold_ms", 0)));
+    poolHost.host->restart(currentMillis());
+    poolHost.stopped = false;
   } else if (action == "health") {
-    member.host->setReportedHealth(request.number("healthy", 1) != 0);
+    poolHost.host->setReportedHealth(request.number("healthy", 1) != 0);
   } else if (action == "load") {
-    member.host->setReportedLoad(static_cast<uint32_t>(request.number("percent", 0)));
+    poolHost.host->setReportedLoad(static_cast<uint32_t>(request.number("percent", 0)));
   } else if (action == "true-load") {
-    member.host->setReportedLoad(std::nullopt);
+    poolHost.host->setReportedLoad(std::nullopt);
   } else {
     return {kNotFound, "{}"};
   }
@@ -126,12 +126,12 @@
 
 std::string BackendPool::hostsJson() {
   Poco::JSON::Array hosts;
-  for (const auto& member : members_) {
+  for (const auto& poolHost : hosts_) {
     Poco::JSON::Object host;
-    host.set("service", member->host->profile().service);
-    host.set("name", member->host->profile().name);
-    host.set("endpoint", toString(loop_.localEndpoint(member->socket)));
-    host.set("probe", toString(member->probe->endpoint()));
+    host.set("service", poolHost->host->profile().service);
+    host.set("name", poolHost->host->profile().name);
+    host.set("endpoint", toString(loop_.localEndpoint(poolHost->socket)));
+    host.set("probe", toString(poolHost->probe->endpoint()));
     hosts.add(host);
   }
   return textOf(hosts);
@@ -139,8 +139,8 @@
 
 std::string BackendPool::recordJson() {
   std::vector<HostRecord> records;
-  for (const auto& member : members_) {
-    records.push_back(recordOf(*member->host));
+  for (const auto& poolHost : hosts_) {
+    records.push_back(recordOf(*poolHost->host));
   }
   return toJson(records);
 }
--- a/source/standins/backend/backend_pool.h
+++ b/source/standins/backend/backend_pool.h
@@ -40,7 +40,7 @@
   Endpoint hostEndpoint(size_t index) const;
 
  private:
-  struct Member {
+  struct PoolHost {
     std::unique_ptr<VirtualHost> host;
     SocketIndex socket = 0;
     std::unique_ptr<ControlServer> probe;
@@ -49,17 +49,17 @@
   };
 
   void addHost(const HostProfile& profile, uint64_t seed);
-  void flush(Member& member);
-  ControlResponse onProbe(Member& member, const ControlRequest& request);
+  void sendDuePackets(PoolHost& poolHost);
+  ControlResponse onProbe(PoolHost& poolHost, const ControlRequest& request);
   ControlResponse onControl(const ControlRequest& request);
-  ControlResponse applyAction(Member& member, const ControlRequest& request);
+  ControlResponse applyAction(PoolHost& poolHost, const ControlRequest& request);
   std::string hostsJson();
   std::string recordJson();
 
   BackendPoolOptions options_;
   DatagramLoop loop_;
   DelayLine delayLine_;
-  std::vector<std::unique_ptr<Member>> members_;
+  std::vector<std::unique_ptr<PoolHost>> hosts_;
   std::unique_ptr<ControlServer> control_;
 };
 
--- a/source/standins/backend/host_record.h
+++ b/source/standins/backend/host_record.h
@@ -12,6 +12,7 @@
 struct HostRecord {
   std::string service;
   std::string host;
+  /** Number of open connections. */
   uint64_t connections = 0;
   HostCounters counters;
   std::vector<RunRecord> runs;
--- a/source/standins/backend/push_sender.cc
+++ b/source/standins/backend/push_sender.cc
@@ -5,26 +5,26 @@
 
 constexpr UnixMillis kRetransmitMillis = 1000;
 /** Maximum number of transmissions of one push. */
-constexpr uint32_t kMaximumSends = 10;
+constexpr uint32_t kMaxSends = 10;
 
 }  // namespace
 
 PushSender::PushSender(UnixMillis now, uint32_t meanPauseMillis, RandomSource& random)
-    : meanPauseMillis_(meanPauseMillis), nextPush_(now + pause(random)) {}
+    : meanPauseMillis_(meanPauseMillis), nextPush_(now + randomPause(random)) {}
 
-UnixMillis PushSender::pause(RandomSource& random) const {
+UnixMillis PushSender::randomPause(RandomSource& random) const {
   return meanPauseMillis_ / 2 + static_cast<UnixMillis>(random.below(meanPauseMillis_ + 1));
 }
 
 std::vector<uint64_t> PushSender::due(UnixMillis now, uint64_t& nextId, RandomSource& random,
                                       PushCounters& counters) {
   if (meanPauseMillis_ > 0 && now >= nextPush_) {
-    nextPush_ = now + pause(random);
+    nextPush_ = now + randomPause(random);
     pending_[nextId++] = Pending{now, 0};
     ++counters.sent;
   }
   counters.lost += std::erase_if(pending_, [now](const auto& entry) {
-    return entry.second.sends >= kMaximumSends && now >= entry.second.nextSend;
+    return entry.second.sends >= kMaxSends && now >= entry.second.nextSend;
   });
   std::vector<uint64_t> ids;
   for (auto& [id, pending] : pending_) {
--- a/source/standins/backend/push_sender.h
+++ b/source/standins/backend/push_sender.h
@@ -41,7 +41,7 @@
     uint32_t sends = 0;
   };
 
-  UnixMillis pause(RandomSource& random) const;
+  UnixMillis randomPause(RandomSource& random) const;
 
   uint32_t meanPauseMillis_;
   UnixMillis nextPush_;
--- a/source/standins/backend/virtual_host.cc
+++ b/source/standins/backend/virtual_host.cc
@@ -14,8 +14,8 @@
     : profile_(std::move(profile)), random_(seed), startedAt_(now) {}
 
 void VirtualHost::restart(UnixMillis now) {
-  for (const Work& work : running_) {
-    runs_[work.record].endedAt = now;
+  for (const ActiveRequest& request : running_) {
+    runs_[request.runIndex].endedAt = now;
   }
   for (const auto& [caller, connection] : connections_) {
     lostFlows_.push_back(LostFlow{caller, now});
@@ -96,9 +96,9 @@
     return;
   }
   Connection& connection = found->second;
-  const uint32_t end = packet.sequence + static_cast<uint32_t>(packet.payload.size());
-  if (static_cast<int32_t>(end - connection.callerNext) > 0) {
-    connection.callerNext = end;
+  const uint32_t sequenceEnd = packet.sequence + static_cast<uint32_t>(packet.payload.size());
+  if (static_cast<int32_t>(sequenceEnd - connection.callerNext) > 0) {
+    connection.callerNext = sequenceEnd;
   }
   if (!packet.payload.empty()) {
     onPayload(now, packet.source, connection, packet.payload);
@@ -117,10 +117,11 @@
     return;
   }
   const Request& request = std::get<Request>(valueOf(message));
-  Connection unknownConnection;
+  // For answers to callers without a connection.
+  Connection noConnection;
   if (!request.expectedHost.empty()) {
     ++counters_.resets;
-    sendMessage(now, packet.source, unknownConnection,
+    sendMessage(now, packet.source, noConnection,
                 Answer{request.id, AnswerStatus::kUnknownFlow, 0, 1, profile_.name, 0});
     return;
   }
@@ -128,7 +129,7 @@
   if (connection == nullptr) {
     ++counters_.shedRequests;
     sendMessage(
-        now, packet.source, unknownConnection,
+        now, packet.source, noConnection,
         Answer{request.id, AnswerStatus::kShed, 0, 1, profile_.name, kShedRetryAfterMillis});
     return;
   }
@@ -155,10 +156,10 @@
 
 void VirtualHost::onRequest(UnixMillis now, const Endpoint& caller, Connection& connection,
                             const Request& request) {
-  const auto known = connection.exchanges.find(request.id);
-  if (known != connection.exchanges.end()) {
-    if (known->second.state == RequestState::kAnswered) {
-      answer(now, caller, connection, request.id, known->second);
+  const auto found = connection.exchanges.find(request.id);
+  if (found != connection.exchanges.end()) {
+    if (found->second.state == RequestState::kAnswered) {
+      answer(now, caller, connection, request.id, found->second);
     }
     return;
   }
@@ -172,7 +173,7 @@
     answer(now, caller, connection, request.id, exchange);
     return;
   }
-  queue_.push_back(Work{caller, request.id, 0, 0});
+  queue_.push_back(ActiveRequest{caller, request.id, 0, 0});
   startQueued(now);
 }
 
@@ -180,16 +181,18 @@
                                  uint64_t id) {
   Exchange& exchange = connection.exchanges[id];
   if (exchange.state != RequestState::kQueued) {
-    return;  // Already running or complete; its answer carries the status.
+    return;  // Already running or complete; its own answer reports the outcome.
   }
-  std::erase_if(queue_, [&](const Work& work) { return work.id == id && work.caller == caller; });
+  std::erase_if(queue_, [&](const ActiveRequest& request) {
+    return request.id == id && request.caller == caller;
+  });
   exchange.state = RequestState::kAnswered;
   exchange.status = AnswerStatus::kCancelled;
   answer(now, caller, connection, id, exchange);
 }
 
 void VirtualHost::onTick(UnixMillis now) {
-  endRunning(now);
+  completeRunning(now);
   startQueued(now);
   sendPushes(now);
   if (loadHistory_.empty() || loadHistory_.back().first + 100 <= now) {
@@ -205,7 +208,7 @@
     if (!connection.pushes) {
       continue;
     }
-    for (const uint64_t id : connection.pushes->due(now, nextPush_, random_, counters_.pushes)) {
+    for (const uint64_t id : connection.pushes->due(now, nextPushId_, random_, counters_.pushes)) {
       sendMessage(now, caller, connection, Push{id, profile_.name});
     }
   }
@@ -213,51 +216,52 @@
 
 uint32_t VirtualHost::serviceTime(UnixMillis now) {
   const bool cold = now < startedAt_ + profile_.coldMillis;
-  const uint32_t base = profile_.serviceMillis * (cold ? profile_.coldFactor : 1);
-  return base + static_cast<uint32_t>(random_.below(base + 1));
+  const uint32_t minServiceTime = profile_.serviceMillis * (cold ? profile_.coldFactor : 1);
+  return minServiceTime + static_cast<uint32_t>(random_.below(minServiceTime + 1));
 }
 
 void VirtualHost::startQueued(UnixMillis now) {
   while (!queue_.empty() && running_.size() < profile_.slots) {
-    Work work = queue_.front();
+    ActiveRequest request = queue_.front();
     queue_.pop_front();
-    const auto connection = connections_.find(work.caller);
+    const auto connection = connections_.find(request.caller);
     if (connection == connections_.end()) {
       continue;
     }
-    Exchange& exchange = connection->second.exchanges[work.id];
+    Exchange& exchange = connection->second.exchanges[request.id];
     if (exchange.deadline != 0 && exchange.deadline < now) {
       exchange.state = RequestState::kAnswered;
       exchange.status = AnswerStatus::kExpired;
-      answer(now, work.caller, connection->second, work.id, exchange);
+      answer(now, request.caller, connection->second, request.id, exchange);
       continue;
     }
     exchange.state = RequestState::kRunning;
-    work.endsAt = now + serviceTime(now);
-    work.record = runs_.size();
-    runs_.push_back(RunRecord{work.id, work.caller, now, 0});
-    running_.push_back(work);
+    request.completesAt = now + serviceTime(now);
+    request.runIndex = runs_.size();
+    runs_.push_back(RunRecord{request.id, request.caller, now, 0});
+    running_.push_back(request);
   }
 }
 
-void VirtualHost::endRunning(UnixMillis now) {
-  std::vector<Work> ended;
-  for (const Work& work : running_) {
-    if (work.endsAt <= now) {
-      ended.push_back(work);
+void VirtualHost::completeRunning(UnixMillis now) {
+  std::vector<ActiveRequest> completed;
+  for (const ActiveRequest& request : running_) {
+    if (request.completesAt <= now) {
+      completed.push_back(request);
     }
   }
-  std::erase_if(running_, [now](const Work& work) { return work.endsAt <= now; });
-  for (const Work& work : ended) {
-    runs_[work.record].endedAt = now;
-    const auto connection = connections_.find(work.caller);
+  std::erase_if(running_,
+                [now](const ActiveRequest& request) { return request.completesAt <= now; });
+  for (const ActiveRequest& request : completed) {
+    runs_[request.runIndex].endedAt = now;
+    const auto connection = connections_.find(request.caller);
     if (connection == connections_.end()) {
       continue;
     }
-    Exchange& exchange = connection->second.exchanges[work.id];
+    Exchange& exchange = connection->second.exchanges[request.id];
     exchange.state = RequestState::kAnswered;
     exchange.status = AnswerStatus::kDone;
-    answer(now, work.caller, connection->second, work.id, exchange);
+    answer(now, request.caller, connection->second, request.id, exchange);
   }
 }
 
@@ -266,9 +270,9 @@
   const uint16_t parts = exchange.status == AnswerStatus::kDone ? exchange.parts : 1;
   const uint32_t retryAfter = exchange.status == AnswerStatus::kShed ? kShedRetryAfterMillis : 0;
   for (uint16_t part = 0; part < parts; ++part) {
-    const bool late = random_.unit() < profile_.lateShare;
+    const bool isDelayed = random_.unit() < profile_.lateShare;
     const UnixMillis due =
-        late ? now + static_cast<UnixMillis>(random_.below(profile_.lateMillis + 1)) : now;
+        isDelayed ? now + static_cast<UnixMillis>(random_.below(profile_.lateMillis + 1)) : now;
     sendMessage(due, caller, connection,
                 Answer{id, exchange.status, part, parts, profile_.name, retryAfter});
   }
@@ -313,8 +317,8 @@
 }
 
 uint32_t VirtualHost::loadNow() const {
-  const size_t inSystem = running_.size() + queue_.size();
-  return static_cast<uint32_t>(inSystem * kFullLoad / std::max<uint32_t>(1, profile_.slots));
+  const size_t activeRequests = running_.size() + queue_.size();
+  return static_cast<uint32_t>(activeRequests * kFullLoad / std::max<uint32_t>(1, profile_.slots));
 }
 
 uint32_t VirtualHost::reportedLoad() const {
--- a/source/standins/backend/virtual_host.h
+++ b/source/standins/backend/virtual_host.h
@@ -31,16 +31,20 @@
   /** Maximum number of queued requests; further ones are shed. */
   uint32_t queueLimit = 200;
   uint32_t connectionLimit = 2000;
+  /** Minimum service time of a request; the time is uniformly distributed up to twice this value.
+   */
   uint32_t serviceMillis = 5;
-  /** While the host is cold, a request takes coldFactor times as long. */
+  /** Duration of the cold phase after a start. */
   uint32_t coldMillis = 0;
+  /** Factor by which requests take longer during the cold phase. */
   uint32_t coldFactor = 8;
-  /** Share of answers that are delayed by lateMillis and therefore reordered. */
+  /** Share of answer segments that are delayed by up to lateMillis and may therefore be reordered.
+   */
   double lateShare = 0.02;
   uint32_t lateMillis = 150;
   /** Mean interval between two unsolicited messages of the host on a TCP flow; 0 disables them. */
   uint32_t pushMillis = 0;
-  /** Age of the reported load. */
+  /** Age of the load that the host reports. */
   uint32_t reportLagMillis = 1000;
 };
 
@@ -61,10 +65,12 @@
 /** Counters of a host. */
 struct HostCounters {
   uint64_t openedFlows = 0;
+  /** Packets of unknown flows, answered by RST or status "unknown flow". */
   uint64_t resets = 0;
   uint64_t misroutedPackets = 0;
   uint64_t malformedPackets = 0;
   uint64_t shedRequests = 0;
+  /** New flows refused at the connection limit. */
   uint64_t overLimit = 0;
   PushCounters pushes;
   /** When the last new flow was opened; 0: none yet. */
@@ -90,7 +96,7 @@
   void setReportedHealth(bool healthy) { reportsHealthy_ = healthy; }
   /** Overrides the reported load; std::nullopt restores the real one. */
   void setReportedLoad(std::optional<uint32_t> percent) { loadOverride_ = percent; }
-  /** Restarts with no flows: running requests are lost and the host is cold. */
+  /** Restarts the host: all flows and requests are lost, and the cold phase begins. */
   void restart(UnixMillis now);
   /** Sets the duration of the cold phase after a restart. */
   void setCold(uint32_t coldMillis) { profile_.coldMillis = coldMillis; }
@@ -114,16 +120,19 @@
   };
   struct Connection {
     uint32_t hostSequence = 0;
+    /** Next expected sequence number of the caller. */
     uint32_t callerNext = 0;
     std::map<uint64_t, Exchange> exchanges;
     /** Empty if the host sends no unsolicited messages. */
     std::optional<PushSender> pushes;
   };
-  struct Work {
+  /** A queued or running request. */
+  struct ActiveRequest {
     Endpoint caller;
     uint64_t id = 0;
-    UnixMillis endsAt = 0;
-    size_t record = 0;
+    UnixMillis completesAt = 0;
+    /** Index of its entry in runs_; set when it starts to run. */
+    size_t runIndex = 0;
   };
   struct ScheduledPacket {
     UnixMillis due = 0;
@@ -146,7 +155,7 @@
   Connection* openConnection(UnixMillis now, const Endpoint& caller);
   void sendPushes(UnixMillis now);
   void startQueued(UnixMillis now);
-  void endRunning(UnixMillis now);
+  void completeRunning(UnixMillis now);
   void answer(UnixMillis now, const Endpoint& caller, Connection& connection, uint64_t id,
               const Exchange& exchange);
   void sendMessage(UnixMillis due, const Endpoint& caller, Connection& connection,
@@ -154,21 +163,24 @@
   void sendControl(UnixMillis now, PacketKind kind, const Endpoint& caller, uint32_t sequence,
                    uint32_t acknowledgement);
   void schedulePacket(UnixMillis due, const InnerPacket& packet);
+  /** @return queued and running requests over slots, in percent. */
   uint32_t loadNow() const;
+  /** @return a random service time in milliseconds. */
   uint32_t serviceTime(UnixMillis now);
 
   HostProfile profile_;
   RandomSource random_;
   UnixMillis startedAt_;
   std::unordered_map<Endpoint, Connection> connections_;
-  std::deque<Work> queue_;
-  std::vector<Work> running_;
+  std::deque<ActiveRequest> queue_;
+  std::vector<ActiveRequest> running_;
   std::priority_queue<ScheduledPacket> scheduledPackets_;
   uint64_t scheduleOrder_ = 0;
   std::vector<RunRecord> runs_;
   std::vector<LostFlow> lostFlows_;
   HostCounters counters_;
-  uint64_t nextPush_ = 1;
+  uint64_t nextPushId_ = 1;
+  /** Load every 100 ms with its time, oldest first; the first entry is the reported load. */
   std::deque<std::pair<UnixMillis, uint32_t>> loadHistory_;
   bool reportsHealthy_ = true;
   std::optional<uint32_t> loadOverride_;
