--- a/source/standins/common/control_server.cc
+++ b/source/standins/common/control_server.cc
@@ -23,17 +23,17 @@
   void handleRequest(Poco::Net::HTTPServerRequest& request,
                      Poco::Net::HTTPServerResponse& response) override {
     const Poco::URI uri(request.getURI());
-    ControlRequest control;
-    control.method = request.getMethod();
-    control.path = uri.getPath();
+    ControlRequest controlRequest;
+    controlRequest.method = request.getMethod();
+    controlRequest.path = uri.getPath();
     for (const auto& [name, value] : uri.getQueryParameters()) {
-      control.parameters[name] = value;
+      controlRequest.parameters[name] = value;
     }
-    Poco::StreamCopier::copyToString(request.stream(), control.body);
-    const ControlResponse answer = handler_(control);
-    response.setStatus(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(answer.status));
+    Poco::StreamCopier::copyToString(request.stream(), controlRequest.body);
+    const ControlResponse controlResponse = handler_(controlRequest);
+    response.setStatus(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(controlResponse.status));
     response.setContentType("application/json");
-    response.sendBuffer(answer.body.data(), answer.body.size());
+    response.sendBuffer(controlResponse.body.data(), controlResponse.body.size());
   }
 
  private:
--- a/source/standins/common/datagram_loop.cc
+++ b/source/standins/common/datagram_loop.cc
@@ -14,10 +14,10 @@
 namespace umberhold::standins {
 namespace {
 
-constexpr size_t kMaximumDatagramBytes = 65536;
-constexpr int kReceiveBuffer = 4 << 20;
+constexpr size_t kMaxDatagramBytes = 65536;
+constexpr int kReceiveBufferBytes = 4 << 20;
 /** Maximum number of datagrams read from one socket before the next socket is served. */
-constexpr int kBatch = 64;
+constexpr int kMaxBatch = 64;
 
 Endpoint toEndpoint(const Poco::Net::SocketAddress& address) {
   const auto parsed = parseAddress(address.host().toString());
@@ -43,7 +43,7 @@
   Poco::Net::PollSet poll;
   std::function<void()> tick;
   std::chrono::milliseconds tickPeriod = kTickPeriod;
-  std::array<char, kMaximumDatagramBytes> buffer{};
+  std::array<char, kMaxDatagramBytes> buffer{};
 
   const Poco::Net::SocketAddress& addressOf(const Endpoint& endpoint) {
     auto found = addresses.find(endpoint);
@@ -54,15 +54,16 @@
   }
 
   /** @return whether a datagram was available. */
-  bool receiveOne(OpenSocket& open) {
+  bool receiveOne(OpenSocket& openSocket) {
     try {
       Poco::Net::SocketAddress from;
       const int size =
-          open.socket.receiveFrom(buffer.data(), static_cast<int>(buffer.size()), from);
+          openSocket.socket.receiveFrom(buffer.data(), static_cast<int>(buffer.size()), from);
       if (size < 0) {
         return false;
       }
-      open.handler(toEndpoint(from), std::string_view(buffer.data(), static_cast<size_t>(size)));
+      openSocket.handler(toEndpoint(from),
+                         std::string_view(buffer.data(), static_cast<size_t>(size)));
       return true;
     } catch (const Poco::TimeoutException&) {
       return false;
@@ -76,14 +77,14 @@
 DatagramLoop::~DatagramLoop() = default;
 
 SocketIndex DatagramLoop::open(const Endpoint& local, Handler handler) {
-  auto open = std::make_unique<OpenSocket>();
-  open->socket = Poco::Net::DatagramSocket(toSocketAddress(local));
-  open->socket.setReceiveBufferSize(kReceiveBuffer);
-  open->socket.setBlocking(false);
-  open->handler = std::move(handler);
-  parts_->poll.add(open->socket, Poco::Net::PollSet::POLL_READ);
-  parts_->bySocket[open->socket] = open.get();
-  parts_->sockets.push_back(std::move(open));
+  auto openSocket = std::make_unique<OpenSocket>();
+  openSocket->socket = Poco::Net::DatagramSocket(toSocketAddress(local));
+  openSocket->socket.setReceiveBufferSize(kReceiveBufferBytes);
+  openSocket->socket.setBlocking(false);
+  openSocket->handler = std::move(handler);
+  parts_->poll.add(openSocket->socket, Poco::Net::PollSet::POLL_READ);
+  parts_->bySocket[openSocket->socket] = openSocket.get();
+  parts_->sockets.push_back(std::move(openSocket));
   return parts_->sockets.size() - 1;
 }
 
@@ -111,8 +112,8 @@
     const auto ready = parts_->poll.poll(Poco::Timespan(parts_->tickPeriod.count() * 1000));
     const std::lock_guard lock(parts_->mutex);
     for (const auto& entry : ready) {
-      OpenSocket& open = *parts_->bySocket.at(entry.first);
-      for (int taken = 0; taken < kBatch && parts_->receiveOne(open); ++taken) {
+      OpenSocket& openSocket = *parts_->bySocket.at(entry.first);
+      for (int received = 0; received < kMaxBatch && parts_->receiveOne(openSocket); ++received) {
       }
     }
     if (parts_->tick && std::chrono::steady_clock::now() >= nextTick) {
--- a/source/standins/common/delay_line.cc
+++ b/source/standins/common/delay_line.cc
@@ -9,15 +9,16 @@
     return;
   }
   const auto due = Clock::now() + std::chrono::microseconds(delayMicros);
-  transits_.push(Transit{due, ++order_, socket, to, std::string(bytes)});
+  delayed_.push(DelayedDatagram{due, ++lastOrder_, socket, to, std::string(bytes)});
 }
 
 void DelayLine::deliverDue() {
-  const auto nearest = Clock::now() + kTickPeriod / 2;
-  while (!transits_.empty() && transits_.top().due <= nearest) {
-    const Transit& transit = transits_.top();
-    loop_.send(transit.socket, transit.to, transit.bytes);
-    transits_.pop();
+  // Includes datagrams whose nearest tick is this one.
+  const auto dueUntil = Clock::now() + kTickPeriod / 2;
+  while (!delayed_.empty() && delayed_.top().due <= dueUntil) {
+    const DelayedDatagram& datagram = delayed_.top();
+    loop_.send(datagram.socket, datagram.to, datagram.bytes);
+    delayed_.pop();
   }
 }
 
--- a/source/standins/common/delay_line.h
+++ b/source/standins/common/delay_line.h
@@ -23,26 +23,27 @@
 
   /** Sends immediately if the delay is 0, otherwise on the tick nearest to its end. */
   void send(uint32_t delayMicros, SocketIndex socket, const Endpoint& to, std::string_view bytes);
+  /** Sends the datagrams that are due. */
   void deliverDue();
 
  private:
   using Clock = std::chrono::steady_clock;
 
-  /** A delayed datagram. */
-  struct Transit {
+  struct DelayedDatagram {
     Clock::time_point due;
+    /** Order of sending, for datagrams that are due at the same time. */
     uint64_t order = 0;
     SocketIndex socket = 0;
     Endpoint to;
     std::string bytes;
-    bool operator<(const Transit& other) const {
+    bool operator<(const DelayedDatagram& other) const {
       return std::tie(due, order) > std::tie(other.due, other.order);
     }
   };
 
   DatagramLoop& loop_;
-  std::priority_queue<Transit> transits_;
-  uint64_t order_ = 0;
+  std::priority_queue<DelayedDatagram> delayed_;
+  uint64_t lastOrder_ = 0;
 };
 
 }  // namespace umberhold::standins
--- a/source/standins/common/exchange_message.h
+++ b/source/standins/common/exchange_message.h
@@ -24,9 +24,10 @@
   bool repeatable = true;
   /** Time at which the caller gives up; the host does not start the request later. */
   UnixMillis deadline = 0;
-  /** Segments of the answer. */
+  /** Number of segments of the answer. */
   uint16_t answerParts = 1;
-  /** Host that answered earlier in this flow; empty in the first requests. */
+  /** Host that answered earlier in this flow; empty if the request started
+   * before the first answer. */
   std::string expectedHost;
 };
 
@@ -35,7 +36,7 @@
   uint64_t id = 0;
 };
 
-/** How a request ended at its host. */
+/** Outcome of a request at its host. */
 enum class AnswerStatus : uint8_t {
   kDone = 0,
   /** Shed before it ran: the host's queue is full. */
@@ -55,7 +56,7 @@
   /** Index of this segment, from 0. */
   uint16_t part = 0;
   uint16_t parts = 1;
-  /** The host that answers. */
+  /** Name of the host that answers. */
   std::string host;
   /** Minimum delay before the caller of a shed request may retry; 0: none. */
   uint32_t retryAfterMillis = 0;
--- a/source/standins/common/inner_packet.cc
+++ b/source/standins/common/inner_packet.cc
@@ -55,11 +55,12 @@
 }
 
 std::string payloadOf(const Tins::PDU& layer) {
-  const auto* raw = layer.inner_pdu() == nullptr ? nullptr : layer.find_pdu<Tins::RawPDU>();
-  return raw == nullptr ? std::string() : std::string(raw->payload().begin(), raw->payload().end());
+  const auto* rawLayer = layer.inner_pdu() == nullptr ? nullptr : layer.find_pdu<Tins::RawPDU>();
+  return rawLayer == nullptr ? std::string()
+                             : std::string(rawLayer->payload().begin(), rawLayer->payload().end());
 }
 
-std::string serialized(Tins::PDU& packet) {
+std::string serialize(Tins::PDU& packet) {
   const auto bytes = packet.serialize();
   return std::string(bytes.begin(), bytes.end());
 }
@@ -80,13 +81,13 @@
   if (!packet.payload.empty()) {
     ip /= Tins::RawPDU(packet.payload);
   }
-  return serialized(ip);
+  return serialize(ip);
 }
 
 std::string buildUdp(const InnerPacket& packet) {
   Tins::IP ip = ipHeader(packet) / Tins::UDP(packet.destination.port, packet.source.port) /
                 Tins::RawPDU(packet.payload);
-  return serialized(ip);
+  return serialize(ip);
 }
 
 /** Builds a destination unreachable message from the quoted packet's destination to its source. */
@@ -100,7 +101,7 @@
   icmp.code(kPortUnreachable);
   Tins::IP ip = Tins::IP(toTins(packet.source.address), toTins(packet.destination.address)) / icmp /
                 Tins::RawPDU(quoted);
-  return serialized(ip);
+  return serialize(ip);
 }
 
 uint16_t portAt(const std::string& bytes, size_t offset) {
@@ -117,18 +118,19 @@
 Result<InnerPacket, InnerPacketError> parseQuoted(const std::string& quoted) {
   constexpr size_t kSourceOffset = 12;
   constexpr size_t kDestinationOffset = 16;
-  constexpr size_t kMinimumHeader = 20;
-  if (quoted.size() < kMinimumHeader) {
+  constexpr size_t kMinHeaderBytes = 20;
+  if (quoted.size() < kMinHeaderBytes) {
     return InnerPacketError::kMalformed;
   }
-  const size_t header = size_t{static_cast<unsigned char>(quoted[0]) & 0x0fU} * 4;
-  if (header < kMinimumHeader || quoted.size() < header + 4) {
+  const size_t headerBytes = size_t{static_cast<unsigned char>(quoted[0]) & 0x0fU} * 4;
+  if (headerBytes < kMinHeaderBytes || quoted.size() < headerBytes + 4) {
     return InnerPacketError::kMalformed;
   }
   InnerPacket packet;
   packet.kind = PacketKind::kUnreachable;
-  packet.source = Endpoint{addressAt(quoted, kSourceOffset), portAt(quoted, header)};
-  packet.destination = Endpoint{addressAt(quoted, kDestinationOffset), portAt(quoted, header + 2)};
+  packet.source = Endpoint{addressAt(quoted, kSourceOffset), portAt(quoted, headerBytes)};
+  packet.destination =
+      Endpoint{addressAt(quoted, kDestinationOffset), portAt(quoted, headerBytes + 2)};
   return packet;
 }
 
--- a/source/standins/common/inner_packet.h
+++ b/source/standins/common/inner_packet.h
@@ -12,7 +12,7 @@
 
 namespace umberhold::standins {
 
-/** What an emulated packet is for. */
+/** Kind of an emulated packet. */
 enum class PacketKind : uint8_t {
   kSyn,
   kSynAck,
--- a/source/standins/common/program.h
+++ b/source/standins/common/program.h
@@ -8,7 +8,7 @@
 
 namespace umberhold::standins {
 
-/** @return a flag that SIGTERM and SIGINT set. */
+/** Installs handlers of SIGTERM and SIGINT. @return the flag that they set. */
 std::atomic<bool>& stopOnSignals();
 
 /** Initializes glog with output to standard error. */
--- a/source/standins/fabric/fabric_main.cc
+++ b/source/standins/fabric/fabric_main.cc
@@ -8,14 +8,15 @@
 int main(int argc, char** argv) {
   using namespace umberhold::standins;
   TCLAP::CmdLine command("Emulated network edge", ' ', "0.1");
-  TCLAP::ValueArg<std::string> listen("", "listen", "takes packets of callers", true, "",
+  TCLAP::ValueArg<std::string> listen("", "listen", "receives packets from callers", true, "",
                                       "address:port", command);
   TCLAP::ValueArg<std::string> control("", "control", "control server", true, "", "address:port",
                                        command);
-  TCLAP::ValueArg<uint32_t> lag("", "lag-ms", "time to learn of a change", false, 1000, "ms",
-                                command);
-  TCLAP::ValueArg<uint32_t> latency("", "latency-us", "from callers to balancers, one way", false,
-                                    0, "us", command);
+  TCLAP::ValueArg<uint32_t> lag("", "lag-ms",
+                                "delay until a change of the list of balancers takes effect", false,
+                                1000, "ms", command);
+  TCLAP::ValueArg<uint32_t> latency("", "latency-us", "one-way latency from callers to balancers",
+                                    false, 0, "us", command);
   TCLAP::ValueArg<uint64_t> seed("", "seed", "random seed", false, 1, "number", command);
   command.parse(argc, argv);
   startLogging(argv[0]);
--- a/source/standins/fabric/spray_fabric.cc
+++ b/source/standins/fabric/spray_fabric.cc
@@ -35,7 +35,7 @@
   socket_ = loop_.open(options.listen, [this](const Endpoint&, auto bytes) { onPacket(bytes); });
   loop_.onTick(
       [this] {
-        applyDue();
+        applyDueLists();
         delayLine_.deliverDue();
       },
       DelayLine::kTickPeriod);
@@ -57,13 +57,13 @@
 
 void SprayFabric::setNodes(std::vector<Endpoint> nodes) {
   const std::lock_guard lock(loop_.mutex());
-  pending_.push_back(PendingList{currentMillis() + options_.lagMillis, std::move(nodes)});
+  pendingLists_.push_back(PendingList{currentMillis() + options_.lagMillis, std::move(nodes)});
 }
 
-void SprayFabric::applyDue() {
-  while (!pending_.empty() && pending_.front().due <= currentMillis()) {
-    nodes_ = std::move(pending_.front().nodes);
-    pending_.pop_front();
+void SprayFabric::applyDueLists() {
+  while (!pendingLists_.empty() && pendingLists_.front().due <= currentMillis()) {
+    nodes_ = std::move(pendingLists_.front().nodes);
+    pendingLists_.pop_front();
   }
 }
 
@@ -71,7 +71,7 @@
   if (nodes_.empty()) {
     return;
   }
-  ++packets_;
+  ++forwardedPackets_;
   delayLine_.send(options_.latencyMicros, socket_, nodes_[random_.below(nodes_.size())], bytes);
 }
 
@@ -81,7 +81,7 @@
   constexpr int kNotFound = 404;
   if (request.path == "/control/stats") {
     const std::lock_guard lock(loop_.mutex());
-    return {kOk, "{\"packets\":" + std::to_string(packets_) +
+    return {kOk, "{\"packets\":" + std::to_string(forwardedPackets_) +
                      ",\"nodes\":" + std::to_string(nodes_.size()) + "}"};
   }
   if (request.path != "/control/nodes") {
--- a/source/standins/fabric/spray_fabric.h
+++ b/source/standins/fabric/spray_fabric.h
@@ -36,17 +36,18 @@
   void run(const std::atomic<bool>& stop);
   Endpoint listenEndpoint() const;
   Endpoint controlEndpoint() const;
-  /** Replaces the list; effective after the lag. Thread safe. */
+  /** Replaces the list of balancers; takes effect after the lag. Thread safe. */
   void setNodes(std::vector<Endpoint> nodes);
 
  private:
+  /** A list of balancers that is not in effect yet. */
   struct PendingList {
     UnixMillis due = 0;
     std::vector<Endpoint> nodes;
   };
 
   void onPacket(std::string_view bytes);
-  void applyDue();
+  void applyDueLists();
   ControlResponse onControl(const ControlRequest& request);
 
   SprayFabricOptions options_;
@@ -55,8 +56,8 @@
   DelayLine delayLine_;
   SocketIndex socket_ = 0;
   std::vector<Endpoint> nodes_;
-  std::deque<PendingList> pending_;
-  uint64_t packets_ = 0;
+  std::deque<PendingList> pendingLists_;
+  uint64_t forwardedPackets_ = 0;
   std::unique_ptr<ControlServer> control_;
 };
 
