--- a/test/standins/caller_flow_test.cc
+++ b/test/standins/caller_flow_test.cc
@@ -34,7 +34,7 @@
     profile.requestPauseMillis = 1'000'000;
     flow = std::make_unique<CallerFlow>(kStart, kCaller, profile, context);
   }
-  void fromHost(UnixMillis now, PacketKind kind, std::string payload = "") {
+  void receiveFromHost(UnixMillis now, PacketKind kind, std::string payload = "") {
     InnerPacket packet;
     packet.kind = kind;
     packet.source = kService;
@@ -42,12 +42,13 @@
     packet.payload = std::move(payload);
     flow->onPacket(now, packet, context);
   }
-  void part(UnixMillis now, uint64_t id, uint16_t index, uint16_t parts) {
-    fromHost(now, PacketKind::kSegment,
-             encodeExchange(Answer{id, AnswerStatus::kDone, index, parts, "dispatch-0", 0}));
+  /** Delivers one part of an answer. */
+  void receivePart(UnixMillis now, uint64_t id, uint16_t index, uint16_t parts) {
+    receiveFromHost(now, PacketKind::kSegment,
+                    encodeExchange(Answer{id, AnswerStatus::kDone, index, parts, "dispatch-0", 0}));
   }
-  /** @return the last request in the packets sent since the previous call. */
-  Request takeRequest() {
+  /** Clears `out`. @return the last request in the packets sent since the previous call. */
+  Request lastSentRequest() {
     Request last;
     for (const std::string& bytes : out) {
       const auto message = decodeExchange(valueOf(parsePacket(bytes)).payload);
@@ -58,62 +59,65 @@
     out.clear();
     return last;
   }
-  /** Opens the flow and sends requests until one has kParts parts; that one stays unanswered. */
-  Request open() {
+  /**
+   * Opens the flow and sends requests until one requests an answer of kParts parts.
+   * @return that request, which is still unanswered.
+   */
+  Request openWithLargeRequest() {
     profile.largeAnswerParts = kParts;
-    fromHost(sent, PacketKind::kSynAck);
-    flow->onTick(sent, context);
-    Request request = takeRequest();
+    receiveFromHost(sentAt, PacketKind::kSynAck);
+    flow->onTick(sentAt, context);
+    Request request = lastSentRequest();
     while (request.answerParts != kParts) {  // Only every fourth request has a large answer.
-      part(sent, request.id, 0, 1);
-      sent += 2 * profile.requestPauseMillis;
-      flow->onTick(sent, context);
-      request = takeRequest();
+      receivePart(sentAt, request.id, 0, 1);
+      sentAt += 2 * profile.requestPauseMillis;
+      flow->onTick(sentAt, context);
+      request = lastSentRequest();
     }
     return request;
   }
-  /** Time at which the last request was sent. */
-  UnixMillis sent = kStart;
+  /** Time at which the last request of openWithLargeRequest() was sent. */
+  UnixMillis sentAt = kStart;
 };
 
 TEST(CallerFlow, AssemblesReorderedAndDuplicatedPartsOnce) {
-  const Request request = open();
-  const uint64_t before = report.answers;
+  const Request request = openWithLargeRequest();
+  const uint64_t answersBefore = report.answers;
   for (const uint16_t index : {3, 1, 3, 0}) {
-    part(sent, request.id, index, kParts);
+    receivePart(sentAt, request.id, index, kParts);
   }
-  CHECK_EQUAL(before, report.answers);
+  CHECK_EQUAL(answersBefore, report.answers);
   CHECK_EQUAL(1U, flow->outstanding());
-  part(sent, request.id, 2, kParts);
-  CHECK_EQUAL(before + 1, report.answers);
+  receivePart(sentAt, request.id, 2, kParts);
+  CHECK_EQUAL(answersBefore + 1, report.answers);
   CHECK_EQUAL(0U, flow->outstanding());
-  part(sent, request.id, 1, kParts);
-  CHECK_EQUAL(before + 1, report.answers);
+  receivePart(sentAt, request.id, 1, kParts);
+  CHECK_EQUAL(answersBefore + 1, report.answers);
   CHECK(report.broken.empty());
 }
 
 TEST(CallerFlow, RetransmitsRequestWithSameIdForMissingPart) {
-  const Request request = open();
+  const Request request = openWithLargeRequest();
   for (const uint16_t index : {0, 1, 3}) {
-    part(sent, request.id, index, kParts);
+    receivePart(sentAt, request.id, index, kParts);
   }
-  flow->onTick(sent + 301, context);
-  const Request repeated = takeRequest();
-  CHECK_EQUAL(request.id, repeated.id);
-  part(sent + 310, request.id, 2, kParts);
+  flow->onTick(sentAt + 301, context);
+  const Request retransmitted = lastSentRequest();
+  CHECK_EQUAL(request.id, retransmitted.id);
+  receivePart(sentAt + 310, request.id, 2, kParts);
   CHECK_EQUAL(0U, flow->outstanding());
   CHECK_EQUAL(1U, report.delayedRequests);
   CHECK_EQUAL(1U, report.unansweredAt.size());
   CHECK_EQUAL(310U, report.longestSilenceMillis);
 }
 
-TEST(CallerFlow, MeasuresSilenceOnlyWhileARequestIsOutstanding) {
-  const Request request = open();
+TEST(CallerFlow, MeasuresSilenceOnlyWhileRequestIsOutstanding) {
+  const Request request = openWithLargeRequest();
   for (uint16_t index = 0; index < kParts; ++index) {
-    part(sent + 100 * (index + 1), request.id, index, kParts);
+    receivePart(sentAt + 100 * (index + 1), request.id, index, kParts);
   }
   CHECK_EQUAL(100U, report.longestSilenceMillis);
-  part(sent + 60'000, request.id, 0, kParts);
+  receivePart(sentAt + 60'000, request.id, 0, kParts);
   CHECK_EQUAL(100U, report.longestSilenceMillis);
 }
 
@@ -126,21 +130,21 @@
 }
 
 TEST(CallerFlow, BreaksUnresponsiveFlowAndMeasuresItsSilence) {
-  open();
-  UnixMillis now = sent;
-  while (report.broken.empty() && now < sent + 60'000) {
+  openWithLargeRequest();
+  UnixMillis now = sentAt;
+  while (report.broken.empty() && now < sentAt + 60'000) {
     flow->onTick(now += 50, context);
   }
   CHECK(report.broken.at(0).reason == BreakReason::kSilence);
-  CHECK_EQUAL(static_cast<uint64_t>(now - sent), report.longestSilenceMillis);
+  CHECK_EQUAL(static_cast<uint64_t>(now - sentAt), report.longestSilenceMillis);
   CHECK(report.unansweredAt.size() == 9);
 }
 
 TEST(CallerFlow, CountsPushOncePerIdAndAcknowledgesEachCopy) {
-  const Request request = open();
+  const Request request = openWithLargeRequest();
   out.clear();
   for (const uint64_t id : {5, 6, 5}) {
-    fromHost(sent, PacketKind::kSegment, encodeExchange(Push{id, "dispatch-0"}));
+    receiveFromHost(sentAt, PacketKind::kSegment, encodeExchange(Push{id, "dispatch-0"}));
   }
   CHECK_EQUAL(2U, report.pushes);
   CHECK_EQUAL(3U, out.size());
@@ -150,16 +154,16 @@
   CHECK(report.broken.empty());
 }
 
-TEST(CallerFlow, PushFromAnotherHostBreaksTheFlow) {
-  open();
-  fromHost(sent, PacketKind::kSegment, encodeExchange(Push{5, "dispatch-9"}));
+TEST(CallerFlow, BreaksFlowOnPushFromAnotherHost) {
+  openWithLargeRequest();
+  receiveFromHost(sentAt, PacketKind::kSegment, encodeExchange(Push{5, "dispatch-9"}));
   CHECK(report.broken.at(0).reason == BreakReason::kOtherHost);
   CHECK_EQUAL(0U, report.pushes);
 }
 
 TEST(CallerFlow, ReportRoundTripsThroughJson) {
-  open();
-  flow->onTick(sent + 400, context);
+  openWithLargeRequest();
+  flow->onTick(sentAt + 400, context);
   report.refusedIds = {7, uint64_t{1} << 40};
   report.openFlowsByHost["dispatch-0"] = 3;
   const auto read = reportFromJson(toJson(report));
--- a/test/standins/conversation_test.cc
+++ b/test/standins/conversation_test.cc
@@ -44,7 +44,7 @@
   return profile;
 }
 
-/** Caller -> fabric -> two doubles -> two hosts -> caller. */
+/** Caller -> fabric -> two node doubles -> two hosts -> caller. */
 struct Chain {
   explicit Chain(TransportProtocol protocol) : fabric(fabricOptions()) {
     CallerPoolOptions options;
@@ -93,16 +93,17 @@
   std::unique_ptr<BackendPool> hosts;
 };
 
-struct Running {
-  explicit Running(Chain& chain)
+/** Runs all parts of a chain until it goes out of scope. */
+struct RunningChain {
+  explicit RunningChain(Chain& chain)
       : fabric(chain.fabric),
-        first(chain.nodes[0]),
-        second(chain.nodes[1]),
+        firstNode(chain.nodes[0]),
+        secondNode(chain.nodes[1]),
         hosts(*chain.hosts),
         callers(*chain.callers) {}
   BackgroundRun<SprayFabric> fabric;
-  BackgroundRun<ForwardingDouble> first;
-  BackgroundRun<ForwardingDouble> second;
+  BackgroundRun<ForwardingDouble> firstNode;
+  BackgroundRun<ForwardingDouble> secondNode;
   BackgroundRun<BackendPool> hosts;
   BackgroundRun<CallerPool> callers;
 };
@@ -120,7 +121,7 @@
 
 TEST(Conversation, TcpFlowsGetAllAnswersThroughSprayedPackets) {
   Chain chain(TransportProtocol::kTcp);
-  const Running running(chain);
+  const RunningChain running(chain);
   CHECK(eventually([&] { return chain.callers->report().answers > 400; }));
   chain.callers->finish();
   CHECK(eventually([&] { return chain.callers->report().outstandingRequests == 0; }));
@@ -133,7 +134,7 @@
 
 TEST(Conversation, TcpFlowsBreakWhenPacketsReachAnotherHost) {
   Chain chain(TransportProtocol::kTcp);
-  const Running running(chain);
+  const RunningChain running(chain);
   CHECK(eventually([&] { return chain.callers->report().openFlows == 40; }));
   chain.setHosts({1, 0});
   CHECK(eventually([&] { return chain.callers->report().broken.size() >= 40; }));
@@ -142,7 +143,7 @@
 
 TEST(Conversation, UdpFlowsBreakWhenPacketsReachAnotherHost) {
   Chain chain(TransportProtocol::kUdp);
-  const Running running(chain);
+  const RunningChain running(chain);
   CHECK(eventually([&] { return chain.callers->report().establishedFlows == 40; }));
   chain.setHosts({1, 0});
   CHECK(eventually([&] { return chain.callers->report().broken.size() >= 40; }));
--- a/test/standins/fault_proxy_test.cc
+++ b/test/standins/fault_proxy_test.cc
@@ -45,8 +45,8 @@
   std::atomic<int> received_{0};
 };
 
-/** @return a port adjacent to one that the kernel chose. */
-uint16_t frontOf(uint16_t port) {
+/** @return a front port for a port that the kernel chose: an adjacent one. */
+uint16_t frontPortOf(uint16_t port) {
   return static_cast<uint16_t>(port ^ 1U);
 }
 
@@ -65,11 +65,11 @@
   RandomSource random{7};
 };
 
-TEST(FaultRules, PassesEverythingOnceWithoutRules) {
+TEST(FaultRules, DeliversEachDatagramOnceWithoutRules) {
   LONGS_EQUAL(1, rules.deliveryDelays(kBole, kPiassa, random).size());
 }
 
-TEST(FaultRules, CutsOnlyTheNamedDirection) {
+TEST(FaultRules, CutsOnlyTheConfiguredDirection) {
   FaultRule rule;
   rule.from = "bole";
   rule.to = "piassa";
@@ -81,24 +81,24 @@
   LONGS_EQUAL(1, rules.deliveryDelays(kBole, kPiassa, random).size());
 }
 
-TEST(FaultRules, DropsRepeatsAndDelaysTheNamedShares) {
+TEST(FaultRules, DropsDuplicatesAndDelaysConfiguredShares) {
   FaultRule rule;
   rule.from = "node-1";
   rule.dropShare = 0.25;
   rule.repeatShare = 0.5;
   rule.delayMicros = 9000;
   rules.set(rule);
-  int lost = 0;
-  int repeated = 0;
+  int dropped = 0;
+  int duplicated = 0;
   constexpr int kDatagrams = 4000;
   for (int count = 0; count < kDatagrams; ++count) {
-    const auto deliveryDelays = rules.deliveryDelays(kBole, kPiassa, random);
-    lost += deliveryDelays.empty() ? 1 : 0;
-    repeated += deliveryDelays.size() == 2 ? 1 : 0;
-    CHECK(deliveryDelays.empty() || deliveryDelays[0] == 9000);
+    const auto delays = rules.deliveryDelays(kBole, kPiassa, random);
+    dropped += delays.empty() ? 1 : 0;
+    duplicated += delays.size() == 2 ? 1 : 0;
+    CHECK(delays.empty() || delays[0] == 9000);
   }
-  DOUBLES_EQUAL(0.25, static_cast<double>(lost) / kDatagrams, 0.03);
-  DOUBLES_EQUAL(0.375, static_cast<double>(repeated) / kDatagrams, 0.03);
+  DOUBLES_EQUAL(0.25, static_cast<double>(dropped) / kDatagrams, 0.03);
+  DOUBLES_EQUAL(0.375, static_cast<double>(duplicated) / kDatagrams, 0.03);
 }
 
 // POCO keeps thread and event objects after a test, which the leak detection would report.
@@ -112,19 +112,19 @@
 
 TEST(DelayLine, SendsDatagramsInDueOrder) {
   DatagramLoop loop;
-  DelayLine line(loop);
+  DelayLine delayLine(loop);
   std::string received;
-  const Endpoint any{*parseAddress("127.0.0.1"), 0};
+  const Endpoint anyPort{*parseAddress("127.0.0.1"), 0};
   const SocketIndex receiver =
-      loop.open(any, [&received](const Endpoint&, auto bytes) { received.append(bytes); });
-  const SocketIndex sender = loop.open(any, [](const Endpoint&, auto) {});
+      loop.open(anyPort, [&received](const Endpoint&, auto bytes) { received.append(bytes); });
+  const SocketIndex sender = loop.open(anyPort, [](const Endpoint&, auto) {});
   std::atomic<bool> stop{false};
-  line.send(30'000, sender, loop.localEndpoint(receiver), "c");
-  line.send(10'000, sender, loop.localEndpoint(receiver), "b");
-  line.send(0, sender, loop.localEndpoint(receiver), "a");
+  delayLine.send(30'000, sender, loop.localEndpoint(receiver), "c");
+  delayLine.send(10'000, sender, loop.localEndpoint(receiver), "b");
+  delayLine.send(0, sender, loop.localEndpoint(receiver), "a");
   loop.onTick(
       [&] {
-        line.deliverDue();
+        delayLine.deliverDue();
         stop = received.size() == 3;
       },
       DelayLine::kTickPeriod);
@@ -141,12 +141,13 @@
 }
 ;
 
-TEST(FaultProxy, PassesBothDirectionsUntilItIsCut) {
+TEST(FaultProxy, ForwardsBothDirectionsUntilOneIsCut) {
   EchoNode first("127.1.0.1");
   EchoNode second("127.1.0.2");
-  const uint16_t frontPort = frontOf(second.endpoint().port);
-  const ProxiedNode bole{
-      kBole, first.endpoint().address, {{frontOf(first.endpoint().port), first.endpoint().port}}};
+  const uint16_t frontPort = frontPortOf(second.endpoint().port);
+  const ProxiedNode bole{kBole,
+                         first.endpoint().address,
+                         {{frontPortOf(first.endpoint().port), first.endpoint().port}}};
   const ProxiedNode piassa{
       kPiassa, second.endpoint().address, {{frontPort, second.endpoint().port}}};
   const Endpoint front{piassa.address, frontPort};
@@ -179,21 +180,21 @@
   ControlServer platform(anyPort, [](const ControlRequest&) { return ControlResponse{200, "up"}; });
   std::atomic<bool> cut{false};
   const TcpFront front(anyPort, platform.endpoint(), [&cut] { return cut.load(); });
-  // An answer may be slow on a loaded machine; without a path it never arrives.
-  const Poco::Timespan ample(20, 0);
-  const Poco::Timespan brief(0, 300000);
-  const auto ask = [&front](const Poco::Timespan& patience) {
+  // On a loaded machine an answer may take long; while the path is cut, it never arrives.
+  const Poco::Timespan longTimeout(20, 0);
+  const Poco::Timespan shortTimeout(0, 300000);
+  const auto requestStatus = [&front](const Poco::Timespan& timeout) {
     Poco::Net::HTTPClientSession session("127.0.0.1", front.endpoint().port);
-    session.setTimeout(patience);
+    session.setTimeout(timeout);
     Poco::Net::HTTPRequest request("GET", "/", "HTTP/1.1");
     session.sendRequest(request);
     Poco::Net::HTTPResponse response;
     session.receiveResponse(response);
     return static_cast<int>(response.getStatus());
   };
-  LONGS_EQUAL(200, ask(ample));
+  LONGS_EQUAL(200, requestStatus(longTimeout));
   cut = true;
-  CHECK_THROWS(Poco::TimeoutException, ask(brief));
+  CHECK_THROWS(Poco::TimeoutException, requestStatus(shortTimeout));
   cut = false;
-  LONGS_EQUAL(200, ask(ample));
+  LONGS_EQUAL(200, requestStatus(longTimeout));
 }
--- a/test/standins/forwarding_double.h
+++ b/test/standins/forwarding_double.h
@@ -1,4 +1,5 @@
-/** @file A node in few lines: sends each packet to a host chosen by the caller's address. */
+/** @file A minimal test double of a node: sends each packet to a host chosen by the caller's
+ * address and port. */
 #pragma once
 
 #include <atomic>
@@ -11,7 +12,7 @@
 
 namespace umberhold::standins {
 
-/** Runs any loop-based stand-in on a thread until it goes out of scope. */
+/** Runs any object with run(stop) on its own thread until destruction. */
 template <class Runnable>
 class BackgroundRun {
  public:
@@ -29,7 +30,7 @@
   std::thread thread_;
 };
 
-/** A balancer without state: correct as long as its list of hosts does not change. */
+/** A stateless balancer; keeps flows on their hosts as long as the list of hosts is unchanged. */
 class ForwardingDouble {
  public:
   ForwardingDouble() {
--- a/test/standins/oracle_test.cc
+++ b/test/standins/oracle_test.cc
@@ -22,7 +22,7 @@
 }
 
 /** @return a report with a flow that broke with a request in progress. */
-CallerReport brokenOn(const std::string& host, UnixMillis openedAt, UnixMillis at) {
+CallerReport reportWithFlowBrokenOn(const std::string& host, UnixMillis openedAt, UnixMillis at) {
   CallerReport report;
   report.broken.push_back(BrokenFlow{at, BreakReason::kReset, "dispatch", host, kCaller, openedAt});
   report.cut.push_back(CutRequest{at, 1, "dispatch", host, false, kCaller, openedAt});
@@ -62,7 +62,7 @@
 }
 
 TEST(Oracle, AttributesOpenFlowOfStoppedHostToTheStopAtAnyLaterTime) {
-  RunEvidence evidence = evidenceWith(brokenOn("dispatch-0", kStart, kStart + 60000));
+  RunEvidence evidence = evidenceWith(reportWithFlowBrokenOn("dispatch-0", kStart, kStart + 60000));
   evidence.hostStops.push_back(HostStop{kStart + 1, "dispatch-0"});
   const Verdict verdict = judge(evidence);
   LONGS_EQUAL(1, verdict.brokenFlows);
@@ -75,10 +75,10 @@
 TEST(Oracle, StoppedHostAccountsOnlyForItsOpenFlows) {
   const HostStop stop{kStart + 5, "dispatch-0"};
   const std::vector<CallerReport> reports = {
-      brokenOn("dispatch-1", kStart, kStart + 10),      // Another host's flow.
-      brokenOn("dispatch-0", kStart + 6, kStart + 10),  // Opened after the stop.
-      brokenOn("dispatch-0", kStart, kStart + 4),       // Broke before the stop.
-      brokenOn("", kStart, kStart + 10),                // Unknown host.
+      reportWithFlowBrokenOn("dispatch-1", kStart, kStart + 10),      // Another host's flow.
+      reportWithFlowBrokenOn("dispatch-0", kStart + 6, kStart + 10),  // Opened after the stop.
+      reportWithFlowBrokenOn("dispatch-0", kStart, kStart + 4),       // Broke before the stop.
+      reportWithFlowBrokenOn("", kStart, kStart + 10),                // Unknown host.
   };
   for (const CallerReport& report : reports) {
     RunEvidence evidence = evidenceWith(report);
@@ -92,7 +92,7 @@
 }
 
 TEST(Oracle, AttributesUnansweredFlowToTheStopOnlyIfTheHostRecordedIt) {
-  RunEvidence evidence = evidenceWith(brokenOn("", kStart, kStart + 10));
+  RunEvidence evidence = evidenceWith(reportWithFlowBrokenOn("", kStart, kStart + 10));
   evidence.hosts.push_back(hostWithRuns("dispatch-0", {}));
   evidence.hosts[0].lostFlows = {LostFlow{{kCaller.address, 1}, kStart + 5},
                                  LostFlow{kCaller, kStart - 1}, LostFlow{kCaller, kStart + 11}};
@@ -107,7 +107,7 @@
 }
 
 TEST(Oracle, StopOfADrainingHostAccountsForNoFlow) {
-  RunEvidence evidence = evidenceWith(brokenOn("dispatch-0", kStart, kStart + 10));
+  RunEvidence evidence = evidenceWith(reportWithFlowBrokenOn("dispatch-0", kStart, kStart + 10));
   evidence.hostStops.push_back(HostStop{kStart + 5, "dispatch-0"});
   evidence.drains.push_back(DrainEvent{kStart + 6, "dispatch-0"});
   LONGS_EQUAL(0, judge(evidence).brokenFlowsPlanned);
@@ -157,11 +157,11 @@
   RunEvidence evidence;
   evidence.hosts = {hostWithRuns("dispatch-0", {}), hostWithRuns("dispatch-1", {}),
                     hostWithRuns("dispatch-2", {})};
-  CallerReport one;
-  one.openFlowsByHost = {{"dispatch-0", 20}, {"mapstore-1", 7}};
-  CallerReport other;
-  other.openFlowsByHost = {{"dispatch-0", 10}, {"dispatch-1", 10}};
-  evidence.callers = {one, other};
+  CallerReport firstReport;
+  firstReport.openFlowsByHost = {{"dispatch-0", 20}, {"mapstore-1", 7}};
+  CallerReport secondReport;
+  secondReport.openFlowsByHost = {{"dispatch-0", 10}, {"dispatch-1", 10}};
+  evidence.callers = {firstReport, secondReport};
   CHECK_FALSE(judge(RunEvidence{}).imbalance().has_value());
   DOUBLES_EQUAL(2.25, *judge(evidence).imbalance(), 1e-9);
   evidence.unsettledHosts = {"dispatch-2"};
--- a/test/standins/virtual_host_test.cc
+++ b/test/standins/virtual_host_test.cc
@@ -53,7 +53,7 @@
   return answers;
 }
 
-bool has(const std::vector<Answer>& answers, uint64_t id, AnswerStatus status) {
+bool contains(const std::vector<Answer>& answers, uint64_t id, AnswerStatus status) {
   return std::any_of(answers.begin(), answers.end(), [&](const Answer& answer) {
     return answer.id == id && answer.status == status;
   });
@@ -69,55 +69,55 @@
   }
 };
 
-TEST(VirtualHost, RunsTwoConcurrentlyAndShedsBeyondItsQueue) {
+TEST(VirtualHost, RunsTwoRequestsConcurrentlyAndShedsBeyondQueueLimit) {
   for (uint64_t id = 1; id <= 6; ++id) {
     request(id);
   }
   LONGS_EQUAL(2, host.busySlots());
   LONGS_EQUAL(3, host.queueLength());
-  CHECK(has(answersAt(host, kStart), 6, AnswerStatus::kShed));
+  CHECK(contains(answersAt(host, kStart), 6, AnswerStatus::kShed));
   answersAt(host, kStart + 100);
   answersAt(host, kStart + 200);
-  CHECK(has(answersAt(host, kStart + 300), 5, AnswerStatus::kDone));
+  CHECK(contains(answersAt(host, kStart + 300), 5, AnswerStatus::kDone));
   LONGS_EQUAL(5, host.runs().size());
 }
 
-TEST(VirtualHost, RepeatedRequestRunsOnceAndIsAnsweredAgain) {
+TEST(VirtualHost, RunsRetransmittedRequestOnceAndAnswersItAgain) {
   request(1);
   request(1);
-  CHECK(has(answersAt(host, kStart + 100), 1, AnswerStatus::kDone));
+  CHECK(contains(answersAt(host, kStart + 100), 1, AnswerStatus::kDone));
   request(1);
-  CHECK(has(answersAt(host, kStart + 100), 1, AnswerStatus::kDone));
+  CHECK(contains(answersAt(host, kStart + 100), 1, AnswerStatus::kDone));
   LONGS_EQUAL(1, host.runs().size());
 }
 
-TEST(VirtualHost, CancelledAndExpiredRequestsDoNotRun) {
+TEST(VirtualHost, DoesNotRunCancelledAndExpiredRequests) {
   request(1);
   request(2);
   request(3);
-  Request hurried = requestOf(4);
-  hurried.deadline = kStart + 1;
-  host.onPacket(kStart, datagram(hurried));
+  Request expiring = requestOf(4);
+  expiring.deadline = kStart + 1;
+  host.onPacket(kStart, datagram(expiring));
   host.onPacket(kStart, datagram(Cancellation{3}));
   const std::vector<Answer> answers = answersAt(host, kStart + 100);
-  CHECK(has(answers, 3, AnswerStatus::kCancelled));
-  CHECK(has(answers, 4, AnswerStatus::kExpired));
+  CHECK(contains(answers, 3, AnswerStatus::kCancelled));
+  CHECK(contains(answers, 4, AnswerStatus::kExpired));
   LONGS_EQUAL(2, host.runs().size());
 }
 
-TEST(VirtualHost, RefusesFlowsBeyondItsConnectionLimit) {
+TEST(VirtualHost, RefusesFlowsBeyondConnectionLimit) {
   for (uint16_t port = 1; port <= 3; ++port) {
     host.onPacket(kStart, datagram(requestOf(port), port));
   }
   LONGS_EQUAL(2, host.connectionCount());
-  CHECK(has(answersAt(host, kStart), 3, AnswerStatus::kShed));
+  CHECK(contains(answersAt(host, kStart), 3, AnswerStatus::kShed));
 }
 
 TEST(VirtualHost, DoesNotRunRequestsOfUnknownFlows) {
-  Request stray = requestOf(1);
-  stray.expectedHost = "dispatch-9";
-  host.onPacket(kStart, datagram(stray));
-  CHECK(has(answersAt(host, kStart), 1, AnswerStatus::kUnknownFlow));
+  Request requestOfUnknownFlow = requestOf(1);
+  requestOfUnknownFlow.expectedHost = "dispatch-9";
+  host.onPacket(kStart, datagram(requestOfUnknownFlow));
+  CHECK(contains(answersAt(host, kStart), 1, AnswerStatus::kUnknownFlow));
   LONGS_EQUAL(0, host.runs().size());
 }
 
@@ -127,7 +127,7 @@
   LONGS_EQUAL(0, host.runs().size());
 }
 
-TEST(VirtualHost, RecordsFlowsLostByAStop) {
+TEST(VirtualHost, RecordsFlowsLostByRestart) {
   request(1);
   host.restart(kStart + 10);
   LONGS_EQUAL(1, host.lostFlows().size());
@@ -137,12 +137,12 @@
   LONGS_EQUAL(1, host.lostFlows().size());
 }
 
-TEST(VirtualHost, IsSlowWhileCold) {
+TEST(VirtualHost, TakesLongerWhileCold) {
   host.setCold(1000);
   host.restart(kStart);
   request(1);
   CHECK(answersAt(host, kStart + 30).empty());
-  CHECK(has(answersAt(host, kStart + 500), 1, AnswerStatus::kDone));
+  CHECK(contains(answersAt(host, kStart + 500), 1, AnswerStatus::kDone));
 }
 
 TEST(VirtualHost, ReportsDelayedOrOverriddenLoad) {
