--- a/test/support/fake_node_status.h
+++ b/test/support/fake_node_status.h
@@ -13,7 +13,7 @@
 /** Returns two records per page to exercise paging. */
 class FakeNodeStatus : public NodeStatus {
  public:
-  std::vector<ConfigRecord> inForce;
+  std::vector<ConfigRecord> effectiveRecords;
   CoverageStatus coverageNow;
   NodeReadiness readiness = NodeReadiness::kReady;
   NodeId id{3};
@@ -24,7 +24,7 @@
   bool busy = false;
 
   void addService(const Service& service, uint64_t version) {
-    inForce.push_back(
+    effectiveRecords.push_back(
         {{ObjectKind::kService, service.name}, version, false, valueOf(encodeService(service))});
   }
 
@@ -62,23 +62,24 @@
     return explanation;
   }
   NodeStatusResult<RecordPage> records(uint64_t cursor) override {
-    constexpr size_t kPage = 2;
+    constexpr size_t kPageSize = 2;
     if (busy) {
       return busyError();
     }
     RecordPage page;
-    for (size_t index = cursor; index < inForce.size() && index < cursor + kPage; ++index) {
-      page.records.push_back(inForce[index]);
+    for (size_t index = cursor; index < effectiveRecords.size() && index < cursor + kPageSize;
+         ++index) {
+      page.records.push_back(effectiveRecords[index]);
     }
-    if (cursor + kPage < inForce.size()) {
-      page.next = cursor + kPage;
+    if (cursor + kPageSize < effectiveRecords.size()) {
+      page.next = cursor + kPageSize;
     }
     return page;
   }
   NodeStatusResult<ConfigRecord> record(const RecordKey& key) override {
-    for (const ConfigRecord& each : inForce) {
-      if (each.key == key) {
-        return each;
+    for (const ConfigRecord& candidate : effectiveRecords) {
+      if (candidate.key == key) {
+        return candidate;
       }
     }
     return NodeStatusError{NodeStatusErrorCode::kUnknown, "no such object"};
--- a/test/support/fake_platform_store.h
+++ b/test/support/fake_platform_store.h
@@ -56,7 +56,7 @@
 
   Result<StoredObject, StoreError> get(Collection collection, const std::string& name) override {
     startCall();
-    if (takeFault(readFaults) != StoreFault::kNone) {
+    if (nextFault(readFaults) != StoreFault::kNone) {
       return failure(StoreErrorCode::kUnavailable);
     }
     const auto found = objects_.find({collection, name});
@@ -76,7 +76,7 @@
     return change([this, object] { return applyRemoval(object); });
   }
 
-  Result<WatchBatch, StoreError> watch(uint64_t since, Duration /*patience*/) override {
+  Result<WatchBatch, StoreError> watch(uint64_t since, Duration /*longPollTimeout*/) override {
     startCall();
     WatchBatch batch;
     batch.version = version_;
@@ -92,8 +92,8 @@
 
   /** Delivers the delayed requests. @return the number of applied changes. */
   size_t deliverDelayed() {
-    const std::vector<Change> arriving = std::exchange(delayed_, {});
-    return static_cast<size_t>(std::count_if(arriving.begin(), arriving.end(),
+    const std::vector<Change> delayedChanges = std::exchange(delayed_, {});
+    return static_cast<size_t>(std::count_if(delayedChanges.begin(), delayedChanges.end(),
                                              [](const Change& change) { return isOk(change()); }));
   }
 
@@ -105,7 +105,7 @@
 
   /** Runs a change subject to the next fault. */
   Result<uint64_t, StoreError> change(const Change& change) {
-    switch (takeFault(changeFaults)) {
+    switch (nextFault(changeFaults)) {
       case StoreFault::kNone:
         return change();
       case StoreFault::kUnavailable:
@@ -136,7 +136,7 @@
 
   static StoreError failure(StoreErrorCode code) { return StoreError{code, "fake", std::nullopt}; }
 
-  static StoreFault takeFault(std::deque<StoreFault>& faults) {
+  static StoreFault nextFault(std::deque<StoreFault>& faults) {
     if (faults.empty()) {
       return StoreFault::kNone;
     }
--- a/test/support/message_network.h
+++ b/test/support/message_network.h
@@ -18,6 +18,7 @@
 /** Faults of the network; may be changed at any time. */
 struct NetworkFaults {
   double loss = 0;
+  /** Probability that a message is duplicated. */
   double repetition = 0;
   Duration shortestDelay = std::chrono::microseconds(1500);
   /** Delays are uniformly distributed between the two, so messages may be reordered. */
@@ -43,7 +44,7 @@
   MessageSink& attach(NodeId id, const Endpoint& endpoint, Receiver receiver) {
     auto port = std::make_unique<Port>(*this, id, endpoint, std::move(receiver));
     Port& attached = *port;
-    retired_.push_back(std::exchange(ports_[endpoint], std::move(port)));
+    replacedPorts_.push_back(std::exchange(ports_[endpoint], std::move(port)));
     return attached;
   }
   /** Detaches the node; messages to the endpoint are lost. */
@@ -52,8 +53,8 @@
   void setPaused(const Endpoint& endpoint, bool paused) {
     Port& port = *ports_.at(endpoint);
     port.paused = paused;
-    for (auto& waiting : std::exchange(port.waiting, {})) {
-      events_.emplace(now_, std::move(waiting));
+    for (auto& event : std::exchange(port.queuedEvents, {})) {
+      events_.emplace(now_, std::move(event));
     }
   }
 
@@ -76,36 +77,38 @@
     std::shared_ptr<const Message> message;
   };
   struct Port : MessageSink {
-    Port(MessageNetwork& owner, NodeId node, const Endpoint& at, Receiver receive)
-        : network(owner), id(node), endpoint(at), receiver(std::move(receive)) {}
+    Port(MessageNetwork& owner, NodeId node, const Endpoint& portEndpoint, Receiver portReceiver)
+        : network(owner), id(node), endpoint(portEndpoint), receiver(std::move(portReceiver)) {}
     void send(const Endpoint& to, Message message) override {
-      network.accept(*this, to, std::move(message));
+      network.transmit(*this, to, std::move(message));
     }
     MessageNetwork& network;
     NodeId id;
     Endpoint endpoint;
     Receiver receiver;
     bool paused = false;
-    std::vector<Event> waiting;
+    std::vector<Event> queuedEvents;
   };
 
-  void accept(const Port& from, const Endpoint& to, Message message) {
+  void transmit(const Port& from, const Endpoint& to, Message message) {
     const auto port = ports_.find(to);
     const NodeId receiver = port == ports_.end() ? NodeId{} : port->second->id;
     if (onSend) {
       onSend(from.id, receiver, message);
     }
-    const bool cut = port == ports_.end() || (faults.isCut && faults.isCut(from.id, receiver));
-    if (cut || random_.unit() < faults.loss) {
+    const bool unreachable =
+        port == ports_.end() || (faults.isCut && faults.isCut(from.id, receiver));
+    if (unreachable || random_.unit() < faults.loss) {
       return;
     }
-    const auto shared = std::make_shared<const Message>(std::move(message));
+    const auto sharedMessage = std::make_shared<const Message>(std::move(message));
     const int copies = random_.unit() < faults.repetition ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
-      const auto span = static_cast<uint64_t>((faults.longestDelay - faults.shortestDelay).count());
-      const Duration extra(static_cast<Duration::rep>(random_.below(span + 1)));
-      events_.emplace(now_ + faults.shortestDelay + extra,
-                      Event{from.endpoint, to, from.id, shared});
+      const auto delayRange =
+          static_cast<uint64_t>((faults.longestDelay - faults.shortestDelay).count());
+      const Duration jitter(static_cast<Duration::rep>(random_.below(delayRange + 1)));
+      events_.emplace(now_ + faults.shortestDelay + jitter,
+                      Event{from.endpoint, to, from.id, sharedMessage});
     }
   }
 
@@ -115,7 +118,7 @@
       return;
     }
     if (port->second->paused) {
-      port->second->waiting.push_back(std::move(event));
+      port->second->queuedEvents.push_back(std::move(event));
       return;
     }
     // Copied because the receiver may attach a new node at its own endpoint.
@@ -127,7 +130,8 @@
   TimePoint now_;
   std::multimap<TimePoint, Event> events_;
   std::unordered_map<Endpoint, std::unique_ptr<Port>> ports_;
-  std::vector<std::unique_ptr<Port>> retired_;
+  /** Kept, because nodes may still send through them. */
+  std::vector<std::unique_ptr<Port>> replacedPorts_;
 };
 
 }  // namespace umberhold
--- a/test/support/simulated_cluster.cc
+++ b/test/support/simulated_cluster.cc
@@ -44,8 +44,9 @@
 }
 
 NodeCore& SimulatedCluster::startNode(NodeId id) {
-  const auto clock = static_cast<uint64_t>(now_.time_since_epoch() / std::chrono::milliseconds(1));
-  lastIncarnation_ = std::max(lastIncarnation_ + 1, clock);
+  const auto clockMillis =
+      static_cast<uint64_t>(now_.time_since_epoch() / std::chrono::milliseconds(1));
+  lastIncarnation_ = std::max(lastIncarnation_ + 1, clockMillis);
   NodeOptions options;
   options.regionName = "addis";
   options.zoneName = kZoneNames[zoneOf(id)];
@@ -80,20 +81,20 @@
 void SimulatedCluster::resumeNode(NodeId id) {
   Running& running = nodes_.at(id);
   running.paused = false;
-  const std::deque<Frame> waiting = std::move(running.waiting);
-  running.waiting.clear();
-  for (const Frame& frame : waiting) {
+  const std::deque<Frame> queuedFrames = std::move(running.queuedFrames);
+  running.queuedFrames.clear();
+  for (const Frame& frame : queuedFrames) {
     processFrame(running, frame);
   }
   deliver();
 }
 
 void SimulatedCluster::cutZones(uint32_t left, uint32_t right) {
-  cuts_.emplace(std::min(left, right), std::max(left, right));
+  partitionedZones_.emplace(std::min(left, right), std::max(left, right));
 }
 
 bool SimulatedCluster::isCut(NodeId left, NodeId right) const {
-  return cuts_.contains(std::minmax({zoneOf(left), zoneOf(right)}));
+  return partitionedZones_.contains(std::minmax({zoneOf(left), zoneOf(right)}));
 }
 
 NodeCore& SimulatedCluster::node(NodeId id) {
@@ -182,9 +183,9 @@
     if (isCut(frame.from, frame.to) || random_.unit() < faults_.loss) {
       continue;
     }
-    const auto spread =
+    const auto delayRange =
         static_cast<uint64_t>((faults_.longestDelay - faults_.shortestDelay).count());
-    const Duration delay = faults_.shortestDelay + Duration(random_.below(spread + 1));
+    const Duration delay = faults_.shortestDelay + Duration(random_.below(delayRange + 1));
     inFlight_.emplace(now_ + delay, frame);
   }
 }
@@ -203,7 +204,7 @@
     return;
   }
   if (running->second.paused) {
-    running->second.waiting.push_back(std::move(frame));
+    running->second.queuedFrames.push_back(std::move(frame));
     return;
   }
   processFrame(running->second, frame);
--- a/test/support/simulated_cluster.h
+++ b/test/support/simulated_cluster.h
@@ -35,6 +35,7 @@
 /** Faults of the network between nodes; apply to messages and relayed packets. */
 struct ClusterFaults {
   double loss = 0.0;
+  /** Probability that a datagram is duplicated. */
   double repetition = 0.0;
   Duration shortestDelay{};
   /** Datagrams may be reordered if this is longer than shortestDelay. */
@@ -61,7 +62,7 @@
   void setFaults(const ClusterFaults& faults) { faults_ = faults; }
   /** Partitions two zones (0 to kZones - 1) from each other. */
   void cutZones(uint32_t left, uint32_t right);
-  void healZones() { cuts_.clear(); }
+  void healZones() { partitionedZones_.clear(); }
   /** Sets the delay until the fabric detects that a node became ready or ended. */
   void setFabricLag(Duration lag) { fabricLag_ = lag; }
 
@@ -127,9 +128,9 @@
     std::unique_ptr<Outputs> outputs;
     std::unique_ptr<NodeCore> core;
     bool paused = false;
-    std::deque<Frame> waiting;
+    std::deque<Frame> queuedFrames;
   };
-  /** The fabric's list entry for a node, and the time since which it has been outdated. */
+  /** Whether the fabric lists a node, and since when that differs from the node's readiness. */
   struct FabricEntry {
     bool listed = false;
     std::optional<TimePoint> outdatedSince;
@@ -143,6 +144,7 @@
   void deliver();
   void deliverFrame(Frame frame);
   void processFrame(Running& running, const Frame& frame);
+  /** Lists and unlists nodes whose readiness changed at least fabricLag_ ago. */
   void updateFabric();
 
   TimePoint now_{std::chrono::seconds(1000)};
@@ -150,7 +152,7 @@
   RandomSource random_;
   LuaPolicyEngine policies_;
   ClusterFaults faults_;
-  std::set<std::pair<uint32_t, uint32_t>> cuts_;
+  std::set<std::pair<uint32_t, uint32_t>> partitionedZones_;
   Duration fabricLag_{};
   uint32_t nextId_ = 1;
   uint64_t lastIncarnation_ = 0;
--- a/test/support/turn_scheduler.cc
+++ b/test/support/turn_scheduler.cc
@@ -6,8 +6,10 @@
 namespace umberhold {
 namespace {
 
-constexpr size_t kNoWriterIndex = SIZE_MAX;
-thread_local size_t ownIndex = kNoWriterIndex;
+/** ownIndex of threads outside run(). */
+constexpr size_t kNotAWriter = SIZE_MAX;
+/** Index of the writer that the thread runs. */
+thread_local size_t ownIndex = kNotAWriter;
 
 }  // namespace
 
@@ -24,8 +26,9 @@
     });
   }
   do {
-    for (auto ready = runnable(); !ready.empty(); ready = runnable()) {
-      runWriter(ready[choose(ready.size()) % ready.size()]);
+    for (auto runnableWriters = runnable(); !runnableWriters.empty();
+         runnableWriters = runnable()) {
+      runWriter(runnableWriters[choose(runnableWriters.size()) % runnableWriters.size()]);
     }
   } while (advanceClockToNextWake());
   for (std::thread& thread : threads) {
@@ -34,27 +37,27 @@
 }
 
 void TurnScheduler::sleepUntil(TimePoint instant) {
-  if (ownIndex == kNoWriterIndex) {
+  if (ownIndex == kNotAWriter) {
     now_ = std::max(now_, instant);
     return;
   }
   {
     const std::lock_guard lock(mutex_);
     writers_[ownIndex].wakeAt = instant;
-    running_ = kNobody;
-    turn_.notify_all();
+    running_ = kNoWriter;
+    runningChanged_.notify_all();
   }
   waitForTurn(ownIndex);
 }
 
 std::vector<size_t> TurnScheduler::runnable() const {
-  std::vector<size_t> ready;
+  std::vector<size_t> runnableWriters;
   for (size_t index = 0; index < writers_.size(); ++index) {
     if (!writers_[index].finished && writers_[index].wakeAt <= now_) {
-      ready.push_back(index);
+      runnableWriters.push_back(index);
     }
   }
-  return ready;
+  return runnableWriters;
 }
 
 bool TurnScheduler::advanceClockToNextWake() {
@@ -72,20 +75,20 @@
 void TurnScheduler::runWriter(size_t writer) {
   std::unique_lock lock(mutex_);
   running_ = writer;
-  turn_.notify_all();
-  turn_.wait(lock, [this] { return running_ == kNobody; });
+  runningChanged_.notify_all();
+  runningChanged_.wait(lock, [this] { return running_ == kNoWriter; });
 }
 
 void TurnScheduler::waitForTurn(size_t writer) {
   std::unique_lock lock(mutex_);
-  turn_.wait(lock, [this, writer] { return running_ == writer; });
+  runningChanged_.wait(lock, [this, writer] { return running_ == writer; });
 }
 
 void TurnScheduler::finish(size_t writer) {
   const std::lock_guard lock(mutex_);
   writers_[writer].finished = true;
-  running_ = kNobody;
-  turn_.notify_all();
+  running_ = kNoWriter;
+  runningChanged_.notify_all();
 }
 
 }  // namespace umberhold
--- a/test/support/turn_scheduler.h
+++ b/test/support/turn_scheduler.h
@@ -33,17 +33,21 @@
     bool finished = false;
   };
 
+  /** @return the indexes of the writers that have not finished and do not sleep. */
   std::vector<size_t> runnable() const;
+  /** @return false if all writers have finished. */
   bool advanceClockToNextWake();
+  /** Lets the writer run until its next yield point. */
   void runWriter(size_t writer);
   void waitForTurn(size_t writer);
   void finish(size_t writer);
 
-  static constexpr size_t kNobody = SIZE_MAX;
+  static constexpr size_t kNoWriter = SIZE_MAX;
 
   std::mutex mutex_;
-  std::condition_variable turn_;
-  size_t running_ = kNobody;
+  std::condition_variable runningChanged_;
+  /** Index of the writer whose turn it is; kNoWriter while the scheduler chooses the next one. */
+  size_t running_ = kNoWriter;
   std::vector<Writer> writers_;
   TimePoint now_{};
 };
