--- a/source/standins/platform/control_handler.cc
+++ b/source/standins/platform/control_handler.cc
@@ -32,7 +32,7 @@
   setCounter("machines", counters.machines);
   setCounter("conflicts", counters.conflicts);
   setCounter("open_watches", counters.openWatches);
-  setCounter("most_open_watches", counters.maximumOpenWatches);
+  setCounter("most_open_watches", counters.maxOpenWatches);
   std::ostringstream text;
   object.stringify(text);
   return text.str();
--- a/source/standins/platform/request_counters.h
+++ b/source/standins/platform/request_counters.h
@@ -16,7 +16,7 @@
   std::atomic<uint64_t> machines{0};
   std::atomic<uint64_t> conflicts{0};
   std::atomic<uint64_t> openWatches{0};
-  std::atomic<uint64_t> maximumOpenWatches{0};
+  std::atomic<uint64_t> maxOpenWatches{0};
 };
 
 /** Counts one open watch during its lifetime. */
@@ -24,9 +24,9 @@
  public:
   explicit OpenWatch(RequestCounters& counters) : counters_(counters) {
     const uint64_t open = ++counters_.openWatches;
-    uint64_t previousMax = counters_.maximumOpenWatches;
+    uint64_t previousMax = counters_.maxOpenWatches;
     while (open > previousMax &&
-           !counters_.maximumOpenWatches.compare_exchange_weak(previousMax, open)) {
+           !counters_.maxOpenWatches.compare_exchange_weak(previousMax, open)) {
     }
   }
   ~OpenWatch() { --counters_.openWatches; }
--- a/test/common/platform/http_platform_store_test.cc
+++ b/test/common/platform/http_platform_store_test.cc
@@ -141,7 +141,7 @@
   CHECK_TRUE(isOk(written));
   CHECK_TRUE(isOk(batch));
   CHECK_EQUAL(1U, valueOf(batch).events.size());
-  CHECK_EQUAL(1U, server->state().counters.maximumOpenWatches.load());
+  CHECK_EQUAL(1U, server->state().counters.maxOpenWatches.load());
 }
 
 TEST(HttpPlatformStore, LeaseWritesEndNoWatch) {
--- a/test/common/platform/reader_worker_test.cc
+++ b/test/common/platform/reader_worker_test.cc
@@ -238,7 +238,7 @@
     }
   }
   waitFor([&] { return holders() == 3; });
-  CHECK_EQUAL(3U, server->state().counters.maximumOpenWatches.load());
+  CHECK_EQUAL(3U, server->state().counters.maxOpenWatches.load());
 }
 
 TEST(ReaderWorker, DeliversChangesDespiteASlowStoreAndLostAnswers) {
