--- a/source/common/admin/admin_api.cc
+++ b/source/common/admin/admin_api.cc
@@ -14,7 +14,7 @@
 constexpr std::string_view kBearer = "Bearer ";
 constexpr uint32_t kBusyRetrySeconds = 1;
 
-/** Counts a running change during its own lifetime. */
+/** Adds one to the number of running changes for its lifetime. */
 class ChangeSlot {
  public:
   explicit ChangeSlot(std::atomic<uint32_t>& count) : count_(count), previousCount_(count++) {}
@@ -80,8 +80,8 @@
   if (isRead(request)) {
     return routeRead(request, segments);
   }
-  const ChangeSlot running(changesRunning_);
-  if (!running.isWithinLimit()) {
+  const ChangeSlot slot(changesRunning_);
+  if (!slot.isWithinLimit()) {
     return busyAnswer(request);
   }
   return routeChange(request, segments);
--- a/source/common/admin/admin_api.h
+++ b/source/common/admin/admin_api.h
@@ -17,8 +17,10 @@
 /** Authenticates and routes requests. Thread safe. */
 class AdminApi : public AdminHandler {
  public:
-  /** All references are borrowed. @param token bearer token that every request must carry; if
-   * it is empty, all requests are refused. */
+  /**
+   * All references are borrowed.
+   * @param token bearer token that every request must carry; if empty, all requests are rejected.
+   */
   AdminApi(std::string token, PlatformStore& store, ChangeCoordinator& changes, NodeStatus& node,
            PolicyEngine& policies, CallClock& clock);
 
--- a/source/common/admin/api_context.h
+++ b/source/common/admin/api_context.h
@@ -45,7 +45,10 @@
 /** @return the request id of the client, or a newly generated one. */
 std::string requestIdOf(const AdminRequest& request);
 
-/** @return the informational name of the operator, from the query parameter "author". */
+/**
+ * @return the operator's name from the query parameter "author", at most 64 characters; "unnamed"
+ * if absent. Informational only.
+ */
 std::string authorOf(const AdminRequest& request);
 
 /** @return 503 if the node did not answer, 404 if the item is unknown, 400 if unsupported. */
--- a/source/common/admin/api_error.h
+++ b/source/common/admin/api_error.h
@@ -28,7 +28,7 @@
   kVersionRequired,
   /** The request id is malformed or belongs to another change. */
   kRequestIdRefused,
-  /** The store rejected the request itself. */
+  /** The store rejected the request as invalid. */
   kStoreRefused,
   /** The store or the node is temporarily unavailable; nothing was changed. */
   kUnavailable,
--- a/source/common/admin/call_clock.h
+++ b/source/common/admin/call_clock.h
@@ -1,16 +1,19 @@
-/** @file Clock for the blocking calls of the admin API; injectable, for deterministic tests. */
+/**
+ * @file Clock for the blocking calls of the admin API; injected, so that tests are deterministic
+ * and don't wait in real time.
+ */
 #pragma once
 
 #include "common/base/time.h"
 
 namespace umberhold {
 
-/** A clock that also sleeps. Thread safe. */
+/** A clock with a blocking sleep. Thread safe. */
 class CallClock {
  public:
   virtual ~CallClock() = default;
   virtual TimePoint now() = 0;
-  /** @return wall-clock time; informational only, never used for ordering. */
+  /** @return wall-clock time, for drain deadlines and history entries; never orders changes. */
   virtual UnixSeconds unixNow() = 0;
   virtual void sleepFor(Duration duration) = 0;
 };
--- a/source/common/admin/change_attempt.h
+++ b/source/common/admin/change_attempt.h
@@ -52,7 +52,10 @@
   std::optional<ChangeOutcome> step();
   /** @return the outcome that the object's state decides, or nothing if it is still open. */
   std::optional<ChangeOutcome> outcomeFromState(const StoredObject& current) const;
-  /** @return whether the change may be applied but evicted from the history by later changes. */
+  /**
+   * @return whether the change may have been applied and then evicted from the history by later
+   * changes.
+   */
   bool mayBeEvictedFromHistory(const StoredObject& current) const;
   std::optional<StoredObject> readCurrent();
 
@@ -60,14 +63,23 @@
   Result<Ok, std::optional<ChangeOutcome>> claimAll(const StoredObject& current);
   /** @return the outcome of a change whose claim failed, or nothing if a retry may help. */
   std::optional<ChangeOutcome> onClaimFailed(const ClaimKey& key, const ClaimFailure& failure);
-  /** @return the outcome of a change that needs a key of another service. */
+  /**
+   * @return the outcome of a change that needs a key of another service, or nothing if the object
+   * can't be read to decide it.
+   */
   std::optional<ChangeOutcome> blockedBy(const ClaimKey& key, const std::string& service);
-  /** Releases the claims of these keys until the deadline passes. */
+  /**
+   * Releases the claims of keys that the object does not hold at this version; stops at the
+   * deadline.
+   */
   void releaseAll(const std::vector<ClaimKey>& keys, uint64_t version);
 
   std::optional<ChangeOutcome> tryUpdate(const StoredObject& current);
   ChangeOutcome onUpdated(const StoredObject& current, const StoredObject& changed);
-  /** Releases the claims that this attempt acquired. @param current the current object. */
+  /**
+   * Releases the claims that this attempt acquired for keys that the current object does not hold.
+   * @return the conflict.
+   */
   ChangeOutcome conflict(const StoredObject& current);
   ChangeOutcome foundInHistory(const StoredObject& current, const ChangeEntry& entry) const;
   /** Notifies the observer. @return the outcome. */
@@ -87,7 +99,7 @@
   const std::vector<ClaimKey> requiredKeys_;
   /** Whether an update was sent whose effect is unknown. */
   bool mayBeApplied_;
-  /** Version that the last update with unknown effect in this run expected. */
+  /** Version expected by the last update of this run whose effect is unknown. */
   uint64_t attemptedVersion_ = 0;
   const TimePoint deadline_;
   RandomSource random_;
--- a/source/common/admin/change_coordinator.cc
+++ b/source/common/admin/change_coordinator.cc
@@ -69,8 +69,8 @@
                                                            const std::string& requestId) {
   const auto answer = store_.get(collection, name);
   if (!isOk(answer)) {
-    const bool notThere = errorOf(answer).code == StoreErrorCode::kNotFound;
-    return notThere ? LookupFailure::kNotInHistory : LookupFailure::kStoreUnavailable;
+    const bool notFound = errorOf(answer).code == StoreErrorCode::kNotFound;
+    return notFound ? LookupFailure::kNotInHistory : LookupFailure::kStoreUnavailable;
   }
   const StoredObject& object = valueOf(answer);
   if (const auto entry = findEntry(object, requestId)) {
--- a/source/common/admin/change_coordinator.h
+++ b/source/common/admin/change_coordinator.h
@@ -1,5 +1,5 @@
 /**
- * @file Applies changes of operators to the platform's store and determines the outcome of each.
+ * @file Applies operators' changes to the platform's store and determines the outcome of each.
  *
  * A change is a conditional update of one object; it records its request id in the object's
  * history. If the store's answer is lost, the object is read back: either the id is in the history;
@@ -26,7 +26,10 @@
 
 /** Reason why a lookup found nothing. */
 enum class LookupFailure : uint8_t {
-  /** No history contains the id: the change is not applied, unless many changes followed it. */
+  /**
+   * No history contains the id: the change is not applied, unless kHistoryLength or more later
+   * changes evicted it.
+   */
   kNotInHistory,
   kStoreUnavailable,
 };
@@ -51,7 +54,8 @@
 
   /**
    * Returns the outcome of a change that an earlier call may have sent, without sending it again.
-   * The outcome is unknown as long as the change may still be applied.
+   * The outcome is unknown while the change may still be applied, or if it may have been evicted
+   * from the history.
    */
   ChangeOutcome resolve(const ChangeRequest& request);
 
--- a/source/common/admin/change_outcome.h
+++ b/source/common/admin/change_outcome.h
@@ -24,7 +24,7 @@
   std::string requestId;
   /** Name of the operator; informational. */
   std::string author;
-  /** Such as "delete" or "drain dispatch-3"; a reused request id is detected by its summary. */
+  /** Such as "delete"; a request id that recurs with another summary is rejected as reused. */
   std::string summary;
 };
 
@@ -35,7 +35,7 @@
   bool operator==(const ChangeAccepted&) const = default;
 };
 
-/** The object is not at the expected version; the change is not and never will be applied. */
+/** The object is not at the expected version; the change is not applied and never will be. */
 struct ChangeConflict {
   /** 0: the object does not exist. */
   uint64_t currentVersion = 0;
@@ -66,14 +66,17 @@
   std::string detail;
 };
 
-/** The store can't be reached; nothing of this call is or will be applied. */
+/** The store can't be reached; the change is not applied, and no update of it is pending. */
 struct ChangeUnavailable {
   /** Delay before a retry. */
   Duration retryAfter{};
   std::string detail;
 };
 
-/** An answer was lost and not resolved before the deadline: the change may still be applied. */
+/**
+ * An answer was lost and not resolved before the deadline: the change may have been applied, or may
+ * still be.
+ */
 struct ChangeUnknown {
   /** For a later query, or for a retry of the same change. */
   std::string requestId;
--- a/source/common/admin/claim_keeper.cc
+++ b/source/common/admin/claim_keeper.cc
@@ -72,8 +72,8 @@
 
 Result<Ok, ClaimFailure> ClaimKeeper::takeOver(const ObservedClaim& observed,
                                                const Claimant& claimant) {
-  // The service is read after the claim: updates sent under the claim are based on the claim's
-  // base at most.
+  // The service is read after the claim. Updates sent under the claim expect a version of at most
+  // the claim's base, so all of them fail once the service is at a higher version.
   const auto read = readService(observed.claim.service);
   if (!isOk(read)) {
     return ClaimFailure{errorOf(read)};
--- a/source/common/admin/claim_keeper.h
+++ b/source/common/admin/claim_keeper.h
@@ -56,7 +56,7 @@
   /** All are borrowed. */
   ClaimKeeper(PlatformStore& store, CallClock& clock, RandomSource& random);
 
-  /** Acquires the key's claim, unless the claimant has it. An unclaimed key costs one call. */
+  /** Acquires the key's claim, unless the claimant has it. One store call if it is unclaimed. */
   Result<Ok, ClaimFailure> acquire(const ClaimKey& key, const Claimant& claimant);
 
   /**
--- a/source/common/admin/host_routes.cc
+++ b/source/common/admin/host_routes.cc
@@ -32,8 +32,8 @@
   try {
     const auto object = Poco::JSON::Parser().parse(body).extract<Poco::JSON::Object::Ptr>();
     const auto seconds = object->optValue<Poco::Int64>("deadline_seconds", 0);
-    const bool onlyKey = object->size() == (object->has("deadline_seconds") ? 1U : 0U);
-    if (onlyKey && seconds >= 0 && seconds <= kMaxDrainSeconds) {
+    const bool hasNoOtherKey = object->size() == (object->has("deadline_seconds") ? 1U : 0U);
+    if (hasNoOtherKey && seconds >= 0 && seconds <= kMaxDrainSeconds) {
       return int64_t{seconds};
     }
   } catch (const Poco::Exception&) {
@@ -122,10 +122,10 @@
   if (!isOk(seconds)) {
     return errorOf(seconds);
   }
-  const int64_t within = valueOf(seconds);
-  const UnixSeconds deadline = within == 0 ? 0 : context.clock.unixNow() + within;
+  const int64_t deadlineSeconds = valueOf(seconds);
+  const UnixSeconds deadline = deadlineSeconds == 0 ? 0 : context.clock.unixNow() + deadlineSeconds;
   const HostChange change{service, host,
-                          "drain " + host + " within " + std::to_string(within) + " s",
+                          "drain " + host + " within " + std::to_string(deadlineSeconds) + " s",
                           [deadline](HostSpec& spec) {
                             spec.state = HostState::kDraining;
                             spec.drainDeadline = deadline;
--- a/source/common/admin/http_handler.h
+++ b/source/common/admin/http_handler.h
@@ -2,8 +2,7 @@
  * @file Interface between a node's HTTP server and the admin API mounted in it.
  *
  * server/http_server.h owns the sockets and hands every request that is not its own (/metrics,
- * /healthz, /readyz) to the AdminHandler. The interface exposes no HTTP
- * library.
+ * /healthz, /readyz) to the AdminHandler. The interface exposes no HTTP library.
  */
 #pragma once
 
@@ -27,7 +26,7 @@
 struct AdminRequest {
   /** "GET", "PUT", "POST", "DELETE". */
   std::string method;
-  /** Decoded path without the query, for example "/api/v1/services/dispatch". */
+  /** Decoded path without the query, for example "/v1/services/dispatch". */
   std::string path;
   /** In the order of the query string; a name may repeat. */
   std::vector<QueryParameter> query;
--- a/source/common/admin/object_routes.cc
+++ b/source/common/admin/object_routes.cc
@@ -134,10 +134,10 @@
 AdminResponse runChange(ApiContext& context, const ChangeRequest& change,
                         const AdminRequest& request, const Check& check) {
   const bool repeated = isSet(request, "repeated");
-  const bool alreadyIn =
+  const bool isInHistory =
       !request.requestId.empty() &&
       isOk(context.changes.find(change.collection, change.name, change.requestId));
-  if (!alreadyIn) {
+  if (!isInHistory) {
     const auto refusal = precheck(context, change, check);
     if (refusal && !repeated) {
       return *refusal;
--- a/source/common/admin/validation.cc
+++ b/source/common/admin/validation.cc
@@ -206,7 +206,10 @@
   }
 }
 
-/** Checks that the change leaves everything unchanged on which established flows depend. */
+/**
+ * Checks that the fields on which established flows depend are unchanged, and that removed hosts
+ * are drained.
+ */
 void checkFlowsPreserved(ErrorList& errors, const Service& proposed, const Service& current,
                          const ValidationOptions& options) {
   checkUnchanged(errors, "region", proposed.region == current.region);
@@ -286,9 +289,9 @@
                                  const ValidationOptions& options) {
   ErrorList errors = errorsOfService(proposed.name);
   errors.addAll(validateServiceAlone(proposed));
-  ServiceConflictChecker others(proposed, errors);
+  ServiceConflictChecker conflictChecker(proposed, errors);
   const auto visited =
-      known.forEachService([&](const Service& other) { others.compareWith(other); });
+      known.forEachService([&](const Service& other) { conflictChecker.compareWith(other); });
   if (!isOk(visited)) {
     return errorOf(visited);
   }
--- a/source/common/admin/validation.h
+++ b/source/common/admin/validation.h
@@ -61,7 +61,7 @@
   ValidationCode code = ValidationCode::kInvalidName;
   /** The proposed object. */
   RecordKey object;
-  /** Path in its specification, such as "hosts[2].endpoint"; empty for the whole object. */
+  /** Path in its specification, such as "hosts[2].address"; empty for the whole object. */
   std::string field;
   /** Human-readable description. */
   std::string detail;
@@ -74,7 +74,7 @@
   std::string detail;
 };
 
-/** All errors of a change (empty if it is valid), or the reason why validation failed. */
+/** All errors of a change (empty if it is valid), or the reason why it can't be validated. */
 using ValidationResult = Result<ValidationErrors, ConfigurationUnreadable>;
 
 /** Read access to the whole known configuration. */
--- a/source/common/ctl/admin_client.cc
+++ b/source/common/ctl/admin_client.cc
@@ -52,7 +52,10 @@
   std::optional<Duration> retryAfter() const { return retryAfter_; }
 
  private:
-  /** A 401 response from a later server doesn't show whether an earlier attempt was executed. */
+  /**
+   * A server with another token responds with 401 without looking up the request id, so its
+   * response doesn't show whether an earlier attempt was executed.
+   */
   bool isDefinite(int status) const {
     const bool unauthorizedRetry = status == kUnauthorizedStatus && mayBeExecuted_;
     return status < kServerErrorStatus && !unauthorizedRetry;
--- a/source/common/ctl/admin_client.h
+++ b/source/common/ctl/admin_client.h
@@ -3,7 +3,8 @@
  *
  * A change keeps its request id over all attempts. Once an attempt may have been executed, later
  * attempts carry the query parameter "repeated". From then on only a definite response ends the
- * change: "unavailable" in response to a later attempt does not prove that the first one failed.
+ * change: "unavailable" in response to a later attempt does not prove that an earlier one was not
+ * executed.
  */
 #pragma once
 
@@ -20,7 +21,7 @@
 
 namespace umberhold {
 
-/** No server responded; nothing was executed. */
+/** No server could be reached or was available; nothing was executed. */
 struct ServersUnavailable {
   std::string detail;
 };
@@ -46,7 +47,7 @@
   AdminClient(std::vector<Endpoint> servers, std::string token, AdminTransport& transport,
               CallClock& clock, RandomSource& random, ClientLimits limits = {});
 
-  /** Sends a read request to the servers in turn until one responds. */
+  /** Sends a read request to the servers in turn until one gives a definite response. */
   ClientResult read(AdminRequest request);
   /** Sends a change; request.requestId must be set. */
   ClientResult change(AdminRequest request);
@@ -65,7 +66,7 @@
   CallClock& clock_;
   RandomSource& random_;
   const ClientLimits limits_;
-  /** Index of the server that responded last; the first one to try. */
+  /** Index of the server that gave the last definite response; tried first. */
   size_t preferredServer_ = 0;
 };
 
--- a/source/common/ctl/command_runner.cc
+++ b/source/common/ctl/command_runner.cc
@@ -122,8 +122,8 @@
     }
     return exitStatusOf(response.status);
   }
-  ExitStatus operator()(const ServersUnavailable& none) const {
-    context_.errors << "error: no server could answer; nothing was run: " << none.detail
+  ExitStatus operator()(const ServersUnavailable& unavailable) const {
+    context_.errors << "error: no server could answer; nothing was run: " << unavailable.detail
                     << " (unavailable)\n";
     return ExitStatus::kUnavailable;
   }
--- a/source/common/ctl/document.cc
+++ b/source/common/ctl/document.cc
@@ -63,8 +63,8 @@
   DocumentError error(const RawDocument& raw, DocumentErrorCode code, const std::string& key,
                       const std::string& detail) const {
     const uint32_t line = raw.lineOf ? raw.lineOf(key) : 0;
-    const std::string whole = key.empty() ? raw.path : raw.path + "." + key;
-    return DocumentError{code, file_, line, whole, detail};
+    const std::string fullPath = key.empty() ? raw.path : raw.path + "." + key;
+    return DocumentError{code, file_, line, fullPath, detail};
   }
 
   const std::string file_;
--- a/source/common/ctl/exit_status.h
+++ b/source/common/ctl/exit_status.h
@@ -12,7 +12,7 @@
   kInvalid = 2,
   /** The object is not at the version on which the change is based; nothing of it was applied. */
   kConflict = 3,
-  /** No server responded; nothing was applied. */
+  /** No server could be reached or was available; nothing of the change was applied. */
   kUnavailable = 4,
   /** A response was lost: the change may or may not be applied. The request id is printed. */
   kUnknownOutcome = 5,
--- a/source/common/ctl/owner_explanation.h
+++ b/source/common/ctl/owner_explanation.h
@@ -2,7 +2,7 @@
  * @file Requests the explanation of a flow from the node that owns it.
  *
  * Members don't publish their administration ports, and the token is sent only to servers that the
- * operator listed. The owner is therefore searched by node id among the client's servers and
+ * operator listed. The owner is therefore searched for by node id among the client's servers and
  * queried once; if it refers to a third node, that node is not queried.
  */
 #pragma once
@@ -21,7 +21,7 @@
 
 /** Reason why there is no explanation from the owner. */
 enum class OwnerErrorCode : uint8_t {
-  /** The queried node knows no owner. */
+  /** The first response contains no owner. */
   kOwnerUnknown,
   /** None of the client's servers that responded is the owner. */
   kOwnerNotListed,
@@ -49,7 +49,7 @@
 
 /** A flow that another node owns, from an explanation. */
 struct RemoteFlow {
-  /** Empty if the responding node knows no owner. */
+  /** Empty if the response contains no owner. */
   std::optional<NodeId> owner;
 };
 
--- a/source/common/ctl/toml_documents.cc
+++ b/source/common/ctl/toml_documents.cc
@@ -32,7 +32,10 @@
   return converted;
 }
 
-/** Dates and times, which no specification contains, become null, which its parser rejects. */
+/**
+ * Dates and times become null: no specification contains them, and the specification parser rejects
+ * null.
+ */
 Var toJson(const toml::node& node) {
   if (const auto* table = node.as_table()) {
     return toJsonObject(*table);
--- a/test/common/admin/change_coordinator_test.cc
+++ b/test/common/admin/change_coordinator_test.cc
@@ -122,8 +122,8 @@
   store.readFaults.assign(100, StoreFault::kUnavailable);
   limited.submit(changeOf("first", 0));
   limited.submit(changeOf("second", 0));
-  constexpr uint32_t kFirstTries = 2;
-  CHECK_EQUAL(kFirstTries + limits.retries.burst, store.calls);
+  constexpr uint32_t kFirstAttempts = 2;
+  CHECK_EQUAL(kFirstAttempts + limits.retries.burst, store.calls);
 }
 
 TEST(ChangeCoordinator, ReportsUnknownOutcomeWithRequestId) {
--- a/test/common/admin/change_truth_property.cc
+++ b/test/common/admin/change_truth_property.cc
@@ -115,7 +115,7 @@
     ChangeRequest request;
     request.name = "dispatch";
     request.expectedVersion = base;
-    request.requestId = "request-" + std::to_string(reported_.size() + pending_++);
+    request.requestId = "request-" + std::to_string(reported_.size() + submitted_++);
     request.specification = deletes ? kDeletionMarker : "{\"by\":\"" + request.requestId + "\"}";
     request.summary = deletes ? "delete" : "apply";
     const ChangeOutcome outcome = coordinator_.submit(request);
@@ -126,7 +126,7 @@
   ManualClock clock_;
   ChangeCoordinator coordinator_{store_, clock_, 1};
   std::vector<ReportedOutcome> reported_;
-  size_t pending_ = 0;
+  size_t submitted_ = 0;
 };
 
 }  // namespace
@@ -134,7 +134,7 @@
 TEST_GROUP_BASE(ChangeOutcomeProperty, test::WithoutLeakDetection){};
 
 TEST(ChangeOutcomeProperty, ReportedOutcomesMatchStore) {
-  const bool holds = rc::check("what operators were told holds", [] {
+  const bool holds = rc::check("reported outcomes match the store", [] {
     OperatorSimulation operators;
     const int steps = *rc::gen::inRange(1, 12);
     for (int index = 0; index < steps; ++index) {
--- a/test/common/admin/endpoint_claims_property.cc
+++ b/test/common/admin/endpoint_claims_property.cc
@@ -48,7 +48,7 @@
 /** The sequence of requests to one node, and its crash. */
 struct Script {
   std::vector<Request> requests;
-  /** Store call before or after which the node crashes; no crash if it exceeds the last call. */
+  /** Store call before or after which the node crashes; no crash if 0 or above the last call. */
   int crashesAtCall = 0;
   bool crashesAfterCall = false;
 };
@@ -158,7 +158,7 @@
     store_.readFaults.assign(reads.begin(), reads.end());
   }
 
-  /** Delivers delayed requests while other nodes are running. */
+  /** Delivers delayed requests, while nodes run, once this many outcomes are reported; 0: never. */
   void deliverDelayedAt(size_t request) { deliverAtRequest_ = request; }
 
   void deliverOutstanding() {
@@ -197,7 +197,7 @@
     }
   }
 
-  /** Checks that a new service gets an address and all hosts that no service holds. */
+  /** Checks that a single change gives a new service a free address and all free hosts. */
   void checkUnclaimedKeysCanBeClaimed() {
     for (uint8_t address = 0; address < kAddresses; ++address) {
       Request request;
--- a/test/common/admin/endpoint_claims_test.cc
+++ b/test/common/admin/endpoint_claims_test.cc
@@ -1,4 +1,7 @@
-/** @file Store calls needed for claims of addresses and hosts; takeover of a failed writer's. */
+/**
+ * @file The number of store calls that claims of addresses and hosts cost, and the takeover of a
+ * failed writer's claim.
+ */
 #include <string>
 #include <variant>
 
@@ -47,6 +50,7 @@
 };
 
 TEST(EndpointClaimCost, CreationCostsOneCallPerAddressAndHost) {
+  // The service is read and updated; one claim is written for its address and one for each host.
   CHECK_EQUAL(2 + 1 + kHosts, callsFor(changeTo(dispatch, 0)));
   CHECK_EQUAL(1 + kHosts, claimCount());
 }
@@ -60,6 +64,7 @@
 TEST(EndpointClaimCost, AddedHostCostsOneCallAndRemovedHostTwo) {
   const uint64_t base = accepted(changeTo(dispatch, 0));
   dispatch.hosts[0].endpoint.port = 9999;
+  // The service is read and updated; one claim is written; the other is read and removed.
   CHECK_EQUAL(2 + 1 + 2, callsFor(changeTo(dispatch, base)));
   CHECK_EQUAL(1 + kHosts, claimCount());
 }
--- a/test/common/admin/validation_test.cc
+++ b/test/common/admin/validation_test.cc
@@ -58,7 +58,7 @@
   }
 };
 
-TEST(Validation, AcceptsServiceAndItsRepetition) {
+TEST(Validation, AcceptsNewAndUnchangedService) {
   known.services = {service, makeService("mapstore", 2, 4)};
   CHECK_EQUAL(0, check().size());
   CHECK_EQUAL(0, check(&service).size());
--- a/test/common/ctl/command_line_test.cc
+++ b/test/common/ctl/command_line_test.cc
@@ -10,13 +10,15 @@
 namespace umberhold {
 
 // TCLAP frees its visitors only at process exit.
-TEST_GROUP_BASE(CommandLine, test::WithoutLeakDetection){
-    Result<CommandLine, UsageError> parse(std::vector<std::string> words){
-        words.insert(words.begin(), {"umberholdctl", "--server", "127.0.0.1:9000"});
-return parseCommandLine(words);
-}  // namespace umberhold
-}
-;
+// clang-format 14 formats this group's body as an initializer.
+// clang-format off
+TEST_GROUP_BASE(CommandLine, test::WithoutLeakDetection) {
+  Result<CommandLine, UsageError> parse(std::vector<std::string> words) {
+    words.insert(words.begin(), {"umberholdctl", "--server", "127.0.0.1:9000"});
+    return parseCommandLine(words);
+  }
+};
+// clang-format on
 
 TEST(CommandLine, ReadsServersAndApply) {
   const auto line = parse({"--server", "127.0.0.1:9001", "apply", "-f", "a.toml", "-f", "b.json",
--- a/test/common/ctl/document_test.cc
+++ b/test/common/ctl/document_test.cc
@@ -26,20 +26,22 @@
 }  // namespace
 
 // POCO's JSON parser keeps its buffers allocated between uses.
-TEST_GROUP_BASE(Document, test::WithoutLeakDetection){
-    DocumentError errorIn(const std::string& file, const std::string& text){
-        const auto documents = parseDocuments(file, text);
-CHECK_FALSE(isOk(documents));
-return errorOf(documents);
-}  // namespace umberhold
-void checkError(DocumentErrorCode code, uint32_t line, const std::string& key,
-                const DocumentError& error) {
-  CHECK_EQUAL(static_cast<int>(code), static_cast<int>(error.code));
-  CHECK_EQUAL(line, error.line);
-  STRCMP_EQUAL(key.c_str(), error.key.c_str());
-}
-}
-;
+// clang-format 14 formats this group's body as an initializer.
+// clang-format off
+TEST_GROUP_BASE(Document, test::WithoutLeakDetection) {
+  DocumentError errorIn(const std::string& file, const std::string& text) {
+    const auto documents = parseDocuments(file, text);
+    CHECK_FALSE(isOk(documents));
+    return errorOf(documents);
+  }
+  void checkError(DocumentErrorCode code, uint32_t line, const std::string& key,
+                  const DocumentError& error) {
+    CHECK_EQUAL(static_cast<int>(code), static_cast<int>(error.code));
+    CHECK_EQUAL(line, error.line);
+    STRCMP_EQUAL(key.c_str(), error.key.c_str());
+  }
+};
+// clang-format on
 
 TEST(Document, ReadsTomlWithPoliciesFirst) {
   const std::string policy = "\n[[policy]]\nname = \"spread\"\nsource = \"-- lua\"\n";
--- a/test/common/ctl/owner_explanation_test.cc
+++ b/test/common/ctl/owner_explanation_test.cc
@@ -99,10 +99,10 @@
   void checkExplainedAt(const std::vector<uint32_t>& expected) {
     CHECK_TRUE(expected == transport.explainedAt);
   }
-  /** The first node's answer is printed, with the reason. */
-  void checkFirstAnswerWith(const char* code) {
+  /** Checks that the first node's response is printed, and the reason for it among the errors. */
+  void checkFirstAnswerWith(const char* reason) {
     STRCMP_CONTAINS("owned_elsewhere", out.str().c_str());
-    STRCMP_CONTAINS(code, errors.str().c_str());
+    STRCMP_CONTAINS(reason, errors.str().c_str());
   }
 };
 
