--- a/source/common/admin/admin_api.cc
+++ b/source/common/admin/admin_api.cc
@@ -120,6 +120,7 @@
 }
 
 AdminResponse AdminApi::routeChange(const AdminRequest& request, const Segments& segments) {
+  // Number of segments of v1/services/SERVICE/hosts/HOST/ACTION.
   constexpr size_t kHostPathLength = 6;
   const auto kind = parseApiKind(segments[1]);
   if (!kind || segments[1] != kind->plural) {
--- a/source/common/admin/host_routes.cc
+++ b/source/common/admin/host_routes.cc
@@ -11,6 +11,7 @@
 namespace umberhold {
 namespace {
 
+/** Maximum number of runs of a change without If-Match, each based on the then current version. */
 constexpr uint32_t kMaxRebases = 5;
 constexpr int64_t kMaxDrainSeconds = int64_t{30} * 86400;
 
--- a/source/common/admin/validation.cc
+++ b/source/common/admin/validation.cc
@@ -10,6 +10,7 @@
 namespace umberhold {
 namespace {
 
+/** 224.0.0.0; the reserved addresses and the broadcast address follow the multicast addresses. */
 constexpr uint32_t kFirstMulticast = 0xE0000000;
 
 /** Collects the errors of one object. */
