--- a/source/common/admin/admin_api.cc
+++ b/source/common/admin/admin_api.cc
@@ -14,7 +14,7 @@
 constexpr std::string_view kBearer = "Bearer ";
 constexpr uint32_t kBusyRetrySeconds = 1;
 
-/** Counts a running change during its own lifetime. */
+/** Adds one to the number of running changes for its lifetime. */
 class ChangeSlot {
  public:
   explicit ChangeSlot(std::atomic<uint32_t>& count) : count_(count), previousCount_(count++) {}
@@ -80,8 +80,8 @@
   if (isRead(request)) {
     return routeRead(request, segments);
   }
-  const ChangeSlot running(changesRunning_);
-  if (!running.isWithinLimit()) {
+  const ChangeSlot slot(changesRunning_);
+  if (!slot.isWithinLimit()) {
     return busyAnswer(request);
   }
   return routeChange(request, segments);
@@ -120,6 +120,7 @@
 }
 
 AdminResponse AdminApi::routeChange(const AdminRequest& request, const Segments& segments) {
+  // Number of segments of v1/services/SERVICE/hosts/HOST/ACTION.
   constexpr size_t kHostPathLength = 6;
   const auto kind = parseApiKind(segments[1]);
   if (!kind || segments[1] != kind->plural) {
