--- a/bench/flow_sim/flow_sim_main.cc
+++ b/bench/flow_sim/flow_sim_main.cc
@@ -20,8 +20,8 @@
 
 /** UDP flows end only by this timeout; it is much longer than the gaps between their packets. */
 constexpr uint32_t kUdpIdleTimeoutSeconds = 60;
-/** Maximum time until a configuration change is effective on all nodes. A drain starts then, for
- * the oracle. */
+/** Maximum time until a configuration change is effective on all nodes. The oracle counts a drain
+ * from the end of this time. */
 constexpr Duration kMaxChangeDelay = std::chrono::seconds(1);
 
 /** Traffic of the callers. */
--- a/bench/limit_sim/limit_simulation.cc
+++ b/bench/limit_sim/limit_simulation.cc
@@ -18,7 +18,8 @@
 
 /** One-way delay between two owners in seconds. */
 constexpr double kMessageDelay = 0.0015;
-/** Seconds between two rounds of load reports and permit requests. */
+/** Seconds between two ticks, each of which sends the due load reports and permit requests and
+ * samples the overshoot. */
 constexpr double kTickInterval = 0.1;
 /** Seconds between two changes of owner, each of a random shard. */
 constexpr double kOwnerChangeInterval = 45.0;
--- a/bench/limit_sim/limit_simulation.h
+++ b/bench/limit_sim/limit_simulation.h
@@ -35,7 +35,7 @@
 struct LimitResult {
   uint64_t arrivals = 0;
   uint64_t refused = 0;
-  /** Refused although the flows of all owners left some host below its limit. */
+  /** Refused although at least one host had fewer flows, over all owners, than its limit. */
   uint64_t refusedBelowLimit = 0;
   /** Maximum number of flows of a host in excess of its limit, and fraction of the time during
    * which any host exceeded its limit. */
--- a/bench/load_model/heavy_days.cc
+++ b/bench/load_model/heavy_days.cc
@@ -20,8 +20,9 @@
 }
 
 /**
- * Two services share a pool most of whose hosts have left. During the burst, three times the usual
- * callers of one service arrive.
+ * Two services share a pool most of whose hosts have left. During the burst, one service has three
+ * times its usual callers.
+ * @param kind index of the service's kind of request.
  * @param callers LoadEvent::callers for this: 1 + 2 * 0.67 for kind 0, 1 + 2 * 0.33 for kind 1.
  */
 LoadScenario sharedPoolBurst(size_t kind, double callers) {
--- a/bench/load_model/heavy_days.h
+++ b/bench/load_model/heavy_days.h
@@ -16,7 +16,8 @@
   LoadScenario scenario;
 };
 
-/** A change of a scenario's host selection or limits; one row per scenario. */
+/** A change of a scenario's host selection or limits. The table has one row for each pair of a
+ * scenario and a variant. */
 struct NamedVariant {
   std::string name;
   std::function<void(LoadScenario&)> apply;
--- a/bench/load_model/load_day.h
+++ b/bench/load_model/load_day.h
@@ -89,14 +89,15 @@
   uint64_t seed = 1;
 };
 
-/** Number of requests of a group of callers by outcome. */
+/** Numbers of requests by outcome. */
 struct OutcomeCounts {
   uint64_t issued = 0;
   uint64_t onTime = 0;
   uint64_t late = 0;
   /** Rejected by hosts or nodes in the last attempt. */
   uint64_t refused = 0;
-  /** Lost with their host or timed out; the caller can't know whether they were executed. */
+  /** Neither answered nor refused: the host failed, the flow was reset or could not be opened, or
+   * the request timed out. The caller may not know whether it was executed. */
   uint64_t failed = 0;
 
   double onTimeFraction() const {
--- a/bench/load_model/load_model.cc
+++ b/bench/load_model/load_model.cc
@@ -25,8 +25,8 @@
 /** One-way delay to a host of the caller's zone or of another zone. */
 constexpr double kOwnZoneDelay = 0.0002;
 constexpr double kOtherZoneDelay = 0.0014;
-/** Callers retransmit at these times after the first transmission; at the last one, they give up
- * instead. */
+/** Callers retransmit at these times: a request after its first transmission, an opening after its
+ * request was issued. At the last one, they give up the attempt instead. */
 constexpr double kRetransmissionTimes[] = {0.2, 0.6, 1.4};
 /** Callers give up a request after this time. */
 constexpr double kRequestTimeout = 2.5;
--- a/bench/load_model/load_model_main.cc
+++ b/bench/load_model/load_model_main.cc
@@ -2,8 +2,9 @@
  * @file Runs every scenario of the load model with every variant and prints a table of the
  * outcomes.
  *
- * Figures are for requests issued during events, over all seeds. Columns that start with "u" are
- * for the last kind of request, which is the urgent one.
+ * Figures cover all seeds and only the requests issued during events, except that "busiest" counts
+ * by the time of arrival at a host and "elsewhere" covers the flows of whole runs.
+ * Columns that start with "u" are for the last kind of request, which is the urgent one.
  */
 #include <cstdio>
 #include <string>
--- a/bench/placement_sim/strategy.h
+++ b/bench/placement_sim/strategy.h
@@ -14,7 +14,7 @@
 /** How an owner selects the host of a new flow. */
 enum class PlacementRule { kPlainRendezvous, kBounded, kLeastOfTwo, kLeastConnections };
 
-/** One row of the table. */
+/** One strategy. The table has up to three rows for it, which differ in the use of load reports. */
 struct Strategy {
   std::string name;
   PlacementRule rule = PlacementRule::kPlainRendezvous;
