--- a/test/fuzz/packet_fuzzer.cc
+++ b/test/fuzz/packet_fuzzer.cc
@@ -3,7 +3,7 @@
  *
  * The first input byte selects the decision of the director, the others are the packet. Checked
  * properties: no input causes a crash; each packet has exactly one outcome; the output is either
- * the packet itself or a well-formed reply.
+ * the packet itself, with a lower TTL if it is relayed to another node, or a well-formed reply.
  */
 #include <algorithm>
 #include <cstdint>
@@ -84,6 +84,7 @@
     const auto request = parsePacket(input);
     const auto reply = parsePacket(packet);
     if (valueOf(request).key.protocol == TransportProtocol::kUdp) {
+      // The reply is an ICMP message, which parsePacket() does not support.
       FUZZ_CHECK(!isOk(reply) && errorOf(reply) == DropReason::kUnsupportedProtocol);
       return;
     }
--- a/test/integration/umberholdctl_test.cc
+++ b/test/integration/umberholdctl_test.cc
@@ -93,7 +93,7 @@
     result.status = static_cast<ExitStatus>(handle.wait());
     return result;
   }
-  /** Writes the document to umberholdctl_test.json with another idle timeout. */
+  /** Writes the document to umberholdctl_test.json with its idle timeout replaced. */
   void writeWithIdleTimeout(std::string document, const std::string& seconds) {
     const std::string oldEntry = "\"idle_timeout_seconds\": 86400";
     const size_t position = document.find(oldEntry);
--- a/test/integration/umberholdd_test.cc
+++ b/test/integration/umberholdd_test.cc
@@ -67,7 +67,7 @@
   return ports;
 }
 
-/** Response to a GET; status 0: none. */
+/** Response to a GET; status 0 if there was none. */
 struct HttpResult {
   int status = 0;
   std::string body;
@@ -156,7 +156,7 @@
     }
   }
 
-  /** Writes settings with other keys for node messages. */
+  /** Writes the settings with these keys for messages between nodes. */
   void writeKeys(const std::vector<uint32_t>& accepted, uint32_t signing) {
     writeSettings("signing_key = " + std::to_string(signing) + "\n", accepted);
   }
