--- a/bench/control_sim/byte_account.h
+++ b/bench/control_sim/byte_account.h
@@ -46,6 +46,7 @@
 /** Bytes that one node sent and received. */
 struct ByteAccount {
   std::array<uint64_t, static_cast<size_t>(ByteClass::kCount)> sent{};
+  /** Bytes of all datagrams sent to the node, including lost ones. */
   uint64_t received = 0;
   /** Sent and received in the current window. */
   uint64_t windowTotal = 0;
--- a/bench/control_sim/region_simulation.h
+++ b/bench/control_sim/region_simulation.h
@@ -38,7 +38,8 @@
   double maximum() const;
 };
 
-/** Result of a run; bytes are means per node and second unless stated otherwise. */
+/** Result of a run. Bytes are means per node and second unless stated otherwise; received bytes
+ * include lost datagrams. */
 struct SimulationReport {
   double membershipBytes = 0;
   double spreadBytes = 0;
@@ -113,8 +114,8 @@
   MessageNetwork network_;
   RandomSource random_;
   std::map<uint32_t, std::unique_ptr<Node>> nodes_;
-  /** Ids of nodes by the time of their next action: a running node (planned stop) stops, a stopped
-   * one starts. */
+  /** Ids of nodes by the time of their next step: a node that is still running makes its planned
+   * stop, a stopped node starts again. */
   std::multimap<TimePoint, uint32_t> pendingRestarts_;
   std::vector<PublishedChange> changes_;
   /** By node id and incarnation. */
--- a/bench/control_sim/transfer_measurement.cc
+++ b/bench/control_sim/transfer_measurement.cc
@@ -104,7 +104,7 @@
   uint32_t running_;
   /** Bytes in the current window, by node. */
   std::map<NodeId, uint64_t> sent_;
-  /** Sum and number of the windows of starting nodes. */
+  /** Sum of the rates in bytes per second, and number, of the windows of starting nodes. */
   double startingRateSum_ = 0;
   double startingWindows_ = 0;
 };
--- a/bench/control_sim/transfer_measurement.h
+++ b/bench/control_sim/transfer_measurement.h
@@ -12,7 +12,7 @@
   size_t storeBytes = 0;
   /** Time from the start until the node has caught up, see ConfigSpread::caughtUp(). */
   double caughtUpSeconds = 0;
-  /** Bytes on the wire of the starting node. */
+  /** Bytes on the wire to and from the starting node, including lost datagrams. */
   uint64_t receivedBytes = 0;
   uint64_t sentBytes = 0;
   /** Bytes on the wire sent by the peer that sent most. */
--- a/bench/policy_benchmark.cc
+++ b/bench/policy_benchmark.cc
@@ -1,4 +1,4 @@
-/** @file Time of a policy call, for usual and for malicious policies. */
+/** @file Time of a policy call, for usual and for malicious policies, and of compiling a policy. */
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
--- a/bench/probe_cost/probe_cost_main.cc
+++ b/bench/probe_cost/probe_cost_main.cc
@@ -17,7 +17,8 @@
 
 using namespace umberhold;
 
-/** Bytes and packets that the loopback interface has sent: columns 9 and 10 of /proc/net/dev. */
+/** Bytes and packets that the loopback interface has sent: columns 9 and 10 of /proc/net/dev. They
+ * cover both directions of a connection, since both of its ends are on this machine. */
 struct SentCounters {
   double bytes = 0;
   double packets = 0;
--- a/bench/shard_map_benchmark.cc
+++ b/bench/shard_map_benchmark.cc
@@ -1,5 +1,5 @@
-/** @file Time of look-ups and of the loss and join of a member in the shard map of one region, at
- * the size that the system is designed for. */
+/** @file Time of look-ups, of the search for takeover candidates, and of the loss and join of a
+ * member in the shard map of one region, at the size that the system is designed for. */
 #include <benchmark/benchmark.h>
 
 #include "common/shard/shard_map.h"
