--- a/source/common/admission/admission.cc
+++ b/source/common/admission/admission.cc
@@ -6,11 +6,11 @@
 namespace umberhold {
 namespace {
 
-/** Below this number of requests under way on open flows, a node does not treat the pool as full.
- */
+/** A node with fewer requests under way on open flows cannot observe whether the pool is full, so
+ * its openings do not yield. */
 constexpr double kMinUseToYield = 1.0;
-/** Target latencies of services without an ended request for this time are ignored: the service may
- * have been removed, or its target may have changed. */
+/** A longer target latency replaces the one of a pool only after no request with the shorter target
+ * has ended for this time: the service may have been removed, or its target may have changed. */
 constexpr Duration kTargetExpiry = std::chrono::seconds(2);
 
 }  // namespace
--- a/source/common/admission/admission.h
+++ b/source/common/admission/admission.h
@@ -121,6 +121,7 @@
  private:
   struct Pool {
     PoolUse use;
+    /** Recent time of requests at the hosts. */
     RecentAverage atHosts;
     /** Minimum target latency of the services that use the pool; 0: none has one. */
     Duration targetLatency{0};
--- a/source/common/admission/requests_under_way.h
+++ b/source/common/admission/requests_under_way.h
@@ -29,8 +29,8 @@
     return std::exp(-age / kAveragingSeconds);
   }
 
-  /** In a large fleet, about 20 requests end at a node in this time; a burst of callers opens its
-   * flows within a few seconds. */
+  /** Long enough for about 20 requests to end at a node of a large fleet, and shorter than the few
+   * seconds within which a burst of callers opens its flows. */
   static constexpr double kAveragingSeconds = 1.0;
 
   double sum_ = 0.0;
--- a/source/common/health/host_health.h
+++ b/source/common/health/host_health.h
@@ -2,13 +2,14 @@
  * @file Host health: schedules the probes of this shard owner and merges its results with those of
  * other owners.
  *
- * Shard i probes the hosts with index % shardCount == i; the other shards receive the results
- * through LoadShare. A host becomes unhealthy after 3 consecutive failures and healthy after 2
- * consecutive successes. If more than half of the active hosts are unhealthy, health is ignored
- * (panic threshold), so that false reports for many hosts at once do not take the service down.
- * Panic mode lasts for an additional hold time, because the recovery of the hosts becomes known one
- * host at a time; without it, the hosts reported last would be excluded. A host that recovers in
- * panic mode was never excluded, so it does not go through slow start.
+ * The owner of shard i probes the hosts with index % shardCount == i; the owners of the other
+ * shards receive the results in LoadShare messages. A host becomes unhealthy after 3 consecutive
+ * failures and healthy after 2 consecutive successes. If more than half of the active hosts are
+ * unhealthy, health is ignored (panic threshold), so that false reports for many hosts at once do
+ * not take the service down. Panic mode lasts for an additional hold time, because the recovery of
+ * the hosts becomes known one host at a time; without it, the hosts reported last would be
+ * excluded. A host that recovers in panic mode was never excluded, so it does not go through slow
+ * start.
  */
 #pragma once
 
@@ -46,7 +47,7 @@
    * until a recovery is reported to all owners: two probes and the interval of LoadShare.
    */
   Duration panicHold = std::chrono::seconds(15);
-  /** How long a result of another owner remains valid. */
+  /** How long a result of another owner remains valid; after that the host counts as healthy. */
   Duration remoteResultLifetime = std::chrono::seconds(60);
 };
 
@@ -102,8 +103,8 @@
   /** @return the last load report, if any. */
   std::optional<LoadReport> report(HostId host) const;
   /**
-   * @return seconds since the host was first seen healthy or recovered; a large value for a warm
-   * host.
+   * @return seconds since the host appeared or recovered; a large value for a warm host, 0 for an
+   * unknown one.
    */
   double ageSeconds(TimePoint now, HostId host) const;
   /** @return the fraction of its weight that a cold host receives, above 0 and up to 1. */
--- a/source/common/health/host_observations.cc
+++ b/source/common/health/host_observations.cc
@@ -8,7 +8,7 @@
 namespace umberhold {
 namespace {
 
-/** Maximum age of a report: three poll intervals if the change bound is 5 s. */
+/** Maximum age of a report: three poll intervals if change_bound_milliseconds is 5000. */
 constexpr Duration kWindow = std::chrono::seconds(3);
 /**
  * Number of usual response times added to each host's samples, so that a few reports have little
@@ -16,7 +16,7 @@
  */
 constexpr double kPriorSamples = 2.0;
 /** Hosts with a lower score are omitted from responses. */
-constexpr double kMinLateScore = 1.5;
+constexpr double kMinSlowScore = 1.5;
 constexpr size_t kMinReporters = 2;
 /** Encoded size in a response. */
 constexpr size_t kSlowHostBytes = 12;
@@ -138,7 +138,7 @@
   std::vector<SlowHost> slowHosts;
   for (const auto& [token, observations] : hosts_) {
     const double score = scoreOf(observations);
-    if (observations.size() < kMinReporters || score < kMinLateScore) {
+    if (observations.size() < kMinReporters || score < kMinSlowScore) {
       continue;
     }
     const auto youngest = std::max_element(
--- a/source/common/health/zone_silence.h
+++ b/source/common/health/zone_silence.h
@@ -21,7 +21,8 @@
 
 /**
  * Maximum number of hosts in one report, unacknowledged ones first: 12 bytes each, 26 for a silent
- * host. With 48 slow hosts, a report still fits into the path of one query (2.3 KB, base64).
+ * host. Together with the response times of kMaxReportedHosts hosts, a report still fits into
+ * the path of one query (2.3 KB, base64).
  */
 constexpr size_t kMaxLivenessReports = 64;
 /** Maximum number of callers listed per host in a report; detection needs no more. */
--- a/source/common/speed/known_speed.h
+++ b/source/common/speed/known_speed.h
@@ -20,8 +20,8 @@
 
  private:
   /**
-   * Exceeds both the time that a new reader node needs to estimate speeds and the duration of a
-   * burst, during which no speeds can be estimated.
+   * Exceeds both the time that a node needs to estimate speeds after it has begun to read the store
+   * for its zone, and the duration of a burst, during which no speeds can be estimated.
    */
   static constexpr Duration kLifetime = std::chrono::seconds(60);
 
--- a/source/common/speed/speed_learner.cc
+++ b/source/common/speed/speed_learner.cc
@@ -21,7 +21,10 @@
  */
 constexpr double kMaxSamples = 6.0;
 constexpr double kPercent = 100.0;
-/** Without the lowest and the highest value, one remains that a single faulty node cannot shift. */
+/**
+ * After the lowest and the highest value are discarded, one remains that a single faulty node
+ * cannot shift.
+ */
 constexpr size_t kMinReporters = 3;
 /** One in this many nodes is discarded at each end (trimmed mean). */
 constexpr size_t kTrimDivisor = 4;
--- a/source/common/token/flow_placement.cc
+++ b/source/common/token/flow_placement.cc
@@ -18,8 +18,8 @@
  */
 constexpr double kMinShareOfHosts = 0.9;
 /**
- * Multiple of the median above which a host counts as slow. Healthy hosts stay below 2 (response
- * times with a spread of 0.5, samples weighted by a quarter).
+ * Multiple of the median above which a host counts as slow. Healthy hosts stay below 2
+ * (processing times with a spread of 0.5, samples weighted by a quarter).
  */
 constexpr double kSlowHost = 2.2;
 /** Rank distance between tiers; larger than any load. */
--- a/source/common/token/flow_progress.h
+++ b/source/common/token/flow_progress.h
@@ -61,6 +61,7 @@
 
   static constexpr size_t kEntries = 1024;
   std::array<Entry, kEntries> entries_{};
+  /** Number of onCaughtUp() calls. */
   uint64_t drainCount_ = 0;
 };
 
--- a/source/common/token/opening_watch.h
+++ b/source/common/token/opening_watch.h
@@ -36,7 +36,7 @@
  public:
   /** Records that an opening was placed on the host with this token. */
   void onPlaced(TimePoint now, FlowHash flow, uint32_t token);
-  /** @return the earlier copy that was left unanswered. */
+  /** @return the earlier copy that was left unanswered; token 0 if there is none. */
   EarlierOpening earlierOf(TimePoint now, FlowHash flow) const;
   /**
    * @return the time since the opening of the flow was placed on the host with this token; nothing
--- a/source/common/token/request_timer.h
+++ b/source/common/token/request_timer.h
@@ -90,6 +90,7 @@
 
   std::array<Entry, kEntries> entries_{};
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+  /** Number of onCaughtUp() calls. */
   uint64_t drainCount_ = 0;
 };
 
--- a/source/common/token/token_director.cc
+++ b/source/common/token/token_director.cc
@@ -17,7 +17,8 @@
 constexpr double kPercent = 100.0;
 /**
  * Speeds identify a host only by its token, and measurements of its previous generation persist in
- * the zone: 24 nodes with 6 samples each and a half-life of 8 s decay within 37 s (calculated).
+ * the zone: 24 nodes with 6 samples each and a half-life of 8 s decay to 6 samples, the minimum for
+ * an estimate (SpeedLearner), within 37 s (calculated).
  */
 constexpr Duration kSpeedRetention = std::chrono::seconds(40);
 /**
@@ -186,16 +187,16 @@
   const uint32_t avoided = recordRepeat(now, packet);
   // A retransmission of an opening that was placed is sent to another host without queueing,
   // because its caller has already waited.
-  const QueuedOpening queued =
-      avoided == 0 ? enqueue(now, service->second, packet, bytes) : QueuedOpening{};
-  if (queued.turn == OpeningDecision::kWait) {
+  const AdmissionResult result =
+      avoided == 0 ? admit(now, service->second, packet, bytes) : AdmissionResult{};
+  if (result.decision == OpeningDecision::kWait) {
     return HoldPacket{HoldReason::kHostsBusy};
   }
-  if (queued.turn == OpeningDecision::kRefuse) {
+  if (result.decision == OpeningDecision::kRefuse) {
     return RefuseFlow{RefusalReason::kHostsBusy};
   }
-  TokenHost* host = queued.pool.empty() ? place(now, service->second, avoided)
-                                        : placeAt(now, service->second, queued);
+  TokenHost* host = result.pool.empty() ? place(now, service->second, avoided)
+                                        : placeAt(now, service->second, result);
   if (host == nullptr) {
     return isMissingPool(service->second) ? FlowDecision(DropPacket{DropReason::kNoHost})
                                           : FlowDecision(RefuseFlow{});
@@ -209,12 +210,12 @@
   return decision;
 }
 
-TokenDirector::QueuedOpening TokenDirector::enqueue(TimePoint now, ServiceEntry& service,
+TokenDirector::AdmissionResult TokenDirector::admit(TimePoint now, ServiceEntry& service,
                                                     const FlowPacket& packet,
                                                     std::string_view bytes) {
   if (admission_.isWaiting(packet.hash)) {
-    // A retransmission of a queued opening would otherwise be placed in addition to it, whatever
-    // has become of its pool.
+    // Without this check, a retransmission could be placed while the opening is still queued, for
+    // example if its service no longer uses the pool that the opening waits for.
     admission_.hold(now, std::string(*admission_.poolOf(packet.hash)), service.needs(), packet.hash,
                     bytes);
     return {OpeningDecision::kWait, {}, {}};
@@ -227,13 +228,13 @@
   }
   const auto size = [&] { return poolSizeOf(now, *pool); };
   // Passed by reference: copying the function would allocate memory for each opening.
-  const OpeningDecision turn =
+  const OpeningDecision decision =
       admission_.decideOpening(now, *due, service.needs(), packet.hash, std::cref(size));
-  if (turn == OpeningDecision::kPlace) {
-    return {turn, waited == nullptr ? std::string{} : *waited, {}};
+  if (decision == OpeningDecision::kPlace) {
+    return {decision, waited == nullptr ? std::string{} : *waited, {}};
   }
-  if (turn != OpeningDecision::kWait) {
-    return {turn, {}, {}};
+  if (decision != OpeningDecision::kWait) {
+    return {decision, {}, {}};
   }
   const std::string* other = overflowPool(now, service, *due);
   // The turn is charged now. Later openings therefore go to the other parts of the split too,
@@ -243,7 +244,7 @@
     return {OpeningDecision::kPlace, *other, *due};
   }
   admission_.hold(now, *due, service.needs(), packet.hash, bytes);
-  return {turn, {}, {}};
+  return {decision, {}, {}};
 }
 
 PoolSize TokenDirector::poolSizeOf(TimePoint now, const TokenPool& pool) {
@@ -562,13 +563,13 @@
 }
 
 TokenHost* TokenDirector::placeAt(TimePoint now, ServiceEntry& service,
-                                  const QueuedOpening& queued) {
-  TokenHost* host = placement_.place(now, *hosts_.findPool(queued.pool), 0);
+                                  const AdmissionResult& result) {
+  TokenHost* host = placement_.place(now, *hosts_.findPool(result.pool), 0);
   if (host == nullptr) {
     return place(now, service, 0);
   }
   recordEvidence(service, 0);
-  placement_.evidence().overflowFrom = queued.overflowFrom;
+  placement_.evidence().overflowFrom = result.overflowFrom;
   return host;
 }
 
--- a/source/common/token/token_director.h
+++ b/source/common/token/token_director.h
@@ -208,8 +208,8 @@
   bool beginCold(TimePoint now, const TokenPool& pool, TokenHost& host, Duration remaining);
   FlowDecision openFlow(TimePoint now, const FlowPacket& packet, std::string_view bytes);
   /** Result of admission for an opening. */
-  struct QueuedOpening {
-    OpeningDecision turn = OpeningDecision::kPlace;
+  struct AdmissionResult {
+    OpeningDecision decision = OpeningDecision::kPlace;
     /**
      * For kPlace: the pool that takes the flow, either because the opening waited for it or instead
      * of the pool whose turn it is; empty: the pool whose turn it is.
@@ -222,7 +222,7 @@
    * @return the result of admission for an opening; an opening that has to wait is added to the
    * queue.
    */
-  QueuedOpening enqueue(TimePoint now, ServiceEntry& service, const FlowPacket& packet,
+  AdmissionResult admit(TimePoint now, ServiceEntry& service, const FlowPacket& packet,
                         std::string_view bytes);
   /**
    * @return the pool that an opening waits or has waited for, if its service still names that pool;
@@ -289,7 +289,7 @@
    * Places a flow that has already been charged to a group on its pool, if that pool has a host
    * available.
    */
-  TokenHost* placeAt(TimePoint now, ServiceEntry& service, const QueuedOpening& queued);
+  TokenHost* placeAt(TimePoint now, ServiceEntry& service, const AdmissionResult& result);
   void recordEvidence(const ServiceEntry& service, uint32_t avoided);
   static ForwardToHost forward(const TokenHost& host);
   /** @return whether the pool of at least one group is not known yet. */
--- a/source/common/token/token_hosts.cc
+++ b/source/common/token/token_hosts.cc
@@ -93,10 +93,10 @@
   const uint32_t previousCold = isNewGeneration ? 0 : host.spec.coldMilliseconds;
   host.hasNewColdTime = spec.coldMilliseconds != 0 && spec.coldMilliseconds != previousCold;
   host.token = token;
-  const uint64_t previousBorn = host.spec.startedAtMilliseconds;
+  const uint64_t previousStart = host.spec.startedAtMilliseconds;
   host.spec = spec;
   if (spec.startedAtMilliseconds == 0) {
-    host.spec.startedAtMilliseconds = previousBorn;
+    host.spec.startedAtMilliseconds = previousStart;
   }
   host.id = hostIdOf(serviceIdOf(pool), spec.name);
   host.pool = pool;
--- a/test/common/admission/admission_test.cc
+++ b/test/common/admission/admission_test.cc
@@ -65,7 +65,7 @@
 TEST(Admission, DoesNotQueryTheSizeOfAnUncontendedPool) {
   CHECK_TRUE(
       admission.decideOpening(now, kPool, parametersOf(kUsual), FlowHash{1}, []() -> PoolSize {
-        FAIL("the size was asked for");
+        FAIL("the size of an uncontended pool was queried");
         return {};
       }) == OpeningDecision::kPlace);
 }
--- a/test/common/admission/opening_queue_test.cc
+++ b/test/common/admission/opening_queue_test.cc
@@ -21,7 +21,7 @@
   OpeningDecision decideOpening(uint64_t flow) {
     return queue.decideOpening(now, kPool, kLimit, FlowHash{flow});
   }
-  /** The opening is placed at once. */
+  /** Places an opening that does not have to wait. */
   void place(uint64_t flow) {
     CHECK_TRUE(decideOpening(flow) == OpeningDecision::kPlace);
     queue.onPlaced(now, kPool, FlowHash{flow});
@@ -44,7 +44,8 @@
     packet.acknowledged = acknowledged;
     queue.onLaterPacket(now, packet, requestTime);
   }
-  /** The flows under way receive no answer. */
+  /** Completes the handshakes of the flows under way; they count as such for 10 s without an
+   * answer. */
   void leaveUnanswered() {
     for (uint64_t flow = 1; flow <= kLimit; ++flow) {
       sendLaterPacket(flow, 100, PacketPhase::kContinuing, seconds(10));
--- a/test/common/speed/speed_learner_property.cc
+++ b/test/common/speed/speed_learner_property.cc
@@ -34,12 +34,12 @@
     SpeedLearner learner;
     const auto nodes = *rc::gen::inRange<uint64_t>(2, 40);
     // The range includes the usual speed, which is assumed as a prior.
-    double least = 100.0;
-    double most = 100.0;
+    double lowest = 100.0;
+    double highest = 100.0;
     for (uint64_t node = kFaulty + 1; node <= kFaulty + nodes; ++node) {
       const auto percent = *rc::gen::inRange<uint32_t>(25, 401);
-      least = std::min<double>(least, percent);
-      most = std::max<double>(most, percent);
+      lowest = std::min<double>(lowest, percent);
+      highest = std::max<double>(highest, percent);
       learner.add(now, node, kToken, percent, *rc::gen::inRange<uint32_t>(1, 20));
       if (*rc::gen::arbitrary<bool>()) {
         learner.add(now, kFaulty, kToken, *rc::gen::inRange<uint32_t>(0, 100000),
@@ -48,8 +48,8 @@
       now += milliseconds(*rc::gen::inRange(0, 500));
     }
     for (const LearnedSpeed& speed : learner.speeds(now, 10)) {
-      RC_ASSERT(speed.percentOfUsual <= std::ceil(kRounding * 10000.0 / least));
-      RC_ASSERT(speed.percentOfUsual >= std::floor(10000.0 / most / kRounding));
+      RC_ASSERT(speed.percentOfUsual <= std::ceil(kRounding * 10000.0 / lowest));
+      RC_ASSERT(speed.percentOfUsual >= std::floor(10000.0 / highest / kRounding));
     }
   }));
 }
--- a/test/common/token/host_lives_test.cc
+++ b/test/common/token/host_lives_test.cc
@@ -202,7 +202,7 @@
   now += seconds(1);
   setHosts({makeHost(1, unixNow()), makeHost(2)});
   LONGS_EQUAL(0, director.speeds(now).known);
-  // The reader of the zone still reports the old speed.
+  // The node that reads the store for the zone still reports the old speed.
   director.applySpeeds(now + seconds(1), {{token, 25, 50}});
   LONGS_EQUAL(0, director.speeds(now + seconds(1)).known);
   director.applySpeeds(now + seconds(41), {{token, 25, 50}});
--- a/test/common/token/request_timer_test.cc
+++ b/test/common/token/request_timer_test.cc
@@ -10,7 +10,7 @@
 using std::chrono::seconds;
 
 constexpr uint32_t kToken = 77;
-constexpr Duration kRequestTimeout = milliseconds(400);
+constexpr Duration kOverdueAfter = milliseconds(400);
 
 }  // namespace
 
@@ -29,7 +29,7 @@
     return made;
   }
   std::optional<Duration> record(const FlowPacket& given) {
-    const auto response = timer.record(now, given, kRequestTimeout);
+    const auto response = timer.record(now, given, kOverdueAfter);
     overdue = timer.onCaughtUp(now);
     return response;
   }
@@ -86,9 +86,9 @@
 }
 
 TEST(RequestTimer, DoesNotTimeRequestsHandledFromABacklog) {
-  timer.record(now, packet(1, 100, 500, 176), kRequestTimeout);
+  timer.record(now, packet(1, 100, 500, 176), kOverdueAfter);
   now += milliseconds(1);
-  CHECK_FALSE(timer.record(now, packet(1, 276, 1700, 0), kRequestTimeout).has_value());
+  CHECK_FALSE(timer.record(now, packet(1, 276, 1700, 0), kOverdueAfter).has_value());
 }
 
 TEST(RequestTimer, DoesNotTimeARequestFollowedByOneThroughAnotherNode) {
--- a/test/common/token/response_score_test.cc
+++ b/test/common/token/response_score_test.cc
@@ -9,13 +9,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr double kPart = 0.25;
+constexpr double kSampleWeight = 0.25;
 
 }  // namespace
 
 TEST_GROUP(ResponseScore) {
   TimePoint now{seconds(1000)};
-  ResponseScore score{kPart};
+  ResponseScore score{kSampleWeight};
   UsualResponseTime usual;
 
   void update(int count, Duration response) {
@@ -26,7 +26,7 @@
   }
 };
 
-TEST(ResponseScore, NoSingleSampleReachesTwo) {
+TEST(ResponseScore, SingleSampleStaysBelowTheSlowLimit) {
   score.add(now, 1000.0);
   DOUBLES_EQUAL(2.0, score.value(now), 1e-9);
   score.add(now, 1000.0);
--- a/test/common/token/silence_detector_test.cc
+++ b/test/common/token/silence_detector_test.cc
@@ -17,7 +17,7 @@
 
 TEST_GROUP(SilenceDetector) {
   TokenHosts hosts{seconds(60)};
-  SilenceDetector judge{hosts};
+  SilenceDetector detector{hosts};
   TimePoint now{seconds(1000)};
 
   void setup() override {
@@ -51,9 +51,9 @@
   host(1).silence.onAnswered(now);
   now += milliseconds(100);
   fallSilent(1, milliseconds(700));
-  LONGS_EQUAL(1, judge.onCopy(now, host(1)).size());
-  LONGS_EQUAL(1, judge.onCopy(now + milliseconds(10), host(1)).size());
-  const auto verdicts = judge.takeVerdicts();
+  LONGS_EQUAL(1, detector.onCopy(now, host(1)).size());
+  LONGS_EQUAL(1, detector.onCopy(now + milliseconds(10), host(1)).size());
+  const auto verdicts = detector.takeVerdicts();
   LONGS_EQUAL(1, verdicts.size());
   const SilenceVerdict& verdict = verdicts[0];
   CHECK_TRUE(verdict.outcome == SilenceOutcome::kDead);
@@ -66,7 +66,7 @@
   CHECK_TRUE(verdict.sinceAnswer == milliseconds(800));
   LONGS_EQUAL(4, verdict.active);
   LONGS_EQUAL(1, verdict.silent);
-  LONGS_EQUAL(1, judge.counters()[0][0]);
+  LONGS_EQUAL(1, detector.counters()[0][0]);
 }
 
 TEST(SilenceDetector, ReportsHostsSparedBecauseTooManyAreSilent) {
@@ -75,8 +75,8 @@
   for (uint64_t number = 1; number <= 3; ++number) {
     silent.push_back({flowTokenOf(number), 700});
   }
-  CHECK_TRUE(judge.onZoneSilent(now, silent).empty());
-  const auto verdicts = judge.takeVerdicts();
+  CHECK_TRUE(detector.onZoneSilent(now, silent).empty());
+  const auto verdicts = detector.takeVerdicts();
   LONGS_EQUAL(3, verdicts.size());
   CHECK_TRUE(verdicts[0].outcome == SilenceOutcome::kSpared);
   CHECK_TRUE(verdicts[0].source == SilenceSource::kZone);
@@ -86,34 +86,34 @@
 /** Guards against resets of working flows: callers retransmit 200 ms after sending their data. */
 TEST(SilenceDetector, IgnoresRetransmissionsFromOneShortPause) {
   fallSilent(1, milliseconds(499));
-  CHECK_TRUE(judge.onCopy(now, host(1)).empty());
+  CHECK_TRUE(detector.onCopy(now, host(1)).empty());
   now += milliseconds(1);
-  LONGS_EQUAL(1, judge.onCopy(now, host(1)).size());
+  LONGS_EQUAL(1, detector.onCopy(now, host(1)).size());
 }
 
 /** Guards against resets of working flows: during one slow round trip, all callers retransmit. */
 TEST(SilenceDetector, RequiresAnswersOfOtherHostsToLaterData) {
   const TimePoint sentAt = now;
   fallSilent(1, milliseconds(900));
-  judge.onAnswered(now, flowTokenOf(2), sentAt + milliseconds(499));
-  CHECK_TRUE(judge.onCopy(now, host(1)).empty());
-  CHECK_TRUE(judge.onZoneSilent(now, {{flowTokenOf(4), 900}}).empty());
-  judge.onAnswered(now, flowTokenOf(2), sentAt + milliseconds(500));
+  detector.onAnswered(now, flowTokenOf(2), sentAt + milliseconds(499));
+  CHECK_TRUE(detector.onCopy(now, host(1)).empty());
+  CHECK_TRUE(detector.onZoneSilent(now, {{flowTokenOf(4), 900}}).empty());
+  detector.onAnswered(now, flowTokenOf(2), sentAt + milliseconds(500));
   // An answer to earlier data does not withdraw evidence.
-  judge.onAnswered(now, flowTokenOf(2), sentAt);
-  LONGS_EQUAL(1, judge.onCopy(now, host(1)).size());
-  LONGS_EQUAL(1, judge.onZoneSilent(now, {{flowTokenOf(4), 900}}).size());
-  CHECK_TRUE(judge.takeVerdicts()[0].sinceOvertaking == milliseconds(400));
+  detector.onAnswered(now, flowTokenOf(2), sentAt);
+  LONGS_EQUAL(1, detector.onCopy(now, host(1)).size());
+  LONGS_EQUAL(1, detector.onZoneSilent(now, {{flowTokenOf(4), 900}}).size());
+  CHECK_TRUE(detector.takeVerdicts()[0].sinceOvertaking == milliseconds(400));
 }
 
 TEST(SilenceDetector, SkipsTheComparisonIfNoOtherHostAnswers) {
-  judge.onAnswered(now, flowTokenOf(2), now);
+  detector.onAnswered(now, flowTokenOf(2), now);
   // The host's own answers are no evidence about other hosts.
-  judge.onAnswered(now, flowTokenOf(1), now);
+  detector.onAnswered(now, flowTokenOf(1), now);
   fallSilent(1, seconds(2));
-  CHECK_TRUE(judge.onCopy(now, host(1)).empty());
+  CHECK_TRUE(detector.onCopy(now, host(1)).empty());
   now += milliseconds(1);
-  LONGS_EQUAL(1, judge.onCopy(now, host(1)).size());
+  LONGS_EQUAL(1, detector.onCopy(now, host(1)).size());
 }
 
 TEST(SilenceDetector, RequiresAMinimumNumberOfCallers) {
@@ -121,7 +121,7 @@
   now += seconds(1);
   host(1).silence.onCopy(now, sentAt, 1);
   host(1).silence.onCopy(now, sentAt, 2);
-  CHECK_TRUE(judge.onCopy(now, host(1)).empty());
+  CHECK_TRUE(detector.onCopy(now, host(1)).empty());
 }
 
 }  // namespace umberhold
