--- a/source/common/node/node_core.cc
+++ b/source/common/node/node_core.cc
@@ -294,8 +294,8 @@
   bool first = true;
   for (const CoverageReport& report : parts_->coverage.summary()) {
     status.nodes += report.nodes;
-    // A region's counts refer to its own newest version; they include ours only from that version
-    // on.
+    // A region's nodesAtVersion refers to its own newest version, report.version. These nodes also
+    // have `version`, unless report.version is older.
     status.nodesAtVersion += report.version >= version ? report.nodesAtVersion : 0;
     if (report.slowestVersion >= version && report.version < version) {
       status.nodesAtVersion += report.nodes;
--- a/source/common/node/node_status.h
+++ b/source/common/node/node_status.h
@@ -75,7 +75,7 @@
   std::string zone;
   NodeReadiness readiness = NodeReadiness::kJoining;
   MemberCounts members;
-  /** Highest resource version among the effective records of this node. */
+  /** Store version up to which every change is effective on this node. */
   uint64_t configVersion = 0;
   uint32_t services = 0;
   uint32_t policies = 0;
--- a/source/common/node/policy_runner.cc
+++ b/source/common/node/policy_runner.cc
@@ -7,7 +7,8 @@
 namespace {
 
 /**
- * Interval between checks of a service's policy; the evaluator applies its own, longer interval.
+ * Minimum interval between evaluations of a service's policy; the evaluator applies a longer one to
+ * the weights.
  */
 constexpr Duration kEvaluationInterval = std::chrono::milliseconds(500);
 
--- a/source/common/node/policy_runner.h
+++ b/source/common/node/policy_runner.h
@@ -17,10 +17,10 @@
 namespace umberhold {
 
 /**
- * Compiles policies as they arrive and evaluates each service's policy, so that its weights and its
- * admit result take effect at the director. Services with the same policy share one compiled
- * policy. If a policy does not compile or fails, the last valid weights stay effective. Not thread
- * safe.
+ * Compiles policies when they are first used or change, and evaluates each service's policy, so
+ * that its weights and its admit result take effect at the director. Services with the same policy
+ * share one compiled policy. If a policy does not compile or fails, the last valid weights stay
+ * effective. Not thread safe.
  */
 class PolicyRunner {
  public:
@@ -32,7 +32,10 @@
   void onPolicyDeleted(const std::string& name);
   void onServiceDeleted(ServiceId service) { services_.erase(service); }
 
-  /** Runs due evaluations; each service at most once a second, spread over the calls. */
+  /**
+   * Runs due evaluations: each service's admit() at most every 500 ms, its weights at most once a
+   * second unless its hosts change.
+   */
   void tick(TimePoint now);
 
   /**
--- a/source/common/shard/known_flows.cc
+++ b/source/common/shard/known_flows.cc
@@ -63,7 +63,7 @@
 }
 
 std::optional<KnownFlowBatch> KnownFlowStream::poll(TimePoint now, ByteBudget& budget,
-                                                    ByteBudget& lists) {
+                                                    ByteBudget& listBudget) {
   const bool nothingNew = announced_ && waiting_.empty();
   const bool full = waiting_.size() >= kBatchFlows;
   const Duration interval =
@@ -75,7 +75,7 @@
   const size_t count = std::min(waiting_.size(), kBatchFlows);
   const auto bytes = static_cast<double>(kFixedBytes + kFingerprintBytes * count);
   const bool paid = budget.tryConsume(now, bytes) ||
-                    (first_ < firstPlacedNumber_ && lists.tryConsume(now, bytes));
+                    (first_ < firstPlacedNumber_ && listBudget.tryConsume(now, bytes));
   if (!paid) {
     return std::nullopt;
   }
--- a/source/common/shard/known_flows.h
+++ b/source/common/shard/known_flows.h
@@ -61,18 +61,18 @@
   void restart(std::vector<FlowFingerprint> all);
   /** Notifies a replica that its list is no longer complete. */
   void revoke();
-  /** Stops sending because there is no replica. */
+  /** Stops sending until restart(), because the current replica, if any, has no list. */
   void stop() { state_ = State::kStopped; }
   /** Appends a placed flow; ignored unless running. */
   void add(FlowFingerprint fingerprint);
-  /** Makes the next batch leave without delay, since a host may have started to drain. */
+  /** Sends all pending flows without the batch delay, since a host may have started to drain. */
   void requestFlush() { flushRequested_ = true; }
 
   /**
-   * @return the batch to send now, if any; its bytes are charged to a budget. @param lists
-   * additional budget for batches with flows that existed when the list was started.
+   * @return the batch to send now, if any; its bytes are charged to one of the budgets. @param
+   * listBudget additional budget for batches with flows that existed when the list was started.
    */
-  std::optional<KnownFlowBatch> poll(TimePoint now, ByteBudget& budget, ByteBudget& lists);
+  std::optional<KnownFlowBatch> poll(TimePoint now, ByteBudget& budget, ByteBudget& listBudget);
   /**
    * @return all pending flows, to be added to a datagram that is sent in any case and accounts for
    * the fixed part; nothing if they do not fit, a batch is in flight, or the budget is
--- a/source/common/shard/local_shard.cc
+++ b/source/common/shard/local_shard.cc
@@ -15,7 +15,8 @@
  */
 constexpr size_t kRankedCandidates = 4;
 /**
- * Within this time after its creation a service has no flows if no node holds state of its shard.
+ * If no node holds state of a shard whose service was created less than this long ago, the shard
+ * has had no flows.
  */
 constexpr Duration kNewServicePeriod = std::chrono::seconds(10);
 constexpr Duration kNoticeInterval = std::chrono::milliseconds(500);
@@ -25,7 +26,7 @@
 constexpr Duration kFencedNoticePeriod = std::chrono::seconds(5);
 /**
  * A replica that has received nothing from an owner for this long, while the view does not assign
- * the shard to this node, is missing changes.
+ * the shard to this node, is marked as outdated: it lacks changes.
  */
 constexpr Duration kReplicaStaleTimeout = std::chrono::seconds(2);
 /**
@@ -192,8 +193,8 @@
   if (!knowsAllFlows_ && content.oldFlows) {
     oldFlows_.emplace(*content.oldFlows);
   }
-  // An opening that the previous owner forwarded to the base table's host is in the content only if
-  // that lists all flows: a repeated opening must not be placed elsewhere.
+  // Unless the content lists all flows, it lacks openings that the previous owner forwarded to the
+  // base table's host. Their retransmissions must not be placed elsewhere.
   becomeOwner(now, !knowsAllFlows_, content.permits);
 }
 
@@ -410,8 +411,8 @@
 
 void LocalShard::sendNotice(TimePoint now) {
   const auto assignment = context_.map.lookup(id_);
-  const bool another = assignment && assignment->owner != context_.self();
-  if (another && now - lastNotice_ >= kNoticeInterval) {
+  const bool assignedElsewhere = assignment && assignment->owner != context_.self();
+  if (assignedElsewhere && now - lastNotice_ >= kNoticeInterval) {
     lastNotice_ = now;
     context_.send(assignment->owner, OwnershipNotice{id_, epoch_, false});
   }
--- a/source/common/shard/local_shard.h
+++ b/source/common/shard/local_shard.h
@@ -168,8 +168,8 @@
   FlowDecision placeNew(TimePoint now, const FlowPacket& packet, std::string_view bytes);
   FlowDecision placeAtBase(TimePoint now, const FlowPacket& packet, std::string_view bytes);
   /**
-   * The first packet of an exception (a flow whose host differs from the one in the base table) is
-   * held until the replica has the record, unless the replica
+   * Records a new flow on the host. The first packet of an exception (a flow whose host differs
+   * from the one in the base table) is held until the replica has the record, unless the replica
    * has acknowledged something recently: see UnacknowledgedFlows.
    */
   FlowDecision accept(TimePoint now, const FlowPacket& packet, std::string_view bytes, HostId host);
--- a/source/common/shard/local_shard_messages.cc
+++ b/source/common/shard/local_shard_messages.cc
@@ -88,9 +88,9 @@
     return;
   }
   auto session = takeoverSenders_.find(sender);
-  const bool another =
+  const bool isNewTransfer =
       session == takeoverSenders_.end() || session->second->attempt() != ack.attempt;
-  if (another && ack.next == 0) {
+  if (isNewTransfer && ack.next == 0) {
     const auto state = heldContent(now);
     if (!state) {
       return;
@@ -99,7 +99,7 @@
         now, splitSnapshot(SnapshotIdentity{id_, SnapshotPurpose::kTakeover, ack.attempt}, *state));
     return;
   }
-  if (another) {
+  if (isNewTransfer) {
     return;
   }
   session->second->onAck(now, ack.next);
--- a/source/common/shard/replica_copy.cc
+++ b/source/common/shard/replica_copy.cc
@@ -59,9 +59,9 @@
   if (alreadyInstalled) {
     return SnapshotAck{chunk.shard, chunk.purpose, chunk.attempt, chunk.chunks};
   }
-  const bool another = !incoming_ || incoming_->owner != sender ||
-                       incoming_->epoch != chunk.epoch || incoming_->attempt != chunk.attempt;
-  if (another) {
+  const bool isNewSnapshot = !incoming_ || incoming_->owner != sender ||
+                             incoming_->epoch != chunk.epoch || incoming_->attempt != chunk.attempt;
+  if (isNewSnapshot) {
     if (incoming_ && incoming_->owner == sender && incoming_->epoch == chunk.epoch &&
         incoming_->attempt > chunk.attempt) {
       return std::nullopt;
--- a/source/common/shard/replication_log.cc
+++ b/source/common/shard/replication_log.cc
@@ -72,7 +72,8 @@
   std::unordered_map<FlowHash, Kind> last;
   for (const Change& change : changes_) {
     // The receiver applies added, removed and refused flows in this order. Changes of different
-    // flows may be reordered; a batch ends where changes of the same flow would be.
+    // flows may be reordered; a batch ends before a change that would be applied before an earlier
+    // one of the same flow.
     const auto seen = last.try_emplace(change.flow, change.kind).first;
     if (change.kind < seen->second || bytes > kBatchBytes) {
       break;
--- a/source/common/shard/replication_log.h
+++ b/source/common/shard/replication_log.h
@@ -32,7 +32,7 @@
    * If a batch is unacknowledged for longer, resends included, the replica counts as unreliable.
    */
   static constexpr Duration kMaxUnacknowledgedTime = std::chrono::milliseconds(700);
-  /** If it is exceeded the log is discarded and the replica needs a snapshot. */
+  /** If more changes are unacknowledged, the log is discarded and the replica needs a snapshot. */
   static constexpr size_t kMaxChanges = 8192;
   static constexpr size_t kBatchBytes = 1100;
 
@@ -55,7 +55,10 @@
                                     uint32_t epoch);
   /** @param next first sequence that the replica lacks. */
   void onAck(TimePoint now, uint32_t next);
-  /** The replica reported that it has no snapshot of this epoch. */
+  /**
+   * Stops sending until a new snapshot is delivered: the replica has none of this epoch, was
+   * replaced, or has one with an invalid base table.
+   */
   void markReplicaLost();
 
   /** @return whether the replica has the snapshot and applies the log. */
--- a/source/common/shard/shard_context.h
+++ b/source/common/shard/shard_context.h
@@ -80,8 +80,10 @@
   ByteBudget handoverListBudget;
   ShardCounters counters;
   UnixSeconds unixNow = 0;
-  /** New flows follow the base table until this time. Set after a pause of the process, since other
-   * nodes may own this node's shards by now. */
+  /**
+   * New flows follow the base table until this time. Set after a pause of the process, since other
+   * nodes may own this node's shards by now.
+   */
   TimePoint baseOnlyUntil{};
   /** A whole zone is unreachable: its nodes may be alive and decide independently of this side. */
   bool zonePartitionSuspected = false;
--- a/source/common/shard/shard_director.cc
+++ b/source/common/shard/shard_director.cc
@@ -39,7 +39,8 @@
                {},
                false,
                {}},
-      // An exception to the base table, not one to be thrown.
+      // The check takes ExceptionBudget for a C++ exception; it limits exceptions to the base
+      // table.
       exceptionBudget_(options.exceptions),  // NOLINT(bugprone-throw-keyword-missing)
       localTable_(parts.services, parts.flows),
       seed_(seed) {
--- a/source/common/shard/takeover.cc
+++ b/source/common/shard/takeover.cc
@@ -7,7 +7,9 @@
 
 namespace {
 
-/** A candidate's request to wait expires unless it is repeated within this time. */
+/**
+ * A candidate that still owns or acquires the shard is waited for until its last reply is this old.
+ */
 constexpr Duration kWaitRequestLifetime = std::chrono::seconds(1);
 
 HeldState heldBy(const TakeoverReply& reply) {
@@ -24,8 +26,8 @@
 
 /** @return whether the reply refers to a node that holds newer state than the sender. */
 bool reportsHolder(const TakeoverReply& reply) {
-  const bool isPassedOn = reply.role == HeldRole::kReleased || reply.role == HeldRole::kReplica;
-  return isPassedOn && reply.successor != NodeId{};
+  const bool refersToOwner = reply.role == HeldRole::kReleased || reply.role == HeldRole::kReplica;
+  return refersToOwner && reply.successor != NodeId{};
 }
 
 }  // namespace
@@ -133,14 +135,14 @@
   if (!candidate.answered) {
     return now - waitStartedAt_ < kTimeout;
   }
-  const bool requestsWait =
+  const bool ownsOrAcquires =
       candidate.reply.role == HeldRole::kStillOwner ||
       (candidate.reply.acquiring &&
        (start_.view.outranksSelf(candidate.node) || isTakingOver(now, candidate.node)));
   if (hasNewerHolder(now, candidate)) {
     return true;
   }
-  return requestsWait && now - candidate.lastAnswer < kWaitRequestLifetime;
+  return ownsOrAcquires && now - candidate.lastAnswer < kWaitRequestLifetime;
 }
 
 bool Takeover::isGone(TimePoint now, const Candidate& candidate) const {
@@ -161,11 +163,11 @@
 
 bool Takeover::hasNewerHolder(TimePoint now, const Candidate& candidate) const {
   const NodeId holder = candidate.reply.successor;
-  const bool isPassedOn = reportsHolder(candidate.reply) && holder != start_.self;
+  const bool reportsOtherHolder = reportsHolder(candidate.reply) && holder != start_.self;
   // The owner that a replica refers to may have died just now; released state still exists.
-  const bool copied = candidate.reply.role == HeldRole::kReplica;
-  const Duration timeout = copied ? kTimeout : kFetchTimeout;
-  if (!isPassedOn || now - startedAt_ >= timeout || start_.view.isDead(holder)) {
+  const bool isReplica = candidate.reply.role == HeldRole::kReplica;
+  const Duration timeout = isReplica ? kTimeout : kFetchTimeout;
+  if (!reportsOtherHolder || now - startedAt_ >= timeout || start_.view.isDead(holder)) {
     return false;
   }
   const Candidate* queried = find(holder);
--- a/source/common/shard/takeover.h
+++ b/source/common/shard/takeover.h
@@ -149,7 +149,10 @@
    * becomes the owner once it has the state, even if another node fetches the same state.
    */
   bool isTakingOver(TimePoint now, NodeId node) const;
-  /** @return whether a node that has yet to reply holds newer state than the candidate. */
+  /**
+   * @return whether the candidate reported a holder of newer state that still owns the shard, or
+   * that cannot be reached yet. A reachable holder is waited for as a candidate of its own.
+   */
   bool hasNewerHolder(TimePoint now, const Candidate& candidate) const;
   bool isUsable(TimePoint now, const Candidate& candidate) const;
   const Candidate* bestCandidate(TimePoint now) const;
--- a/test/common/node/cut_replication_test.cc
+++ b/test/common/node/cut_replication_test.cc
@@ -1,4 +1,4 @@
-/** @file Flows broken by a network partition that are not placed by the base table. */
+/** @file Loss of flows that are exceptions to the base table in a network partition. */
 #include <optional>
 #include <vector>
 
--- a/test/common/shard/known_flows_test.cc
+++ b/test/common/shard/known_flows_test.cc
@@ -16,7 +16,7 @@
   KnownFlowStream stream;
   KnownFlowCopy copy;
   ByteBudget budget{{kUnlimited, kUnlimited}};
-  ByteBudget lists{{kUnlimited, kUnlimited}};
+  ByteBudget listBudget{{kUnlimited, kUnlimited}};
   TimePoint now{std::chrono::seconds(1000)};
 
   void deliver(const KnownFlowBatch& batch) {
@@ -26,7 +26,7 @@
   /** Gives the replica an empty list. */
   void announce() {
     stream.restart({});
-    deliver(*stream.poll(now, budget, lists));
+    deliver(*stream.poll(now, budget, listBudget));
   }
 };
 
@@ -40,7 +40,7 @@
   CHECK_EQUAL(2U, copy.complete()->size());
   CHECK_FALSE(stream.takePiggybackBatch(now, budget).has_value());
   now += KnownFlowStream::kPartialBatchDelay;
-  CHECK_FALSE(stream.poll(now, budget, lists).has_value());
+  CHECK_FALSE(stream.poll(now, budget, listBudget).has_value());
 }
 
 /** Sending only some of them would leave the replica with an incomplete list. */
@@ -60,7 +60,7 @@
   stream.add(8);
   CHECK_FALSE(stream.takePiggybackBatch(now, budget).has_value());
   now += KnownFlowStream::kResendInterval;
-  const auto again = stream.poll(now, budget, lists);
+  const auto again = stream.poll(now, budget, listBudget);
   CHECK_EQUAL(2U, again->fingerprints.size());
 }
 
@@ -70,7 +70,7 @@
   announce();
   stream.add(7);
   now += KnownFlowStream::kMinBatchInterval;
-  const auto soon = stream.poll(now, budget, lists);
+  const auto soon = stream.poll(now, budget, listBudget);
   CHECK_TRUE(soon.has_value());
   deliver(*soon);
 
@@ -78,9 +78,9 @@
   scarce.consume(now, 0.8 * kBurst);
   stream.add(8);
   now += KnownFlowStream::kMinBatchInterval;
-  CHECK_FALSE(stream.poll(now, scarce, lists).has_value());
+  CHECK_FALSE(stream.poll(now, scarce, listBudget).has_value());
   now += KnownFlowStream::kPartialBatchDelay;
-  CHECK_TRUE(stream.poll(now, scarce, lists).has_value());
+  CHECK_TRUE(stream.poll(now, scarce, listBudget).has_value());
 }
 
 TEST(KnownFlows, AreNotSentWithDatagramBeyondBudget) {
--- a/test/common/shard/region_fuzzer.h
+++ b/test/common/shard/region_fuzzer.h
@@ -66,9 +66,9 @@
   }
 
   /**
-   * Waits until each shard has one owner if that is not possible sooner: while a whole zone is
-   * unreachable the lost state may still exist there, so a shard is created again only once that
-   * zone counts as dead. @return whether each shard has one owner.
+   * @return whether each shard has one owner. If a zone has no running node, waits for that:
+   * the lost state may still exist in the unreachable zone, and a shard is created again only
+   * once the zone counts as dead.
    */
   bool everyShardGetsOneOwner() {
     const Duration timeout = ShardDirectorOptions{}.zonePartitionTimeout + std::chrono::seconds(20);
--- a/test/common/shard/region_test.cc
+++ b/test/common/shard/region_test.cc
@@ -157,7 +157,7 @@
   CHECK_EQUAL(3U, scenario.region.shardsWithOneOwner());
 }
 
-/** A death right after a heal was older than the heal's update, so it was not propagated. */
+/** The update of a death right after a heal counted as older than the heal's, and was ignored. */
 TEST(Region, DetectsDeathRightAfterHeal) {
   RegionScenario scenario(seeded(6));
   scenario.region.runFor(std::chrono::seconds(10));
--- a/test/common/shard/replication_log_test.cc
+++ b/test/common/shard/replication_log_test.cc
@@ -227,7 +227,7 @@
   CHECK_EQUAL(1U, changesOf(*poll()));
 }
 
-/** Another owner needs it to refuse the same flow. */
+/** A new owner needs the record to refuse the same flow again. */
 TEST(ReplicationLog, SendsRefusalAtOnce) {
   log.appendRefused(now, FlowHash{1});
   CHECK_TRUE(poll().has_value());
--- a/test/common/shard/zone_cut_test.cc
+++ b/test/common/shard/zone_cut_test.cc
@@ -83,7 +83,7 @@
   }
 }
 
-/** A joining node receives no dead members and therefore did not detect the unreachable zones. */
+/** Dead members are not sent to a joining node, so it did not detect the unreachable zones. */
 TEST(ZoneCut, JoiningNodesInPartitionedZoneDoNotCreateExistingShard) {
   constexpr uint32_t kJoiners[] = {9, 12, 15, 18};
   PartitionScenario scenario(7);
