--- a/bench/experiment/deployment.h
+++ b/bench/experiment/deployment.h
@@ -19,7 +19,7 @@
   uint32_t address = 0;
 };
 
-/** One service with its callers. */
+/** One service with its hosts and the flows of its callers. */
 struct ServicePlan {
   std::string name;
   Endpoint address;
@@ -51,7 +51,7 @@
   uint32_t proxyAddress = 0;
 };
 
-/** Ports, which all nodes share because every process has its own loopback address. */
+/** Ports of the nodes. All nodes use the same ones, because each has its own loopback address. */
 constexpr uint16_t kDataPort = 21001;
 constexpr uint16_t kRelayPort = 21002;
 constexpr uint16_t kControlPort = 21003;
@@ -61,7 +61,7 @@
 constexpr uint16_t kControlFrontPort = 21013;
 /** Port of the proxy on the address of a node, through which the node reaches the platform. */
 constexpr uint16_t kPlatformFrontPort = 21017;
-/** Ports of stand-ins for HTTP control and for packets. */
+/** Ports of stand-ins for HTTP control and for packets, and port of the platform's API. */
 constexpr uint16_t kStandinControlPort = 21005;
 constexpr uint16_t kStandinDataPort = 21006;
 constexpr uint16_t kPlatformPort = 21007;
@@ -69,7 +69,7 @@
 /**
  * @param block second octet of the loopback addresses, see AddressBlock. Concurrent runs must use
  * different ones.
- * @return the deployments of the first two users in their present sizes.
+ * @return one region for each of the first two users, in the current size of its deployment.
  */
 Deployment planDeployment(uint8_t block);
 
--- a/bench/experiment/environment.cc
+++ b/bench/experiment/environment.cc
@@ -23,7 +23,8 @@
 constexpr std::chrono::milliseconds kPollInterval(50);
 /** Delay until fabrics apply changes of their nodes and the platform lists changes of machines. */
 constexpr uint32_t kFabricLagMillis = 1000;
-/** Mean interval between unsolicited messages on a flow, such as pickup alerts and grid status. */
+/** Mean interval between unsolicited messages of a host on a TCP flow. It models the users'
+ * pickup alerts and grid-status messages. */
 constexpr uint32_t kPushIntervalMillis = 5000;
 
 bool waitUntil(const std::function<bool()>& condition) {
--- a/bench/experiment/environment.h
+++ b/bench/experiment/environment.h
@@ -35,14 +35,15 @@
 enum class StartErrorCode : uint8_t {
   kProgramMissing,
   kStandinUnresponsive,
-  /** The process has exited, although another one responds at its address. */
+  /** The process has exited, although its address responded; another run may use the address. */
   kStandinExited,
   kNodeNotReady
 };
 
 struct StartError {
   StartErrorCode code = StartErrorCode::kProgramMissing;
-  /** Path of the missing program, otherwise name of the process or of the missing part. */
+  /** Path of the missing program, or name of the process; "planned flows of the callers" if too few
+   * flows were opened before the timeout. */
   std::string process;
 };
 
@@ -79,8 +80,8 @@
   void reloadNode(const NodePlan& node);
   /** Sends SIGTERM, removes the node from its fabric and registers its machine as leaving. */
   void beginNodeStop(const NodePlan& node);
-  /** Sends SIGKILL and removes the node from its fabric and the machine list, which take effect
-   * after the lag of each. */
+  /** Sends SIGKILL and removes the node from its fabric and the machine list; both removals take
+   * effect after their lag. */
   void killNode(const NodePlan& node);
   /** Adds the node to those to which its fabric sends packets. */
   void announceNode(const NodePlan& node);
@@ -103,7 +104,8 @@
   std::string programPath(const std::string& name) const;
   std::string writeSettings(const NodePlan& node) const;
   Result<Ok, StartError> startStandins();
-  /** Waits until the path returns 200, and checks that the process of this run is still running. */
+  /** Waits until the path returns 200. Then checks that the process is still running, because a
+   * process of another run may have responded. */
   Result<Ok, StartError> waitForStandin(const std::string& process, const Endpoint& server,
                                         const std::string& path);
   Result<Ok, StartError> readHosts(const RegionPlan& region);
--- a/bench/experiment/experiment_result.h
+++ b/bench/experiment/experiment_result.h
@@ -21,7 +21,8 @@
   std::optional<uint64_t> keysNotTaken;
   /** Sums over all callers; lists are empty. */
   standins::CallerReport totals;
-  /** Number of accepted changes that were not in force before the timeout or that were lost. */
+  /** Number of failed checks of changes: an accepted change was not in force before the timeout or
+   * was lost, a refused one was stored, or the service could not be read. */
   uint64_t lostChanges = 0;
   /** Number of changes that were not confirmed. */
   uint64_t failedChanges = 0;
--- a/bench/experiment/experiment_run.h
+++ b/bench/experiment/experiment_run.h
@@ -19,7 +19,7 @@
 
 namespace umberhold::experiment {
 
-/** Broken flows are attributed to an unplanned event until this time after it. */
+/** Flows that break within this time after an unplanned event are attributed to it. */
 constexpr standins::UnixMillis kUnplannedEventMillis = 15000;
 
 /** A running experiment and the actions that scenarios perform on it. */
@@ -75,13 +75,14 @@
   void cutZoneFromPlatform(const std::string& zone);
   /** Ends all partitions. */
   void healZones();
-  /** Injects faults into the platform. @param json fault settings of the platform stand-in. */
+  /** Sets the faults that the platform stand-in injects. @param json its fault settings; settings
+   * that are absent keep their value. */
   void setPlatformFaults(const std::string& json);
   /** Waits until every running node applies at least this configuration version. @return the wait
    * in milliseconds; nullopt after the timeout. */
   std::optional<double> waitUntilInForce(uint64_t version);
   /** Changes the weight of a host slightly and measures the time until all running nodes apply the
-   * change. */
+   * change. Counts a lost change if they don't apply it before the timeout. */
   void measureConfigPropagation();
   void countLostChange() { ++lostChanges_; }
 
--- a/bench/experiment/node_ledger.h
+++ b/bench/experiment/node_ledger.h
@@ -32,7 +32,8 @@
 /** Not thread safe. */
 class NodeLedger {
  public:
-  /** Adds a sample of a node's metrics. @param seconds time of the sample since any fixed time. */
+  /** Adds a sample of a node's metrics. @param seconds time of the sample, counted from an
+   * arbitrary fixed time. */
   void addSample(uint32_t node, double seconds, const std::vector<MetricSample>& samples);
   void addPeakMemory(double megabytes);
   /** Discards the samples of a node that restarts: its counters begin at 0 and its configuration
--- a/bench/experiment/node_monitor.h
+++ b/bench/experiment/node_monitor.h
@@ -25,8 +25,8 @@
   NodeFigures figures() const;
   /** Fetches the configuration version of a node. @return nullopt if the node doesn't report it. */
   static std::optional<uint64_t> configVersion(const NodePlan& node);
-  /** Fetches the metrics of a node. @return whether it signs with the signing key and accepts as
-   * many keys as specified. */
+  /** Fetches the metrics of a node. @return whether it signs with the key `keys.signing` and
+   * accepts as many keys as `keys.accepted` has; the ids of accepted keys are not compared. */
   static bool usesKeys(const NodePlan& node, const NodeKeys& keys);
   /** Discards the samples of a node that restarts. */
   void resetNode(const NodePlan& node);
--- a/bench/experiment/node_settings_text.cc
+++ b/bench/experiment/node_settings_text.cc
@@ -10,7 +10,8 @@
 /** Prefix of the secret of every key; kSecretDigit and the key's id follow. */
 constexpr const char* kSecretPrefix =
     "00112233445566778899aabbccddeeff00112233445566778899aabbccddee";
-/** Completes a byte with the id, which must have one decimal digit. */
+/** First hexadecimal digit of the last byte of a secret. The second one is the key's id, which must
+ * therefore have one decimal digit. */
 constexpr const char* kSecretDigit = "f";
 
 std::string endpointText(uint32_t address, uint16_t port) {
--- a/bench/experiment/operator_client.h
+++ b/bench/experiment/operator_client.h
@@ -15,12 +15,12 @@
 
 /** Why a change was not confirmed. */
 enum class ChangeFailure : uint8_t {
-  /** No node responded, nodes reported that they had not executed it, or every attempt conflicted
-   * with another change. */
+  /** The service could not be read, nodes reported that they had not executed the change, or every
+   * attempt conflicted with another change. */
   kUnavailable,
   /** A node refused it as invalid or unauthorised. */
   kRefused,
-  /** It may have been executed. */
+  /** It may have been executed: a node reported an unknown outcome or didn't respond. */
   kUnknown,
 };
 
--- a/bench/experiment/scenario.cc
+++ b/bench/experiment/scenario.cc
@@ -186,7 +186,8 @@
   }
 }
 
-/** Checks that the stored service contains every accepted change and no refused one. */
+/** Checks that the stored service contains every accepted change and no refused one. Changes with
+ * an unknown outcome may be stored or not. */
 void checkWeightChanges(ExperimentRun& run, const Service& service, const WeightChanges& changes) {
   const uint32_t raised = service.hosts.at(changes.host).weight - changes.firstWeight;
   if (raised < changes.accepted || raised > changes.accepted + changes.unknown) {
--- a/bench/support/address_block.h
+++ b/bench/support/address_block.h
@@ -17,8 +17,8 @@
  */
 class AddressBlock {
  public:
-  /** Claims the first free block from `preferred` on, modulo the number of blocks. @return nullopt
-   * if all are claimed. */
+  /** Claims the first free block. @param preferred index of the block to try first, modulo the
+   * number of blocks. @return nullopt if all are claimed. */
   static std::optional<AddressBlock> claim(uint32_t preferred);
   /** As above, starting at a block that depends on the process id. */
   static std::optional<AddressBlock> claim();
