--- a/test/bench/experiment/node_ledger_test.cc
+++ b/test/bench/experiment/node_ledger_test.cc
@@ -13,6 +13,7 @@
 
 namespace {
 
+/** @return samples with these sent bytes, and with received bytes, which rates must not contain. */
 std::vector<MetricSample> makeSamples(int version, int shardBytes, int loadBytes, double cpu) {
   const std::string bytes = "umberhold_control_bytes_total{class=\"";
   return parseMetrics("umberhold_config_version " + std::to_string(version) + "\n" + bytes +
--- a/test/bench/experiment/summary_test.cc
+++ b/test/bench/experiment/summary_test.cc
@@ -66,7 +66,7 @@
   CHECK_TRUE(figures->getValue<bool>("evidence_complete"));
 }
 
-TEST(Summary, TableShowsEveryBrokenPromise) {
+TEST(Summary, TableAndResultReportEveryBrokenPromise) {
   using Fault = std::function<void(ExperimentResult&)>;
   const std::vector<Fault> faults = {
       [](ExperimentResult& result) { result.verdict.brokenFlowsPlanned = 1; },
--- a/test/experiments/experiment_test.cc
+++ b/test/experiments/experiment_test.cc
@@ -2,8 +2,8 @@
  * @file Short runs of the experiment program with real processes behind the fault-injecting proxy.
  *
  * For each guarantee, one case checks that it holds and another one that it is violated if the
- * mechanism behind it is disabled. A check that detects nothing therefore fails. CMake makes one
- * ctest entry of each case.
+ * mechanism behind it is disabled. The second case fails if the check detects nothing. CMake makes
+ * one ctest entry of each case.
  */
 #include <Poco/JSON/Object.h>
 #include <Poco/JSON/Parser.h>
@@ -35,9 +35,9 @@
 constexpr uint64_t kFlowsPerBrokenFlow = 1000;
 /**
  * Maximum ratio of the busiest host's flows to the mean, for 900 flows with a mean life of 8 s on
- * 15 hosts. Nodes that follow health reports when they should ignore them cause 1.4 to 1.7. The
+ * 15 hosts. The ratio is 1.4 to 1.7 if nodes apply health reports that they should ignore. The
  * three shards of fleet have different owners. Two of the three shards of dispatch share an owner,
- * whose limit of exceptions doesn't suffice for both, so the ratio there is partly random (1.23 on
+ * whose exception budget doesn't suffice for both, so the ratio there is partly random (1.23 on
  * average for flows placed without any bound).
  */
 constexpr double kMaxFleetImbalance = 1.15;
@@ -96,9 +96,10 @@
   }
 }
 
-/** Checks that every request was answered completely or refused without having run. Flows may have
- * broken because their own host stopped. */
-void checkNoRequestLost(const RunResult& result) {
+/** Checks that all guarantees held although nodes, hosts or zones failed: no planned change broke a
+ * flow, no refused request ran and no configuration change was lost. The failures may have broken
+ * flows and the requests on them. */
+void checkOnlyUnplannedLosses(const RunResult& result) {
   LONGS_EQUAL(kExitSuccess, result.exitStatus);
   for (const char* name : {"broken_flows_planned", "misrouted_packets", "refused_but_run",
                            "duplicate_runs", "config_reverts", "lost_changes"}) {
@@ -111,7 +112,7 @@
   CHECK_TRUE(result.count("drain_stop_ms") <= kMaxDrainStopMillis);
 }
 
-void checkPlannedChangeBroke(const RunResult& result) {
+void checkPlannedChangeBrokeFlows(const RunResult& result) {
   LONGS_EQUAL(kExitPromiseBroken, result.exitStatus);
   CHECK_TRUE(result.count("broken_flows_planned") > 0);
 }
@@ -133,17 +134,17 @@
 }
 
 TEST(Experiment, HostChangesBreakFlowsWithoutTheRelayToOwners) {
-  checkPlannedChangeBroke(
+  checkPlannedChangeBrokeFlows(
       runExperiment({"host-changes", "--seconds", "12", "--owner-relay", "off"}));
 }
 
 TEST(Experiment, HostChangesBreakFlowsOfAPlainHash) {
-  checkPlannedChangeBroke(
+  checkPlannedChangeBrokeFlows(
       runExperiment({"host-changes", "--seconds", "12", "--strategy", "plain-hash"}));
 }
 
 TEST(Experiment, HostChangesBreakFlowsOfLocalTables) {
-  checkPlannedChangeBroke(
+  checkPlannedChangeBrokeFlows(
       runExperiment({"host-changes", "--seconds", "12", "--strategy", "local-table"}));
 }
 
@@ -154,7 +155,7 @@
 }
 
 TEST(Experiment, RollingRestartBreaksFlowsOfLocalTables) {
-  checkPlannedChangeBroke(
+  checkPlannedChangeBrokeFlows(
       runExperiment({"rolling-restart", "--seconds", "20", "--strategy", "local-table"}));
 }
 
@@ -165,7 +166,7 @@
 }
 
 TEST(Experiment, DrainBreaksFlowsOfAPlainHash) {
-  checkPlannedChangeBroke(
+  checkPlannedChangeBrokeFlows(
       runExperiment({"backend-drain", "--seconds", "12", "--strategy", "plain-hash"}));
 }
 
@@ -176,7 +177,7 @@
 }
 
 TEST(Experiment, DeathOfANodeWhileAHostDrainsBreaksFlowsOfLocalTables) {
-  checkPlannedChangeBroke(
+  checkPlannedChangeBrokeFlows(
       runExperiment({"node-kill", "--seconds", "12", "--strategy", "local-table"}));
 }
 
@@ -206,7 +207,6 @@
   LONGS_EQUAL(0, result.count("lost_changes"));
 }
 
-/** No node and no host fails, so only the reports of hosts about themselves could break a flow. */
 TEST(Experiment, KeyRotationBreaksNothingAndNoDatagramIsRefused) {
   const RunResult result = runExperiment({"key-rotation", "--seconds", "15"});
   checkNothingLost(result);
@@ -219,6 +219,7 @@
   }
 }
 
+/** No node and no host fails, so only the reports of hosts about themselves could break a flow. */
 TEST(Experiment, MisleadingHealthNeitherStopsAServiceNorFillsOneHost) {
   const RunResult result = runExperiment({"misleading-health", "--seconds", "30"});
   checkNothingLost(result);
@@ -236,7 +237,7 @@
 /** Two hosts stop, which may break only their own flows. */
 TEST(Experiment, ColdStartBreaksOnlyFlowsOfHostsThatStopped) {
   const RunResult result = runExperiment({"cold-start", "--seconds", "25"});
-  checkNoRequestLost(result);
+  checkOnlyUnplannedLosses(result);
   LONGS_EQUAL(result.count("broken_flows_stopped_hosts"), result.count("broken_flows"));
   CHECK_TRUE(result.count("broken_flows_stopped_hosts") > 0);
 }
@@ -244,7 +245,7 @@
 /** One of twelve nodes fails. The zone cut, the restart and the drains must not break flows. */
 TEST(Experiment, CombinedFailuresBreakLessThanADeathMay) {
   const RunResult result = runExperiment({"combined", "--seconds", "30"});
-  checkNoRequestLost(result);
+  checkOnlyUnplannedLosses(result);
   checkDrainStopped(result);
   CHECK_TRUE(result.count("broken_flows") * kFlowsPerBrokenFlow < result.count("flows"));
 }
--- a/test/test_main.cc
+++ b/test/test_main.cc
@@ -13,9 +13,9 @@
 
 /**
  * Grows POCO's global list of free buffers before the first test. The list is allocated while leak
- * detection is enabled. If a test group that disables the detection made it grow, the detector
- * would access the freed storage and crash. With POCO's initial capacity of 128, this happened when
- * more than about seven nodes were connected.
+ * detection is enabled. If it grew during a test group that disables the detection, the detector
+ * would not notice that the old storage is freed, would access it later and crash. With POCO's
+ * initial capacity of 128, this happened when more than about seven nodes were connected.
  */
 void reserveBufferList() {
   using Allocator = Poco::Net::HTTPBufferAllocator;
