--- a/bench/experiment/experiment_result.h
+++ b/bench/experiment/experiment_result.h
@@ -13,7 +13,7 @@
 struct ExperimentResult {
   standins::Verdict verdict;
   NodeFigures nodes;
-  /** Maximum time in milliseconds until a configuration change was in force on all running nodes.
+  /** Maximum time in milliseconds until a configuration change was effective on all running nodes.
    */
   std::optional<double> configInForceMillis;
   /** Number of times that a node did not apply its new keys before the timeout; nullopt if no keys
@@ -21,7 +21,7 @@
   std::optional<uint64_t> keysNotTaken;
   /** Sums over all callers; lists are empty. */
   standins::CallerReport totals;
-  /** Number of failed checks of changes: an accepted change was not in force before the timeout or
+  /** Number of failed checks of changes: an accepted change was not effective before the timeout or
    * was lost, a refused one was stored, or the service could not be read. */
   uint64_t lostChanges = 0;
   /** Number of changes that were not confirmed. */
--- a/bench/experiment/experiment_run.cc
+++ b/bench/experiment/experiment_run.cc
@@ -308,20 +308,20 @@
   httpCall(environment_.platformControl(), "PUT", "/control/faults", json);
 }
 
-std::optional<double> ExperimentRun::waitUntilInForce(uint64_t version) {
+std::optional<double> ExperimentRun::waitUntilEffective(uint64_t version) {
   const auto startedAt = std::chrono::steady_clock::now();
   std::vector<NodePlan> pending = environment_.nodes();
   std::erase_if(pending, [this](const NodePlan& node) {
     const std::string name = Environment::nodeName(node);
     return std::find(downNodes_.begin(), downNodes_.end(), name) != downNodes_.end();
   });
-  const bool inForce = waitUntil(kNodeTimeout, [&] {
+  const bool isEffective = waitUntil(kNodeTimeout, [&] {
     std::erase_if(pending, [&](const NodePlan& node) {
       return NodeMonitor::configVersion(node).value_or(0) >= version;
     });
     return pending.empty();
   });
-  if (!inForce) {
+  if (!isEffective) {
     return std::nullopt;
   }
   const auto elapsed = std::chrono::steady_clock::now() - startedAt;
@@ -335,7 +335,7 @@
   if (!isOk(changed)) {
     return;
   }
-  const auto waitedMillis = waitUntilInForce(valueOf(changed));
+  const auto waitedMillis = waitUntilEffective(valueOf(changed));
   if (!waitedMillis) {
     countLostChange();
     return;
--- a/bench/experiment/experiment_run.h
+++ b/bench/experiment/experiment_run.h
@@ -80,7 +80,7 @@
   void setPlatformFaults(const std::string& json);
   /** Waits until every running node applies at least this configuration version. @return the wait
    * in milliseconds; nullopt after the timeout. */
-  std::optional<double> waitUntilInForce(uint64_t version);
+  std::optional<double> waitUntilEffective(uint64_t version);
   /** Changes the weight of a host slightly and measures the time until all running nodes apply the
    * change. Counts a lost change if they don't apply it before the timeout. */
   void measureConfigPropagation();
--- a/bench/experiment/scenario.cc
+++ b/bench/experiment/scenario.cc
@@ -208,10 +208,10 @@
   std::thread secondOperator([&] { incrementWeight(run, "operator-b", second); });
   firstOperator.join();
   secondOperator.join();
-  const bool inForce =
-      run.waitUntilInForce(std::max(first.newestVersion, second.newestVersion)).has_value();
+  const bool isEffective =
+      run.waitUntilEffective(std::max(first.newestVersion, second.newestVersion)).has_value();
   const auto after = run.operators().readService("dispatch");
-  if (!inForce || !after) {
+  if (!isEffective || !after) {
     run.countLostChange();
     return;
   }
