--- a/source/common/server/node_process.cc
+++ b/source/common/server/node_process.cc
@@ -187,7 +187,7 @@
   /** @return whether the loop continues. */
   bool tick(NodeSignals& signals) {
     const TimePoint now = steadyNow();
-    if (!stopDeadline && signals.stopAsked()) {
+    if (!stopDeadline && signals.stopRequested()) {
       beginStop(now);
     }
     if (const auto loaded = signals.reloadedSettings()) {
--- a/source/common/server/node_signals.h
+++ b/source/common/server/node_signals.h
@@ -13,7 +13,7 @@
  public:
   virtual ~NodeSignals() = default;
   /** @return whether a planned stop was requested; stays true from then on. */
-  virtual bool stopAsked() = 0;
+  virtual bool stopRequested() = 0;
   /** @return the settings, read again, once per reload request; otherwise nothing. */
   virtual std::optional<Result<NodeSettings, SettingsError>> reloadedSettings() = 0;
 };
--- a/source/exe/umberholdd.cc
+++ b/source/exe/umberholdd.cc
@@ -34,7 +34,7 @@
   /** @param flags borrowed; they override the settings file on a reload, too. */
   explicit ProcessSignals(const CommandLine& flags) : flags_(flags) {}
 
-  bool stopAsked() override { return stopSignal != 0; }
+  bool stopRequested() override { return stopSignal != 0; }
 
   std::optional<Result<NodeSettings, SettingsError>> reloadedSettings() override {
     if (reloadSignal == 0) {
