--- a/bench/account_loss.sh
+++ b/bench/account_loss.sh
@@ -1,8 +1,10 @@
 #!/usr/bin/env bash
-# Splits what a day lost by the moment: reads what `fleetbench run` printed, prints a table of the
-# windows that lost anything with the troubles under way, and the part lost from the closing fault on.
+# Shows when a day lost requests: reads the output of `fleetbench run` and prints the time windows in which
+# at least 1% of the requests missed their target ("not in aim"), each with the faults that were active, and
+# the share of the loss since the closing fault began.
 # usage: bench/account_loss.sh REPORT... [--plot FILE.png]
-#   REPORT: a file with the output of one run. The plot (gnuplot) shows the share in aim of the last one.
+#   REPORT: a file with the output of one run. The plot (gnuplot) shows the share of the requests of the last
+#   report that met their target.
 set -euo pipefail
 
 plot=
@@ -16,12 +18,13 @@
 done
 [ ${#reports[@]} -gt 0 ] || { echo "usage: bench/account_loss.sh REPORT... [--plot FILE.png]" >&2; exit 2; }
 
-# One line a window: second, asked, in aim, late, refused and failed.
+# Prints one line per window: start (s), requests, requests that met their target, late ones, and the sum of
+# refused and failed ones.
 windows() {
   awk '/^from second/ {table = 1; next} table && NF < 8 {exit} table {print $1, $2, $3, $4, $5 + $6}' "$1"
 }
 
-# One line a trouble: begin, end, text.
+# Prints one line per fault: begin (s), end (s), description.
 troubles() {
   awk '/^what happened/ {list = 1; next} list && !/ s to / {exit}
        list {begin = $1; end = $4; sub(/^.* s to +[0-9.]+ s +/, ""); print begin, end, $0}' "$1"
--- a/bench/explain_request.sh
+++ b/bench/explain_request.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Prints the story of one request from the collected logs of all nodes: its own lines, those of every
-# flow that it went by (without other requests), and what became of the hosts that these flows went to.
+# Prints the history of one request from the collected logs of all nodes: its own lines, the lines of the
+# flows that carried it (without other requests), and the events of the hosts of these flows.
 #   bench/explain_request.sh LOG ID
 set -euo pipefail
 if [ $# -ne 2 ] || [ ! -r "$1" ]; then
@@ -19,7 +19,7 @@
     if (field("request") == id) flows[field("flow")] = 1
     next
   }
-  # The second pass knows the flows; the third, the hosts.
+  # The first pass collects the flows of the request, the second the hosts of the flows; the third prints.
   pass == 2 {
     if (field("flow") in flows && field("flow") != "" && field("host") != "") hosts[field("host")] = 1
     next
--- a/bench/run_benchmarks.sh
+++ b/bench/run_benchmarks.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds and runs every google-benchmark program: ./dev bench [--filter REGEX]
+# Builds and runs all google-benchmark programs. usage: ./dev bench [--filter REGEX]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 filter=.
--- a/test/bench/account_loss_test.sh
+++ b/test/bench/account_loss_test.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Checks bench/account_loss.sh ($1) against a small report: windows, troubles under way, the closing part.
+# Tests bench/account_loss.sh ($1) with a small report: windows, active faults, and the loss since the closing
+# fault.
 set -euo pipefail
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
--- a/test/bench/explain_request_test.sh
+++ b/test/bench/explain_request_test.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# bench/explain_request.sh on a log of two nodes: the request's own story, and nothing of its neighbours.
+# Tests bench/explain_request.sh ($1) with a log of two nodes: it prints the history of the request and no
+# lines of other requests, flows or hosts.
 set -euo pipefail
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
