--- a/source/common/flow/drop_reason.h
+++ b/source/common/flow/drop_reason.h
@@ -22,7 +22,7 @@
   /** The time to live of a packet to be relayed has expired, most likely in a relay loop. */
   kRelayLoop,
   /** No host of the service may take the flow, and a refusal isn't safe because its request may
-     already have been executed. */
+   * already have been executed. */
   kNoHost,
   /** Packet of an established flow whose host is gone. */
   kHostGone,
--- a/source/common/flow/flow_director.h
+++ b/source/common/flow/flow_director.h
@@ -111,7 +111,7 @@
   /** The flow's host has definitely stopped. */
   kHostEnded,
   /** The flow's host is unresponsive (it acknowledges nothing), and its callers may retry their
-     requests elsewhere. */
+   * requests elsewhere. */
   kHostSilent,
   /** The hosts are busy, and the opening has reached its maximum wait. */
   kHostsBusy,
--- a/source/common/flow/flow_segment.h
+++ b/source/common/flow/flow_segment.h
@@ -25,19 +25,22 @@
 };
 static_assert(sizeof(FlowSlot) == 16);
 
-/** Linear probing with backward-shift deletion; grows and shrinks by a quarter. Not thread safe. */
+/**
+ * Linear probing with backward-shift deletion. Grows by a quarter at a time; shrinks to about 1.5
+ * slots per flow when less than 40% of the slots are used. Not thread safe.
+ */
 class FlowSegment {
  public:
   static constexpr size_t kNotFound = SIZE_MAX;
 
-  /** @return index of the flow's slot, or kNotFound. @param position see FlowTable::positionOf. */
+  /** @return index of the flow's slot, or kNotFound. @param position see positionOf(). */
   size_t find(uint64_t position, FlowHash flow) const;
   /** Adds a flow that isn't in the segment; if the segment has to grow, all slots are moved. */
   FlowSlot& add(uint64_t position, const FlowSlot& slot, uint64_t seed);
   /** Frees a slot. Later slots are shifted back, so the same index may hold another flow
    * afterwards. */
   void eraseAt(size_t index, uint64_t seed);
-  /** Releases memory if the segment is mostly empty. */
+  /** Releases memory if less than 40% of the slots are used. */
   void shrink(uint64_t seed);
 
   size_t slotCount() const { return slots_.size(); }
--- a/source/common/flow/flow_state.h
+++ b/source/common/flow/flow_state.h
@@ -17,7 +17,7 @@
   /** Only one UDP datagram was seen, recently. */
   kFirstDatagram = 1,
   /** Only one UDP datagram was seen, some time ago; no longer counts against the limit of its
-     source. */
+   * source. */
   kLoneDatagram = 2,
   kEstablished = 3,
   /** The caller has sent FIN; the answer may still be in transit. */
--- a/source/common/placement/base_table.h
+++ b/source/common/placement/base_table.h
@@ -1,5 +1,4 @@
-/** @file The base table of a shard: maps every flow to a default host without per-flow state.
- */
+/** @file The base table of a shard: maps each flow to a default host without per-flow state. */
 #pragma once
 
 #include <cstdint>
--- a/source/common/placement/connection_limit.cc
+++ b/source/common/placement/connection_limit.cc
@@ -14,7 +14,7 @@
 constexpr Duration kMaxRetryInterval = std::chrono::seconds(16);
 constexpr uint32_t kMaxBackoffExponent = 6;
 /** After an owner failure, a shard recovers its totals once it uses 1/kRecoveryDivisor of its
- * initial permits. */
+ * initial permits, or once another shard requests permits from it. */
 constexpr uint32_t kRecoveryDivisor = 4;
 
 std::vector<uint64_t> emptyIfZero(const std::vector<uint64_t>& totals) {
@@ -58,12 +58,12 @@
 }
 
 int64_t PermitAccount::permits(uint32_t limit) const {
-  const int64_t first = initialPermits(limit, shard_, static_cast<uint16_t>(lent_.size()));
-  int64_t permits = first;
+  const int64_t initial = initialPermits(limit, shard_, static_cast<uint16_t>(lent_.size()));
+  int64_t permits = initial;
   for (size_t other = 0; other < lent_.size(); ++other) {
     permits += static_cast<int64_t>(borrowed_[other]) - static_cast<int64_t>(lent_[other]);
   }
-  return recovering() ? std::min(permits, (first + 1) / 2) : permits;
+  return recovering() ? std::min(permits, (initial + 1) / 2) : permits;
 }
 
 PermitGrant PermitAccount::onRequest(const PermitRequest& request, uint32_t limit, uint32_t flows) {
--- a/source/common/placement/host_load_table.cc
+++ b/source/common/placement/host_load_table.cc
@@ -13,13 +13,13 @@
 /** Time constant for averaging the rate of ended flows, in seconds. */
 constexpr double kLifeAveraging = 60.0;
 constexpr Duration kLifeInterval = std::chrono::seconds(1);
+/** Bounds of the mean flow lifetime, in seconds. */
 constexpr double kMinLife = 1.0;
 constexpr double kMaxLife = 3600.0;
 /** Minimum number of flows for estimating growth; below it, random variation dominates. */
 constexpr double kMinFlowsForGrowth = 50.0;
 constexpr double kMaxGrowth = 2.0;
-/** Number of share intervals added to the age of counts; see ShareAging::kMeanLife.
- */
+/** Number of share intervals added to the age of counts; see ShareAging::kMeanLife. */
 constexpr double kDamping = 10.0;
 
 double growthOf(double before, double now) {
--- a/source/common/placement/host_load_table.h
+++ b/source/common/placement/host_load_table.h
@@ -22,8 +22,7 @@
 
 namespace umberhold {
 
-/** How another owner's counts age. The alternatives to kMeanLife serve as baselines in benchmarks.
- */
+/** How another owner's counts age. The alternatives to kMeanLife are baselines for benchmarks. */
 enum class ShareAging : uint8_t {
   /**
    * The weight of the counts in the placement decays with the fraction of flows replaced since the
@@ -83,8 +82,7 @@
   /** @return when a LoadShare of the shard last arrived; TimePoint{} if never. */
   TimePoint lastShare(uint16_t shard) const;
 
-  /** @return estimated current flows by slot over all owners; valid until the next call.
-   */
+  /** @return estimated current flows by slot over all owners; valid until the next call. */
   std::span<const double> estimate(TimePoint now);
   /** @return flows by slot for the load bound: own flows plus weighted flows of other owners. */
   std::span<const double> placementLoad(TimePoint now);
--- a/source/common/placement/service_placement.h
+++ b/source/common/placement/service_placement.h
@@ -99,8 +99,7 @@
   ServicePlacement(const ServicePlacement&) = delete;
   ServicePlacement& operator=(const ServicePlacement&) = delete;
 
-  // --- configuration
-  // -------------------------------------------------------------------------------
+  // Configuration.
 
   /** Applies a changed configuration of the service. Hosts that remain keep their flow counts and
    * weights; new hosts get weight 255. */
@@ -112,8 +111,7 @@
    */
   std::vector<BaseHost> currentBase() const;
 
-  // --- ownership
-  // -----------------------------------------------------------------------------------
+  // Ownership.
 
   /**
    * This node became the shard's owner. @param inherited flows and permits per host as handed over
@@ -124,14 +122,13 @@
   /** @return flows and permits for the handover snapshot; call while the shard's state is frozen.
    */
   std::vector<HostPermits> handOverPermits(ShardId shard) const;
-  /** This node is no longer the shard's owner; its exact counts are dropped. */
+  /** This node is no longer the shard's owner; its counts are kept as if sent by the new owner. */
   void shardReleased(TimePoint now, ShardId shard);
   /** All flows of the shard are now in the owner's table: inherited flows that have not been seen
    * are removed. */
   void markFlowsComplete(ShardId shard);
 
-  // --- flows
-  // ---------------------------------------------------------------------------------------
+  // Flows.
 
   void flowAdded(ShardId shard, HostId host, FlowOrigin origin = FlowOrigin::kNew);
   void flowRemoved(ShardId shard, HostId host);
@@ -149,8 +146,7 @@
    * has passed. */
   bool mayKeepFlows(HostId host, UnixSeconds unixNow) const;
 
-  // --- messages
-  // ------------------------------------------------------------------------------------
+  // Messages.
 
   /** @return whether a LoadShare of the shard is due; it is sent to the owners of the other shards
    * and to the replica. */
@@ -172,15 +168,13 @@
   std::optional<PermitGrant> onPermitRequest(TimePoint now, const PermitRequest& request);
   void onPermitGrant(TimePoint now, const PermitGrant& grant);
 
-  // --- health
-  // --------------------------------------------------------------------------------------
+  // Health.
 
   /** @return the hosts to probe now; report each result by onProbe(). */
   std::vector<DueProbe> dueProbes(TimePoint now);
   void onProbe(TimePoint now, const ProbeResult& result);
 
-  // --- views for policies and the admin API
-  // ----------------------------------------------------------
+  // Views for policies and the admin API.
 
   /** @return one view per host in the order of Service::hosts. */
   std::vector<HostView> hostViews(TimePoint now) const;
--- a/source/common/placement/service_placement_parts.h
+++ b/source/common/placement/service_placement_parts.h
@@ -13,7 +13,7 @@
 
 namespace umberhold {
 
-/** HostLoad::reportedLoad of a host without a load report of the sender. */
+/** HostLoad::reportedLoad of a host of which the sender has no recent load report. */
 constexpr uint8_t kNotReported = 255;
 
 /** Rate limit of the permit requests of one service at one owner, so that hosts at their limits
@@ -56,18 +56,18 @@
   TimePoint refreshed;
   bool dirty = true;
 
-  Parts(const Service& configured, ServicePlacementOptions given, ExceptionBudget& shared,
-        uint64_t seed)
+  Parts(const Service& configured, ServicePlacementOptions placementOptions,
+        ExceptionBudget& exceptionBudget, uint64_t seed)
       : id(serviceIdOf(configured.name)),
-        options(std::move(given)),
-        budget(shared),
+        options(std::move(placementOptions)),
+        budget(exceptionBudget),
         loads(options.aging, options.loadShareInterval),
         health(options.health, seed) {}
 
   bool active(size_t index) const { return service.hosts[index].state == HostState::kActive; }
   void setHosts(TimePoint now, const Service& configured);
   void shardsChanged();
-  /** The next share is due early, to notify the other owners. */
+  /** Makes the next LoadShare of the shard that probes the host due early, for the other owners. */
   void markHealthChanged(HostId host);
   void refresh(TimePoint now);
   void prepareConditions(TimePoint now, uint16_t shard);
--- a/source/common/placement/token_bucket.h
+++ b/source/common/placement/token_bucket.h
@@ -20,8 +20,7 @@
 
   /** Refills the bucket. @return its fill level, 0.0 to 1.0. */
   double fill(TimePoint now);
-  /** Takes one token. The bucket may go below zero, down to minus its capacity.
-   */
+  /** Takes one token. The bucket may go below zero, down to minus its capacity. */
   void spend(TimePoint now);
   /** @return whether at least one token is available. */
   bool available(TimePoint now);
--- a/source/common/policy/lua_library.cc
+++ b/source/common/policy/lua_library.cc
@@ -13,7 +13,7 @@
     "pi",  "sqrt", "type", "ult",   "cos",  "sin",  "tointeger", "maxinteger", "tan", "mininteger"};
 
 int raiseReadOnly(lua_State* lua) {
-  return luaL_error(lua, "this table can't be changed");
+  return luaL_error(lua, "this table is read-only");
 }
 
 int raiseUnknownName(lua_State* lua) {
@@ -26,7 +26,7 @@
   const lua_Number value = luaL_checknumber(lua, 1);
   const lua_Number low = luaL_checknumber(lua, 2);
   const lua_Number high = luaL_checknumber(lua, 3);
-  luaL_argcheck(lua, low <= high, 3, "lower than the low end");
+  luaL_argcheck(lua, low <= high, 3, "less than the lower bound");
   lua_pushnumber(lua, value < low ? low : (value > high ? high : value));
   return 1;
 }
--- a/source/common/policy/lua_policy_engine.cc
+++ b/source/common/policy/lua_policy_engine.cc
@@ -89,11 +89,11 @@
       return errorOf(ran);
     }
     if (data.missing) {
-      return PolicyError{PolicyErrorCode::kMissingWeigh, 0, "weigh is no function"};
+      return PolicyError{PolicyErrorCode::kMissingWeigh, 0, "weigh is not a function"};
     }
     if (data.badReturn) {
       return PolicyError{PolicyErrorCode::kBadReturn, 0,
-                         "weigh returned no finite number of at least 0"};
+                         "weigh did not return a finite number of at least 0"};
     }
     return data.weight;
   }
@@ -105,7 +105,7 @@
       return errorOf(ran);
     }
     if (data.badReturn) {
-      return PolicyError{PolicyErrorCode::kBadReturn, 0, "admit returned no truth value"};
+      return PolicyError{PolicyErrorCode::kBadReturn, 0, "admit did not return a boolean"};
     }
     return data.admitted;
   }
--- a/source/common/policy/lua_sandbox.cc
+++ b/source/common/policy/lua_sandbox.cc
@@ -127,7 +127,7 @@
     return PolicyError{PolicyErrorCode::kMemoryLimit, 0, "too much memory"};
   }
   if (lua_type(lua_, -1) != LUA_TSTRING) {
-    error.detail = "an error that is no text";
+    error.detail = "the error value is not a string";
     return error;
   }
   constexpr size_t kMaxDetailLength = 256;
--- a/source/common/policy/policy_engine.h
+++ b/source/common/policy/policy_engine.h
@@ -59,7 +59,7 @@
   kStepLimit,
   kMemoryLimit,
   /** weigh returned something other than a finite number of at least 0, or admit something other
-     than a boolean. */
+   * than a boolean. */
   kBadReturn,
   kTooLong,
 };
@@ -108,8 +108,7 @@
 class PolicyEngine {
  public:
   virtual ~PolicyEngine() = default;
-  /** Compiles the source and runs it on sample views. @return the policy or its first error.
-   */
+  /** Compiles the source and runs it on sample views. @return the policy or its first error. */
   virtual Result<std::unique_ptr<CompiledPolicy>, PolicyError> compile(const Policy& policy) = 0;
 };
 
--- a/source/common/policy/policy_evaluator.h
+++ b/source/common/policy/policy_evaluator.h
@@ -38,8 +38,7 @@
   /** @return the weight of each host of the last evaluate(), in the same order. */
   const std::vector<uint8_t>& weights() const { return weights_; }
 
-  /** @return whether the service takes a new flow; true until the policy has returned false.
-   */
+  /** @return whether the service takes a new flow; true until the policy has returned false. */
   bool admits(TimePoint now, const ServiceView& service);
 
   /** @return number of failed evaluations since the policy was set. */
--- a/test/common/placement/host_load_table_test.cc
+++ b/test/common/placement/host_load_table_test.cc
@@ -42,6 +42,7 @@
   }
 };
 
+/** A removal of a flow that was not counted and flows of a shard that is not owned are ignored. */
 TEST(HostLoadTable, CountsNeverGoBelowZero) {
   table.flowRemoved(0, kFirst);
   table.flowRemoved(5, kFirst);
--- a/test/common/placement/load_bound_property.cc
+++ b/test/common/placement/load_bound_property.cc
@@ -71,6 +71,7 @@
   }));
 }
 
+/** With a bound of at least 1, at least one usable host is under it. */
 TEST(LoadBound, ChosenHostIsNeverOverTheBound) {
   CHECK(rc::check("chosen host stays under the bound", [] {
     const Situation situation = randomSituation();
--- a/test/common/placement/service_placement_test.cc
+++ b/test/common/placement/service_placement_test.cc
@@ -151,6 +151,7 @@
   }
 }
 
+/** A host of weight 0 gets no new flows. */
 TEST(ServicePlacement, DistributesNewFlowsByWeight) {
   placement->setWeights({255, 0, 128, 128});
   base = BaseTable(placement->currentBase());
